--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -11,63 +11,67 @@
 	"gentiancroft/internal/relay"
 )
 
-// Begin implements relay.Node.
+// Begin implements relay.Node. A request that finds the event ring full is refused
+// at once.
 func (g *Gateway) Begin(a direct.Arrive) relay.Exchange {
-	x := &exchange{id: a.ID, gateway: g, decisions: make(chan direct.Effect, decisionRing)}
+	x := &exchange{id: a.ID, gateway: g, decisions: make(chan direct.Effect, decisionBuffer)}
 	g.mu.Lock()
 	g.exchanges[a.ID] = x
 	g.mu.Unlock()
 	if !g.events.TryPush(a) {
-		x.decisions <- direct.Refuse{ID: a.ID, Refusal: core.Refuse(core.CodeOverloaded, overloaded, "the host is overloaded")}
+		x.decisions <- direct.Refuse{ID: a.ID, Refusal: core.Refuse(core.CodeOverloaded, overloadRetryAfter, "the host is overloaded")}
 	}
 	return x
 }
 
-func (g *Gateway) exchange(id core.RequestID) *exchange {
+// findExchange returns the exchange of an open request, nil where there is none.
+func (g *Gateway) findExchange(id core.RequestID) *exchange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.exchanges[id]
 }
 
-func (g *Gateway) decide(id core.RequestID, e direct.Effect) {
-	if x := g.exchange(id); x != nil {
+// sendDecision hands a decision to the request's handler.
+func (g *Gateway) sendDecision(id core.RequestID, e direct.Effect) {
+	if x := g.findExchange(id); x != nil {
 		select {
 		case x.decisions <- e:
-		default: // more decisions than a request can have: a fault of the machine
+		default: // the buffer holds more decisions than a request can have: a bug in the machine
 			log.WithField("request", string(id)).Error("decision dropped")
 		}
 	}
 }
 
 func (g *Gateway) cancel(c direct.Cancel) {
-	if x := g.exchange(c.ID); x != nil {
+	if x := g.findExchange(c.ID); x != nil {
 		x.cancelAttempt(c)
 	}
 }
 
-// exchange is the handler's side of one request.
+// exchange connects the machine with the handler of one request.
 type exchange struct {
 	id        core.RequestID
 	gateway   *Gateway
 	decisions chan direct.Effect
 
-	mu        sync.Mutex
-	attempt   int
-	cancel    context.CancelFunc
-	cancelled int // attempts up to this one are cancelled
-	begun     int // attempt whose answer has begun
+	mu               sync.Mutex
+	currentAttempt   int
+	cancel           context.CancelFunc
+	cancelledThrough int // attempts up to this number are cancelled
+	startedAttempt   int // newest attempt whose answer is being forwarded
 }
 
 // Decisions implements relay.Exchange.
 func (x *exchange) Decisions() <-chan direct.Effect { return x.decisions }
 
-// Attempt implements relay.Exchange.
+// Attempt implements relay.Exchange. The context of an attempt that was cancelled
+// before is already done.
 func (x *exchange) Attempt(parent context.Context, attempt int) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.attempt, x.cancel = attempt, cancel
-	if attempt <= x.cancelled {
+	x.currentAttempt, x.cancel = attempt, cancel
+	if attempt <= x.cancelledThrough {
 		cancel()
 	}
 	return ctx, cancel
@@ -77,21 +81,23 @@
 func (x *exchange) Begin(attempt int) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if attempt <= x.cancelled {
+	if attempt <= x.cancelledThrough {
 		return false
 	}
-	x.begun = attempt
+	x.startedAttempt = attempt
 	return true
 }
 
+// cancelAttempt cancels an attempt and those before it. Where c asks for that only
+// before the answer has started, and it has, the attempt goes on.
 func (x *exchange) cancelAttempt(c direct.Cancel) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if c.Unbegun && x.begun >= c.Attempt {
+	if c.Unbegun && x.startedAttempt >= c.Attempt {
 		return
 	}
-	x.cancelled = max(x.cancelled, c.Attempt)
-	if x.cancel != nil && x.attempt <= c.Attempt {
+	x.cancelledThrough = max(x.cancelledThrough, c.Attempt)
+	if x.cancel != nil && x.currentAttempt <= c.Attempt {
 		x.cancel()
 	}
 }
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -9,9 +9,9 @@
 	"gentiancroft/internal/core/direct"
 )
 
-// Found on the bench (LOST): a stream was cancelled for its silence in the moment in
-// which its first event came.
-func TestAnAttemptThatHasBegunIsNotCancelledForItsSilence(t *testing.T) {
+// Guards against a lost stream: the timeout for the first event cancelled an attempt
+// just as that event arrived.
+func TestAStartedAttemptIsNotCancelledForALateFirstEvent(t *testing.T) {
 	is := is.New(t)
 	x := &exchange{}
 	attempt, end := x.Attempt(context.Background(), 1)
@@ -23,7 +23,7 @@
 	is.True(attempt.Err() != nil)
 }
 
-func TestAnAttemptThatIsCancelledDoesNotBegin(t *testing.T) {
+func TestACancelledAttemptDoesNotStart(t *testing.T) {
 	is := is.New(t)
 	x := &exchange{}
 	attempt, end := x.Attempt(context.Background(), 1)
--- a/internal/gateway/carriers.go
+++ b/internal/gateway/executors.go
@@ -13,33 +13,39 @@
 	"gentiancroft/internal/core/table"
 )
 
-// Store carries calls to the object API.
+// Store makes calls to the platform's object API.
 type Store interface {
+	// Do makes one call. A failure is reported in the result's status.
 	Do(ctx context.Context, c core.ObjectCall) core.ObjectResult
 }
 
-// Replicas carries orders to replicas and reads their reports.
+// Replicas sends load and unload orders to replicas and reads their reports.
 type Replicas interface {
+	// Order sends an order and waits for the replica's answer.
 	Order(ctx context.Context, o residency.Order) residency.OrderDone
+	// Report reads which adapters a replica has loaded.
 	Report(ctx context.Context, p residency.Probe) residency.Report
 }
 
-// Links carries payloads to other hosts. A payload may be lost.
+// Links sends messages to other hosts.
 type Links interface {
+	// Send queues a payload and reports whether it was queued. A queued payload
+	// may still be lost.
 	Send(to core.HostID, address string, payload []byte) bool
 }
 
-// Documents reads the objects that others write into the store.
+// Documents names and decodes the objects that the platform keeps in the store.
 type Documents struct {
 	Configuration string // kind of the object that holds the configuration
-	Replicas      string // kind of the replicas' entries
-	Versions      string // kind of the adapters' newest versions
+	Replicas      string // kind of the objects that register replicas
+	Versions      string // kind of the objects that announce the adapters' newest versions
 	DecodeTable   func([]byte) (*table.Table, error)
 	DecodeReplica func(id string, value []byte) (replicas.Entry, error)
 	DecodeVersion func([]byte) (core.BaseModel, core.AdapterRef, error)
 }
 
-// Carriers are the ways out of a gateway.
+// Carriers are the executors of a gateway: they carry out the machine's effects
+// by I/O.
 type Carriers struct {
 	Store     Store
 	Replicas  Replicas
@@ -47,7 +53,8 @@
 	Documents Documents
 }
 
-func (g *Gateway) order(ctx context.Context, o residency.Order) {
+// sendOrder carries out an order and returns its outcome to the machine.
+func (g *Gateway) sendOrder(ctx context.Context, o residency.Order) {
 	done := g.carriers.Replicas.Order(ctx, o)
 	what := "unload."
 	if o.Load {
@@ -60,7 +67,8 @@
 	g.Tell(direct.OrderDone{OrderDone: done})
 }
 
-func (g *Gateway) probe(ctx context.Context, p residency.Probe) {
+// readReport reads a replica's report for the machine.
+func (g *Gateway) readReport(ctx context.Context, p residency.Probe) {
 	report := g.carriers.Replicas.Report(ctx, p)
 	if report.Err != nil {
 		log.WithField("upstream", string(p.Replica)).WithError(report.Err).Warn("report not read")
@@ -68,15 +76,17 @@
 	g.Tell(direct.Reported{Report: report})
 }
 
-func (g *Gateway) object(ctx context.Context, c core.ObjectCall) {
+// callStore carries out a write of the machine.
+func (g *Gateway) callStore(ctx context.Context, c core.ObjectCall) {
 	result := g.carriers.Store.Do(ctx, c)
 	result.Tag = c.Tag
-	g.storeAnswered(result.Status)
+	g.reportStoreStatus(result.Status)
 	g.Tell(direct.ObjectDone{Result: result})
 }
 
-// storeAnswered tells the machine when the store is lost or back.
-func (g *Gateway) storeAnswered(s core.ObjectStatus) {
+// reportStoreStatus counts a call's outcome, reports to the machine whether the
+// store was reached, and logs when that changes.
+func (g *Gateway) reportStoreStatus(s core.ObjectStatus) {
 	g.count("store.calls." + storeOutcomes[s])
 	reached := s != core.ObjectUnavailable && s != core.ObjectUnknown
 	if reached {
@@ -84,7 +94,7 @@
 	} else {
 		g.Tell(direct.StoreLost{})
 	}
-	if g.reached.Swap(reached) != reached {
+	if g.storeReachable.Swap(reached) != reached {
 		log.WithField("dependency", "store").WithField("reached", reached).Warn("dependency changed")
 	}
 }
@@ -98,8 +108,8 @@
 	core.ObjectHistoryGone: "history_gone",
 }
 
-// toPeers encodes a message once for all that it goes to.
-func (g *Gateway) toPeers(x direct.ToPeers) {
+// sendToPeers encodes a message once and sends it to each of its receivers.
+func (g *Gateway) sendToPeers(x direct.ToPeers) {
 	payload, err := cbor.Marshal(x.Message)
 	if err != nil {
 		log.WithError(err).Error("peer message not encoded")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,9 @@
-// Package gateway runs the decisions of a host that sends requests to replicas
-// on its own: one duty takes events from a bounded ring, steps the machine and
-// hands its effects to the carriers.
+// Package gateway runs the state machine of a relaying host (package direct). One
+// worker takes events from a bounded ring, steps the machine and has its effects
+// carried out; other workers watch the store's objects and turn them into events.
+//
+// It decides nothing about requests or replicas: that is the machine's part. The
+// HTTP interface is package relay; I/O is done by the executors.
 package gateway
 
 import (
@@ -20,97 +23,99 @@
 )
 
 const (
-	eventRing    = 4096
-	tickEvery    = 20 * time.Millisecond
-	decisionRing = 8 // decisions that one request can be sent before it looks
-	overloaded   = time.Second
+	eventRingSize      = 4096
+	tickInterval       = 20 * time.Millisecond
+	decisionBuffer     = 8           // decisions that wait for a request's handler
+	overloadRetryAfter = time.Second // for requests refused because the event ring is full
 )
 
-// Clock is a host's clock. It goes on while the host is suspended, so that what
-// was valid before is not taken for valid after.
+// Clock reads a host's clock. It advances while the host is suspended, so that
+// leases and reports from before the suspension expire.
 type Clock func() core.Instant
 
-// Gateway owns a machine and its event ring.
+// Gateway owns a machine and the ring of its events.
 type Gateway struct {
-	machine  *direct.Machine
-	carriers Carriers
-	clock    Clock
-	registry metrics.Registry
-	events   *supervise.Ring[direct.Event]
-	left     chan struct{}
-	view     atomic.Pointer[view]
-	reached  atomic.Bool // the store answered last time
-	notes    map[string]metrics.Counter
-	reread   interrupts // of watches, to read again
-	follow   interrupts // of watches that rest, to follow the objects themselves
+	machine          *direct.Machine
+	carriers         Carriers
+	clock            Clock
+	registry         metrics.Registry
+	events           *supervise.Ring[direct.Event]
+	mayExit          chan struct{}
+	status           atomic.Pointer[status]
+	storeReachable   atomic.Bool // whether the last call reached the store
+	decisionCounters map[string]metrics.Counter
+	reread           interrupts // interrupts watches so that they list their objects again
+	wake             interrupts // interrupts idle watches so that they check whether to watch
 
 	mu        sync.Mutex
 	exchanges map[core.RequestID]*exchange
 }
 
-// view is what duties beside the machine's own need to know.
-type view struct {
+// status is what workers other than the machine's read of its state.
+type status struct {
 	ready     bool
 	leaving   bool
 	addresses []string
-	reading   direct.Reading
+	reading   direct.Reading // how the store is to be read
 }
 
-// New returns a gateway whose duties are not running yet.
+// New returns a gateway whose workers are not running yet; see Register.
 func New(m *direct.Machine, c Carriers, clock Clock, r metrics.Registry) *Gateway {
 	g := &Gateway{
-		machine:   m,
-		carriers:  c,
-		clock:     clock,
-		registry:  r,
-		events:    supervise.NewRing[direct.Event]("events", eventRing, supervise.Refuse),
-		left:      make(chan struct{}, 1),
-		notes:     map[string]metrics.Counter{},
-		exchanges: map[core.RequestID]*exchange{},
-	}
-	g.view.Store(&view{})
-	g.reached.Store(true)
+		machine:          m,
+		carriers:         c,
+		clock:            clock,
+		registry:         r,
+		events:           supervise.NewRing[direct.Event]("events", eventRingSize, supervise.Refuse),
+		mayExit:          make(chan struct{}, 1),
+		decisionCounters: map[string]metrics.Counter{},
+		exchanges:        map[core.RequestID]*exchange{},
+	}
+	g.status.Store(&status{})
+	g.storeReachable.Store(true)
 	return g
 }
 
-// Register puts the gateway's duties under supervision.
+// Register adds the gateway's workers to a supervision tree.
 func (g *Gateway) Register(t *supervise.Tree) {
 	t.Add("machine", g.run)
-	t.Add("ticker", supervise.Every(tickEvery, g.tick))
+	t.Add("ticker", supervise.Every(tickInterval, g.tick))
 	for _, w := range g.watches() {
 		t.Add("watch "+w.kind, w.run)
 	}
 	t.Add("leases", g.readLeases)
 }
 
-// Left gives a value once the host may exit.
-func (g *Gateway) Left() <-chan struct{} { return g.left }
+// Left returns a channel that receives one value once the host may exit.
+func (g *Gateway) Left() <-chan struct{} { return g.mayExit }
 
-// Leave begins a graceful shutdown.
+// Leave starts a graceful shutdown.
 func (g *Gateway) Leave() { g.Tell(direct.Leave{}) }
 
-// Ready reports whether callers can be served.
-func (g *Gateway) Ready() bool { return g.view.Load().ready }
+// Ready reports whether the host can serve callers.
+func (g *Gateway) Ready() bool { return g.status.Load().ready }
 
 // Leaving implements relay.Node.
-func (g *Gateway) Leaving() bool { return g.view.Load().leaving }
+func (g *Gateway) Leaving() bool { return g.status.Load().leaving }
 
-// Addresses are those that callers are told.
-func (g *Gateway) Addresses() []string { return g.view.Load().addresses }
+// Addresses returns the addresses that are advertised to callers.
+func (g *Gateway) Addresses() []string { return g.status.Load().addresses }
 
-// Tell implements relay.Node. It waits while the ring is full: an event that
-// ends something must not be lost. The machine's own duty never calls it.
+// Tell queues an event for the machine and implements relay.Node. It blocks while
+// the ring is full, since an event that ends something must not be lost. The
+// machine's own worker must not call it: it would wait for itself.
 func (g *Gateway) Tell(e direct.Event) { g.events.Put(e) }
 
-// Trusted asks the machine whether a certificate is a registered host's.
+// Trusted reports whether a certificate's key is that of a registered host. It
+// waits for the machine.
 func (g *Gateway) Trusted(h core.HostID, key string) bool {
 	answer := make(chan bool, 1)
 	g.Tell(direct.Query{Read: func(m *direct.Machine) { answer <- m.Trusted(h, key) }})
 	return <-answer
 }
 
-// FromPeer takes a payload of another host; a full ring drops it, as the
-// network may.
+// FromPeer decodes a payload from another host and queues it for the machine. It is
+// dropped where the ring is full, as it may be on the network.
 func (g *Gateway) FromPeer(from core.HostID, payload []byte) {
 	var m direct.Message
 	if err := cbor.Unmarshal(payload, &m); err != nil {
@@ -118,13 +123,14 @@
 		return
 	}
 	if len(m.Configuration) > 0 {
-		g.configurationTold(from, m.Configuration)
+		g.configurationReceived(from, m.Configuration)
 	}
 	if !g.events.TryPush(direct.FromPeer{From: from, Message: m}) {
 		g.count("gateway.peer_messages_dropped")
 	}
 }
 
+// run steps the machine until ctx ends.
 func (g *Gateway) run(ctx context.Context) error {
 	for {
 		select {
@@ -136,37 +142,39 @@
 	}
 }
 
+// step handles one event. The status is published only after events that may
+// change it.
 func (g *Gateway) step(ctx context.Context, e direct.Event) {
 	for _, effect := range g.machine.Step(g.clock(), e) {
-		g.do(ctx, effect)
+		g.execute(ctx, effect)
 	}
 	switch e.(type) {
 	case direct.Tick, direct.Leave, direct.Configured, direct.ReplicasListed:
-		g.look()
+		g.publishStatus()
 	}
 }
 
-// look publishes what other duties need to know, and has documents read again
-// where the machine wants it.
-func (g *Gateway) look() {
-	g.gauge()
-	next := &view{
+// publishStatus updates the status that other workers read, and interrupts the
+// watches where the machine has changed how they are to read.
+func (g *Gateway) publishStatus() {
+	g.updateGauges()
+	next := &status{
 		ready:     g.machine.Ready(),
 		leaving:   g.machine.Leaving(),
 		addresses: g.machine.Addresses(),
 		reading:   g.machine.Reading(),
 	}
-	last := g.view.Swap(next)
+	last := g.status.Swap(next)
 	if last.reading.Reread != next.reading.Reread {
-		g.reread.call()
+		g.reread.interruptAll()
 	}
 	if next.reading.Watch && !last.reading.Watch || next.reading.Relist != last.reading.Relist {
-		g.follow.call()
+		g.wake.interruptAll()
 	}
 }
 
-// gauge publishes how much is under way.
-func (g *Gateway) gauge() {
+// updateGauges updates the metrics of open requests and queued events.
+func (g *Gateway) updateGauges() {
 	g.mu.Lock()
 	open := len(g.exchanges)
 	g.mu.Unlock()
@@ -182,42 +190,43 @@
 
 func (g *Gateway) count(name string) { metrics.GetOrRegisterCounter(name, g.registry).Inc(1) }
 
-func (g *Gateway) do(ctx context.Context, effect direct.Effect) {
+// execute carries out one effect. I/O that can block runs in its own goroutine.
+func (g *Gateway) execute(ctx context.Context, effect direct.Effect) {
 	switch x := effect.(type) {
 	case direct.Dispatch:
-		g.decide(x.ID, x)
+		g.sendDecision(x.ID, x)
 	case direct.Refuse:
-		g.decide(x.ID, x)
+		g.sendDecision(x.ID, x)
 	case direct.Deliver:
-		g.decide(x.ID, x)
+		g.sendDecision(x.ID, x)
 	case direct.Cut:
-		g.decide(x.ID, x)
+		g.sendDecision(x.ID, x)
 	case direct.Cancel:
 		g.cancel(x)
 	case direct.Order:
-		go g.order(ctx, x.Order)
+		go g.sendOrder(ctx, x.Order)
 	case direct.Probe:
-		go g.probe(ctx, x.Probe)
+		go g.readReport(ctx, x.Probe)
 	case direct.Object:
-		go g.object(ctx, x.Call)
+		go g.callStore(ctx, x.Call)
 	case direct.ToPeers:
-		g.toPeers(x)
+		g.sendToPeers(x)
 	case direct.Note:
-		g.note(x)
+		g.logDecision(x)
 	case direct.Served:
-		g.served(x)
+		g.recordServed(x)
 	case direct.Left:
-		g.left <- struct{}{} // the machine says so once
+		g.mayExit <- struct{}{} // sent once, so the buffer of one never blocks
 	}
 }
 
-// note counts a decision and logs it.
-func (g *Gateway) note(n direct.Note) {
+// logDecision counts a decision and, unless it is for the metrics only, logs it.
+func (g *Gateway) logDecision(n direct.Note) {
 	name := "decision." + n.Name + "." + n.Reason
-	c := g.notes[name]
+	c := g.decisionCounters[name]
 	if c == nil {
 		c = metrics.GetOrRegisterCounter(name, g.registry)
-		g.notes[name] = c
+		g.decisionCounters[name] = c
 	}
 	c.Inc(1)
 	if n.Quiet {
@@ -225,7 +234,7 @@
 	}
 	fields := log.Fields{"decision": n.Name, "reason": n.Reason}
 	if n.ID != "" {
-		_, id, _ := strings.Cut(string(n.ID), " ") // the caller's own, behind this host's number
+		_, id, _ := strings.Cut(string(n.ID), " ") // the caller's request id, which follows this host's number
 		fields["request"] = id
 	}
 	if n.Upstream != "" {
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -10,8 +10,8 @@
 	"gentiancroft/internal/exposition"
 )
 
-// Prefixes of metrics that there is one of for each route, upstream, workspace or
-// service. They are dropped once what they belong to is gone.
+// Prefixes of the metrics of each route, upstream, workspace and service. These
+// metrics are dropped once the object is gone.
 const (
 	prefixRoute     = "route."
 	prefixUpstream  = "upstream."
@@ -19,14 +19,15 @@
 	prefixService   = "service."
 )
 
-// unrouted stands for the route of requests that match none.
+// unrouted is the route's name in the metrics of requests that match no route.
 const unrouted = "none"
 
-// stateWithin is how long the metrics page waits for the machine.
-const stateWithin = 500 * time.Millisecond
+// stateTimeout bounds how long the metrics page waits for the machine's state.
+const stateTimeout = 500 * time.Millisecond
 
-// served counts the end of a request by its route.
-func (g *Gateway) served(s direct.Served) {
+// recordServed counts a finished request by route and outcome and records its
+// latencies.
+func (g *Gateway) recordServed(s direct.Served) {
 	const reservoir, decay = 128, 0.015
 	route := s.Route
 	if route == "" {
@@ -35,7 +36,7 @@
 	prefix := prefixRoute + route + "."
 	g.count(prefix + s.Outcome)
 	if s.Total == 0 {
-		return // refused at once
+		return // refused at once: no latency to record
 	}
 	observe := func(name string, d time.Duration) {
 		sample := func() metrics.Histogram {
@@ -49,8 +50,8 @@
 	observe("total_us", s.Total)
 }
 
-// Publish brings the metrics that describe a state up to date. It is called when they
-// are asked for: a host that nobody asks pays nothing.
+// Publish updates the gauges that describe the machine's state. It is called when
+// the metrics page is read, so that a host without a scraper spends nothing on it.
 func (g *Gateway) Publish() {
 	answer := make(chan direct.State, 1)
 	if !g.events.TryPush(direct.Query{Read: func(m *direct.Machine) { answer <- m.State() }}) {
@@ -59,36 +60,36 @@
 	select {
 	case s := <-answer:
 		g.publish(s)
-	case <-time.After(stateWithin): // the machine is late: the last values stand
+	case <-time.After(stateTimeout): // the page shows the last values
 		g.count("gateway.metrics_late")
 	}
 }
 
 func (g *Gateway) publish(s direct.State) {
-	milliseconds := func(name string, d time.Duration) { g.gaugeOf(name, d.Milliseconds()) }
-	g.gaugeOf("configuration.version", int64(s.Configuration))
+	milliseconds := func(name string, d time.Duration) { g.setGauge(name, d.Milliseconds()) }
+	g.setGauge("configuration.version", int64(s.Configuration))
 	milliseconds("configuration.age_ms", s.ConfigurationAge)
 	milliseconds("store.age_ms", s.StoreAge)
 	milliseconds("fleet.heartbeat_age_ms", s.PeerAge)
-	g.gaugeOf("fleet.active_hosts", int64(s.ActiveHosts))
-	g.gaugeOf("fleet.active", exposition.Truth(s.Active))
+	g.setGauge("fleet.active_hosts", int64(s.ActiveHosts))
+	g.setGauge("fleet.active", exposition.Truth(s.Active))
 	metrics.GetOrRegisterGaugeFloat64("fleet.part", g.registry).Update(s.Part)
-	g.gaugeOf("fleet.shards", int64(s.Shards))
-	g.gaugeOf("gateway.waiting", int64(s.Waiting))
+	g.setGauge("fleet.shards", int64(s.Shards))
+	g.setGauge("gateway.waiting", int64(s.Waiting))
 	alive := map[string]bool{prefixRoute + unrouted: true}
 	for _, x := range s.Replicas {
 		prefix := prefixUpstream + string(x.ID)
 		alive[prefix] = true
-		g.gaugeOf(prefix+".in_flight", int64(x.Mine))
-		g.gaugeOf(prefix+".in_flight_elsewhere", int64(x.Others))
+		g.setGauge(prefix+".in_flight", int64(x.Mine))
+		g.setGauge(prefix+".in_flight_elsewhere", int64(x.Others))
 		milliseconds(prefix+".told_age_ms", x.ToldAge)
 		metrics.GetOrRegisterGaugeFloat64(prefix+".failures_lately", g.registry).Update(x.Failures)
 	}
 	for _, w := range s.Workspaces {
 		prefix := prefixWorkspace + string(w.ID)
 		alive[prefix] = true
-		g.gaugeOf(prefix+".tokens_left", w.Level)
-		g.gaugeOf(prefix+".tokens_granted", w.Granted)
+		g.setGauge(prefix+".tokens_left", w.Level)
+		g.setGauge(prefix+".tokens_granted", w.Granted)
 	}
 	for id, left := range s.Retries {
 		prefix := prefixService + string(id)
@@ -98,11 +99,12 @@
 	for route := range s.Routes {
 		alive[prefixRoute+route] = true
 	}
-	g.drop(alive)
+	g.dropStale(alive)
 }
 
-// drop forgets the metrics of what is gone.
-func (g *Gateway) drop(alive map[string]bool) {
+// dropStale unregisters the metrics of objects that are not in alive, which holds
+// names with their prefix.
+func (g *Gateway) dropStale(alive map[string]bool) {
 	var gone []string
 	g.registry.Each(func(name string, _ any) {
 		for _, prefix := range []string{prefixRoute, prefixUpstream, prefixWorkspace, prefixService} {
@@ -116,6 +118,6 @@
 	}
 }
 
-func (g *Gateway) gaugeOf(name string, value int64) {
+func (g *Gateway) setGauge(name string, value int64) {
 	metrics.GetOrRegisterGauge(name, g.registry).Update(value)
 }
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -10,13 +10,13 @@
 	"gentiancroft/internal/core/direct"
 )
 
-func TestMetricsOfWhatIsGoneAreDropped(t *testing.T) {
+func TestMetricsOfRemovedObjectsAreDropped(t *testing.T) {
 	is := is.New(t)
 	r := metrics.NewRegistry()
 	g := New(direct.New(direct.Settings{}), Carriers{}, nil, r)
-	g.served(direct.Served{Route: "a", Outcome: "ok", FirstByte: time.Millisecond, Total: time.Second})
-	g.served(direct.Served{Route: "b", Outcome: "ok", Total: time.Second})
-	g.served(direct.Served{Outcome: "unknown_route"})
+	g.recordServed(direct.Served{Route: "a", Outcome: "ok", FirstByte: time.Millisecond, Total: time.Second})
+	g.recordServed(direct.Served{Route: "b", Outcome: "ok", Total: time.Second})
+	g.recordServed(direct.Served{Outcome: "unknown_route"})
 	state := direct.State{
 		Replicas:   []direct.ReplicaState{{ID: "i.1", Mine: 2}},
 		Workspaces: []direct.WorkspaceState{{ID: "w", Level: -3}},
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -16,60 +16,64 @@
 	"gentiancroft/internal/core/shard"
 )
 
-// Times of the watches.
+// Timeouts and intervals of the watches.
 const (
-	// waitAlone is how long a watch waits where no other host would show that its
-	// connection has fallen silent.
-	waitAlone  = 2400 * time.Millisecond
-	waitLong   = 8 * time.Second
-	listEvery  = time.Minute            // between two readings of a list that others follow
-	againFirst = 100 * time.Millisecond // after a call that failed
-	againMost  = 600 * time.Millisecond // after several
-	// beginAfter is how long a host that has just started leaves it open whether
-	// another one follows the objects.
-	beginAfter  = 1800 * time.Millisecond
-	leasesEvery = time.Second // between two readings of the leases
+	// shortWatchWait is how long a watch call waits for changes where a connection that
+	// broke unnoticed would cost too much: for urgent kinds, and on a host that no
+	// other host would inform of the changes.
+	shortWatchWait = 2400 * time.Millisecond
+	longWatchWait  = 8 * time.Second        // for all other watch calls
+	listInterval   = time.Minute            // between two lists of objects that another host watches
+	minRetryDelay  = 100 * time.Millisecond // after the first failed call
+	maxRetryDelay  = 600 * time.Millisecond // after several failed calls
+	// watchStartDelay is how long a host that has just started waits after its first
+	// list, so that it learns whether another host watches the objects.
+	watchStartDelay = 1800 * time.Millisecond
+	leasesInterval  = time.Second // between two reads of the leases
 
-	leasesStandby = 4 * time.Second // the same while stronger hosts serve
+	leasesStandbyInterval = 4 * time.Second // the same on a standby host
 )
 
-// Paces of the watches: the least time between two answers, so that frequent
-// changes cost few calls.
+// Minimum times from a call that found changes to the next one, both taken at their
+// start, so that frequent changes cost few calls.
 const (
-	paceConfiguration = 30 * time.Millisecond
-	paceReplicas      = 800 * time.Millisecond
-	paceVersions      = 400 * time.Millisecond
-	paceHosts         = 400 * time.Millisecond
+	minConfigurationInterval = 30 * time.Millisecond
+	minReplicasInterval      = 800 * time.Millisecond
+	minVersionsInterval      = 400 * time.Millisecond
+	minHostsInterval         = 400 * time.Millisecond
 )
 
-// watch follows the objects of one kind: it lists them, waits for changes from
-// there on, and lists again where the history is gone.
+// watch reads the objects of one kind: it lists them, waits for changes from that
+// version on, and lists again where the store no longer has the history. While
+// another host watches the kind, it only lists the objects now and then.
 type watch struct {
-	gateway *Gateway
-	kind    string
-	pace    time.Duration
-	urgent  bool // a change must be seen soon, also after the connection fell silent
-	atOnce  bool // a host that has just started follows the objects until another does
-	reread  bool // the objects are read again where another host knows newer ones
-	listed  func([]core.Object)
-	changed func(core.Object)
+	gateway     *Gateway
+	kind        string
+	minInterval time.Duration
+	urgent      bool // a change must be noticed soon even if the connection breaks unnoticed
+	startAtOnce bool // starts watching without watchStartDelay
+	reread      bool // lists again where another host has reported newer objects
+	onList      func([]core.Object)
+	onChange    func(core.Object)
 
-	begun    bool   // it has listed the objects once
-	read     uint64 // the machine's wish to read again that the last list fulfilled
-	relisted uint64 // the same of its wish to list everything again
+	listedOnce bool   // the first list is complete
+	lastReread uint64 // the machine's count of reread requests at the last list
+	lastRelist uint64 // the same of its requests to list all kinds again
 }
 
+// watches returns the watches of all kinds of objects that the machine reads.
 func (g *Gateway) watches() []*watch {
 	d := g.carriers.Documents
 	return []*watch{
-		{gateway: g, kind: d.Configuration, pace: paceConfiguration, reread: true, listed: each(g.configuration), changed: g.configuration},
-		{gateway: g, kind: d.Replicas, pace: paceReplicas, urgent: true, listed: g.replicasListed, changed: g.replicaChanged},
-		{gateway: g, kind: d.Versions, pace: paceVersions, reread: true, listed: g.versionsListed, changed: g.versionChanged},
-		{gateway: g, kind: strings.TrimSuffix(direct.HostsPrefix, "/"), pace: paceHosts, atOnce: true, listed: each(g.host), changed: g.host},
+		{gateway: g, kind: d.Configuration, minInterval: minConfigurationInterval, reread: true, onList: forEach(g.configurationChanged), onChange: g.configurationChanged},
+		{gateway: g, kind: d.Replicas, minInterval: minReplicasInterval, urgent: true, onList: g.replicasListed, onChange: g.replicaChanged},
+		{gateway: g, kind: d.Versions, minInterval: minVersionsInterval, reread: true, onList: g.versionsListed, onChange: g.versionChanged},
+		{gateway: g, kind: strings.TrimSuffix(direct.HostsPrefix, "/"), minInterval: minHostsInterval, startAtOnce: true, onList: forEach(g.hostChanged), onChange: g.hostChanged},
 	}
 }
 
-func each(f func(core.Object)) func([]core.Object) {
+// forEach returns a function that calls f for each object of a list.
+func forEach(f func(core.Object)) func([]core.Object) {
 	return func(all []core.Object) {
 		for _, o := range all {
 			f(o)
@@ -77,96 +81,99 @@
 	}
 }
 
-// run follows the kind until ctx ends.
+// run reads the kind's objects until ctx ends.
 func (w *watch) run(ctx context.Context) error {
 	version := uint64(0)
-	again := againFirst
+	delay := minRetryDelay
 	for ctx.Err() == nil {
-		if version != 0 && !w.gateway.view.Load().reading.Watch {
-			w.rest(ctx)
+		if version != 0 && !w.gateway.status.Load().reading.Watch {
+			w.idle(ctx)
 			version = 0
 			continue
 		}
 		began := time.Now()
-		next, ok := w.once(ctx, version)
+		next, ok := w.poll(ctx, version)
 		if !ok {
-			pause(ctx, again)
-			again = min(2*again, againMost)
+			pause(ctx, delay)
+			delay = min(2*delay, maxRetryDelay)
 			continue
 		}
-		again = againFirst
-		if !w.atOnce && !w.begun && next != 0 { // 0: the list was interrupted
-			w.begun = true
-			pause(ctx, beginAfter)
+		delay = minRetryDelay
+		if !w.startAtOnce && !w.listedOnce && next != 0 { // 0: interrupted, so there is no list yet
+			w.listedOnce = true
+			pause(ctx, watchStartDelay)
 		}
 		if next != version {
-			pause(ctx, w.pace-time.Since(began))
+			pause(ctx, w.minInterval-time.Since(began))
 		}
 		version = next
 	}
 	return ctx.Err()
 }
 
-// rest waits while another host follows the objects.
-func (w *watch) rest(ctx context.Context) {
-	resting, end := w.gateway.follow.with(ctx)
+// idle waits, at most listInterval, while another host watches the objects. It
+// returns at once where the machine has asked for a new list or for a watch.
+func (w *watch) idle(ctx context.Context) {
+	waitCtx, end := w.gateway.wake.attach(ctx)
 	defer end()
 	if w.reread {
-		var ended func()
-		resting, ended = w.gateway.reread.with(resting)
-		defer ended()
+		var endReread func()
+		waitCtx, endReread = w.gateway.reread.attach(waitCtx)
+		defer endReread()
 	}
-	reading := w.gateway.view.Load().reading
-	if reading.Watch || reading.Relist != w.relisted || w.reread && reading.Reread != w.read {
+	reading := w.gateway.status.Load().reading
+	if reading.Watch || reading.Relist != w.lastRelist || w.reread && reading.Reread != w.lastReread {
 		return
 	}
-	pause(resting, listEvery)
+	pause(waitCtx, listInterval)
 }
 
-// wait is how long a watch waits for a change.
-func (w *watch) wait() time.Duration {
-	if w.urgent || w.gateway.view.Load().reading.Alone {
-		return waitAlone
+// watchWait returns how long a watch call waits for a change.
+func (w *watch) watchWait() time.Duration {
+	if w.urgent || w.gateway.status.Load().reading.Alone {
+		return shortWatchWait
 	}
-	return waitLong
+	return longWatchWait
 }
 
-// once lists the objects or waits for a change of them. It returns the version
-// to go on from, 0 to list.
-func (w *watch) once(ctx context.Context, version uint64) (next uint64, ok bool) {
+// poll lists the objects (version 0) or waits for changes after version. It returns
+// the version to continue from, 0 to list again, and whether the call succeeded; an
+// interrupted call counts as a success.
+func (w *watch) poll(ctx context.Context, version uint64) (next uint64, ok bool) {
 	call := core.ObjectCall{Op: core.ObjectList, Key: w.kind}
 	if version == 0 {
-		reading := w.gateway.view.Load().reading
-		w.read, w.relisted = reading.Reread, reading.Relist
+		reading := w.gateway.status.Load().reading
+		w.lastReread, w.lastRelist = reading.Reread, reading.Relist
 	} else {
-		call = core.ObjectCall{Op: core.ObjectWatch, Key: w.kind, IfVersion: version, Wait: w.wait()}
+		call = core.ObjectCall{Op: core.ObjectWatch, Key: w.kind, IfVersion: version, Wait: w.watchWait()}
 	}
-	reading, end := w.gateway.reread.with(ctx)
-	result := w.gateway.carriers.Store.Do(reading, call)
-	interrupted := reading.Err() != nil
+	callCtx, end := w.gateway.reread.attach(ctx)
+	result := w.gateway.carriers.Store.Do(callCtx, call)
+	interrupted := callCtx.Err() != nil
 	end()
 	if interrupted {
-		return 0, true // read again
+		return 0, true // list again
 	}
-	w.gateway.storeAnswered(result.Status)
+	w.gateway.reportStoreStatus(result.Status)
 	switch {
 	case result.Status == core.ObjectHistoryGone:
 		return 0, true
 	case result.Status == core.ObjectNotFound && version == 0:
-		w.listed(nil) // nothing of this kind was ever written
+		w.onList(nil) // no object of this kind was ever written
 		return 0, false
 	case result.Status != core.ObjectOK:
 		return version, false
 	case version == 0:
-		w.listed(result.Objects)
+		w.onList(result.Objects)
 		return result.Version, true
 	}
 	for _, o := range result.Objects {
-		w.changed(o)
+		w.onChange(o)
 	}
 	return result.Version, true
 }
 
+// pause waits for d or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -179,30 +186,32 @@
 	}
 }
 
-// skipped logs an object that can't be read.
-func skipped(o core.Object, err error) {
+// logSkipped logs an object that can't be decoded.
+func logSkipped(o core.Object, err error) {
 	log.WithField("object", o.Key).WithField("version", o.Version).WithError(err).Warn("object skipped")
 }
 
-func name(o core.Object) string {
+// objectName returns the part of an object's key after its kind.
+func objectName(o core.Object) string {
 	_, n, _ := strings.Cut(o.Key, "/")
 	return n
 }
 
-func (g *Gateway) configuration(o core.Object) {
+func (g *Gateway) configurationChanged(o core.Object) {
 	if o.Deleted {
 		return
 	}
 	t, err := g.carriers.Documents.DecodeTable(o.Value)
 	if err != nil {
-		skipped(o, err)
+		logSkipped(o, err)
 		return
 	}
 	g.Tell(direct.Configured{Table: t, Document: o.Value})
 }
 
-// configurationTold takes a configuration that another host has read.
-func (g *Gateway) configurationTold(from core.HostID, document []byte) {
+// configurationReceived decodes a configuration that another host has read from the
+// store. The event carries no document, which marks it as reported by a peer.
+func (g *Gateway) configurationReceived(from core.HostID, document []byte) {
 	t, err := g.carriers.Documents.DecodeTable(document)
 	if err != nil {
 		log.WithField("peer", string(from)).WithError(err).Warn("configuration of a peer skipped")
@@ -214,9 +223,9 @@
 func (g *Gateway) replicasListed(all []core.Object) {
 	var entries []replicas.Entry
 	for _, o := range all {
-		e, err := g.carriers.Documents.DecodeReplica(name(o), o.Value)
+		e, err := g.carriers.Documents.DecodeReplica(objectName(o), o.Value)
 		if err != nil {
-			skipped(o, err)
+			logSkipped(o, err)
 			continue
 		}
 		entries = append(entries, e)
@@ -226,12 +235,12 @@
 
 func (g *Gateway) replicaChanged(o core.Object) {
 	if o.Deleted {
-		g.Tell(direct.ReplicaUnlisted{ID: core.UpstreamID(name(o))})
+		g.Tell(direct.ReplicaUnlisted{ID: core.UpstreamID(objectName(o))})
 		return
 	}
-	e, err := g.carriers.Documents.DecodeReplica(name(o), o.Value)
+	e, err := g.carriers.Documents.DecodeReplica(objectName(o), o.Value)
 	if err != nil {
-		skipped(o, err)
+		logSkipped(o, err)
 		return
 	}
 	g.Tell(direct.ReplicaListed{Entry: e})
@@ -239,76 +248,77 @@
 
 func (g *Gateway) versionsListed(all []core.Object) {
 	for _, o := range all {
-		g.version(o, true)
+		g.sendVersion(o, true)
 	}
 	g.Tell(direct.VersionsRead{})
 }
 
-func (g *Gateway) versionChanged(o core.Object) { g.version(o, false) }
+func (g *Gateway) versionChanged(o core.Object) { g.sendVersion(o, false) }
 
-func (g *Gateway) version(o core.Object, listed bool) {
+func (g *Gateway) sendVersion(o core.Object, listed bool) {
 	if o.Deleted {
 		return
 	}
 	model, ref, err := g.carriers.Documents.DecodeVersion(o.Value)
 	if err != nil {
-		skipped(o, err)
+		logSkipped(o, err)
 		return
 	}
 	g.Tell(direct.VersionNamed{Model: model, Adapter: ref, Listed: listed})
 }
 
-func (g *Gateway) host(o core.Object) {
+func (g *Gateway) hostChanged(o core.Object) {
 	if o.Deleted {
-		g.Tell(direct.HostUnlisted{Name: name(o)})
+		g.Tell(direct.HostUnlisted{Name: objectName(o)})
 		return
 	}
 	var r fleet.Registration
 	if err := json.Unmarshal(o.Value, &r); err != nil || r.Host == "" || r.Name == "" {
-		skipped(o, err)
+		logSkipped(o, err)
 		return
 	}
 	g.Tell(direct.HostListed{Host: r})
 }
 
-// readLeases reads the shards' leases now and then. The answer may be stale: it
-// only delays a takeover.
+// readLeases lists the shards' leases periodically. After the first list, stale
+// answers are accepted: they only delay a takeover.
 func (g *Gateway) readLeases(ctx context.Context) error {
 	first := true
 	for ctx.Err() == nil {
 		call := core.ObjectCall{Op: core.ObjectList, Key: strings.TrimSuffix(shard.Prefix, "/"), Stale: !first}
 		result := g.carriers.Store.Do(ctx, call)
-		g.storeAnswered(result.Status)
+		g.reportStoreStatus(result.Status)
 		if result.Status == core.ObjectOK || result.Status == core.ObjectNotFound {
 			g.Tell(direct.LeasesListed{Objects: result.Objects})
 			first = false
 		}
-		if g.view.Load().reading.Standby {
-			pause(ctx, leasesStandby)
+		if g.status.Load().reading.Standby {
+			pause(ctx, leasesStandbyInterval)
 		} else {
-			pause(ctx, leasesEvery)
+			pause(ctx, leasesInterval)
 		}
 	}
 	return ctx.Err()
 }
 
-// interrupts ends calls that wait when documents are to be read again.
+// interrupts is a set of waiting calls that can be interrupted together.
 type interrupts struct {
 	mu      sync.Mutex
-	next    int
+	lastID  int
 	cancels map[int]context.CancelFunc
 }
 
-// with returns a context that call ends, and the function that gives it back.
-func (i *interrupts) with(ctx context.Context) (context.Context, func()) {
+// attach returns a context that interruptAll cancels, and a function that removes
+// it from the set and must be called.
+func (i *interrupts) attach(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.cancels == nil {
 		i.cancels = map[int]context.CancelFunc{}
 	}
-	i.next++
-	id := i.next
+	i.lastID++
+	id := i.lastID
 	i.cancels[id] = cancel
 	return ctx, func() {
 		i.mu.Lock()
@@ -318,8 +328,8 @@
 	}
 }
 
-// call ends all calls under way.
-func (i *interrupts) call() {
+// interruptAll cancels all attached contexts.
+func (i *interrupts) interruptAll() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, cancel := range i.cancels {
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -12,11 +12,11 @@
 	"gentiancroft/internal/core/direct"
 )
 
-// silentAtFirst is a store that does not answer its first call.
-type silentAtFirst struct{ calls chan core.ObjectCall }
+// firstCallHangs is a fake store whose first call hangs until it is cancelled.
+type firstCallHangs struct{ calls chan core.ObjectCall }
 
 // Do implements Store.
-func (s silentAtFirst) Do(ctx context.Context, c core.ObjectCall) core.ObjectResult {
+func (s firstCallHangs) Do(ctx context.Context, c core.ObjectCall) core.ObjectResult {
 	s.calls <- c
 	if len(s.calls) == 1 {
 		<-ctx.Done()
@@ -25,26 +25,27 @@
 	return core.ObjectResult{Status: core.ObjectOK, Version: 7}
 }
 
-// Found in an incident (inc-45ce of edt-reservas): a host that had started while the
-// store was away had its first list interrupted by the store's return, took it for
-// read, and left it to others for 1.8 s to follow what it did not know.
+// Guards against a startup delay (incident inc-45ce): the first list of a host that
+// started during a store outage was interrupted when the store returned. The host
+// took it for complete and waited 1.8 s for another host to watch the objects,
+// while it had none of them.
 func TestAFirstListThatIsInterruptedIsReadAgainAtOnce(t *testing.T) {
 	is := is.New(t)
-	store := silentAtFirst{calls: make(chan core.ObjectCall, 8)}
+	store := firstCallHangs{calls: make(chan core.ObjectCall, 8)}
 	g := New(direct.New(direct.Settings{}), Carriers{Store: store}, nil, metrics.NewRegistry())
-	w := &watch{gateway: g, kind: "k", listed: func([]core.Object) {}, changed: func(core.Object) {}}
+	w := &watch{gateway: g, kind: "k", onList: func([]core.Object) {}, onChange: func(core.Object) {}}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- w.run(ctx) }()
 	for len(store.calls) == 0 {
-		time.Sleep(time.Millisecond) // until the first list is under way
+		time.Sleep(time.Millisecond) // until the first list has started
 	}
 	interrupted := time.Now()
-	for len(store.calls) == 1 && time.Since(interrupted) < beginAfter {
-		g.reread.call()
+	for len(store.calls) == 1 && time.Since(interrupted) < watchStartDelay {
+		g.reread.interruptAll()
 		time.Sleep(time.Millisecond)
 	}
-	is.True(time.Since(interrupted) < beginAfter)
+	is.True(time.Since(interrupted) < watchStartDelay)
 	<-store.calls
 	is.Equal((<-store.calls).Op, core.ObjectList)
 	cancel()
