--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -21,17 +21,17 @@
 	"gentiancroft/internal/upstream"
 )
 
-// patience bounds every wait of the tests; none is expected to last so long.
-const patience = 10 * time.Second
+// waitTimeout bounds every wait of the tests; only a failing test reaches it.
+const waitTimeout = 10 * time.Second
 
-// dialect is a small dialect of the tests' own.
-type dialect struct{}
+// fakeDialect is a minimal Dialect.
+type fakeDialect struct{}
 
-func (dialect) Declared(h *fasthttp.RequestHeader) Declared {
+func (fakeDialect) Declared(h *fasthttp.RequestHeader) Declared {
 	return Declared{RequestID: string(h.Peek("Id")), Key: h.Peek("Key")}
 }
 
-func (dialect) Forward(to, from *fasthttp.Request, a Attempt) {
+func (fakeDialect) Forward(to, from *fasthttp.Request, a Attempt) {
 	to.Header.SetMethodBytes(from.Header.Method())
 	to.Header.SetRequestURIBytes(from.Header.RequestURI())
 	to.Header.SetHostBytes(from.Header.Host())
@@ -40,45 +40,47 @@
 	to.SetBodyRaw(from.Body())
 }
 
-func (dialect) Belongs(h *fasthttp.ResponseHeader, id string) bool { return string(h.Peek("Id")) == id }
+func (fakeDialect) Belongs(h *fasthttp.ResponseHeader, id string) bool {
+	return string(h.Peek("Id")) == id
+}
 
-func (dialect) Answered(h *fasthttp.ResponseHeader) Answered {
+func (fakeDialect) Answered(h *fasthttp.ResponseHeader) Answered {
 	return Answered{Status: h.StatusCode(), NotRun: len(h.Peek("Not-Run")) > 0, Missing: h.StatusCode() == 421, Made: len(h.Peek("Made")) > 0}
 }
 
-func (dialect) Return(to, from *fasthttp.ResponseHeader) {
+func (fakeDialect) Return(to, from *fasthttp.ResponseHeader) {
 	to.SetStatusCode(from.StatusCode())
 	to.SetContentTypeBytes(from.ContentType())
 	to.SetBytesV("Made", from.Peek("Made"))
 }
 
-func (dialect) Refused(to *fasthttp.ResponseHeader, id string) { to.Set("Id", id) }
+func (fakeDialect) Refused(to *fasthttp.ResponseHeader, id string) { to.Set("Id", id) }
 
-// node decides by a script: the n-th decision about a request is made by the
-// n-th function.
-type node struct {
+// fakeNode is a Node that decides by a script: the n-th function makes the n-th
+// decision.
+type fakeNode struct {
 	mu        sync.Mutex
 	script    []func(direct.Arrive) direct.Effect
 	events    chan direct.Event
-	x         *scripted
+	x         *fakeExchange
 	cancelled int // attempts up to this one may not begin
 }
 
-type scripted struct {
-	node      *node
+type fakeExchange struct {
+	node      *fakeNode
 	arrive    direct.Arrive
 	decisions chan direct.Effect
 	cancel    context.CancelFunc
 	cancelled int // attempts up to this one may not begin
 }
 
-func (n *node) Begin(a direct.Arrive) Exchange {
-	n.x = &scripted{node: n, arrive: a, decisions: make(chan direct.Effect, 8), cancelled: n.cancelled}
+func (n *fakeNode) Begin(a direct.Arrive) Exchange {
+	n.x = &fakeExchange{node: n, arrive: a, decisions: make(chan direct.Effect, 8), cancelled: n.cancelled}
 	n.decide()
 	return n.x
 }
 
-func (n *node) decide() {
+func (n *fakeNode) decide() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.script) == 0 {
@@ -89,40 +91,40 @@
 	n.x.decisions <- next(n.x.arrive)
 }
 
-func (n *node) Tell(e direct.Event) {
+func (n *fakeNode) Tell(e direct.Event) {
 	n.events <- e
 	if x, ok := e.(direct.Ended); ok && x.Kind != direct.EndOK {
 		n.decide()
 	}
 }
 
-func (n *node) Leaving() bool { return false }
+func (n *fakeNode) Leaving() bool { return false }
 
-func (x *scripted) Decisions() <-chan direct.Effect { return x.decisions }
+func (x *fakeExchange) Decisions() <-chan direct.Effect { return x.decisions }
 
-func (x *scripted) Attempt(parent context.Context, _ int) (context.Context, context.CancelFunc) {
+func (x *fakeExchange) Attempt(parent context.Context, _ int) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	x.cancel = cancel
 	return ctx, cancel
 }
 
-func (x *scripted) Begin(attempt int) bool { return attempt > x.cancelled }
+func (x *fakeExchange) Begin(attempt int) bool { return attempt > x.cancelled }
 
-func (x *scripted) Close() {}
+func (x *fakeExchange) Close() {}
 
-// bench is a server before one replica.
-type bench struct {
+// harness is a server with one fake replica behind it.
+type harness struct {
 	t       *testing.T
 	is      *is.I
-	node    *node
+	node    *fakeNode
 	address string // of the server
 	replica string // its address
 }
 
-// newBench starts a replica that answers each connection's requests with answer.
-func newBench(t *testing.T, answer func(net.Conn, *http.Request), script ...func(direct.Arrive) direct.Effect) *bench {
-	b := &bench{t: t, is: is.New(t), node: &node{script: script, events: make(chan direct.Event, 64)}}
-	b.replica = b.listen(func(c net.Conn) {
+// newHarness starts a server and a fake replica that handles each request by answer.
+func newHarness(t *testing.T, answer func(net.Conn, *http.Request), script ...func(direct.Arrive) direct.Effect) *harness {
+	h := &harness{t: t, is: is.New(t), node: &fakeNode{script: script, events: make(chan direct.Event, 64)}}
+	h.replica = h.listen(func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
 			request, err := http.ReadRequest(r)
@@ -135,19 +137,19 @@
 	})
 	limits := DefaultLimits
 	limits.Body = 1 << 20
-	server := New(b.node, upstream.NewClient(nil, nil), dialect{}, limits, metrics.NewRegistry())
+	server := New(h.node, upstream.NewClient(nil, nil), fakeDialect{}, limits, metrics.NewRegistry())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	b.is.NoErr(err)
+	h.is.NoErr(err)
 	t.Cleanup(func() { _ = l.Close() })
 	go func() { _ = server.Serve(l) }()
-	b.address = l.Addr().String()
-	return b
+	h.address = l.Addr().String()
+	return h
 }
 
-func (b *bench) listen(serve func(net.Conn)) string {
+func (h *harness) listen(serve func(net.Conn)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	b.is.NoErr(err)
-	b.t.Cleanup(func() { _ = l.Close() })
+	h.is.NoErr(err)
+	h.t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -160,38 +162,39 @@
 	return l.Addr().String()
 }
 
-// send is a decision to send attempt n to the bench's replica.
-func (b *bench) send(n int, after string) func(direct.Arrive) direct.Effect {
+// dispatch returns a decision to send attempt n to the fake replica.
+func (h *harness) dispatch(n int, after string) func(direct.Arrive) direct.Effect {
 	return func(a direct.Arrive) direct.Effect {
-		return direct.Dispatch{ID: a.ID, Attempt: n, Upstream: "r", Address: b.replica, LastEvent: after, Once: true}
+		return direct.Dispatch{ID: a.ID, Attempt: n, Upstream: "r", Address: h.replica, LastEvent: after, Once: true}
 	}
 }
 
-func (b *bench) script(f ...func(direct.Arrive) direct.Effect) { b.node.script = f }
+func (h *harness) script(f ...func(direct.Arrive) direct.Effect) { h.node.script = f }
 
-// ask sends raw bytes and reads the answer's head.
-func (b *bench) ask(raw string) (*http.Response, net.Conn) {
-	c, err := net.Dial("tcp", b.address)
-	b.is.NoErr(err)
-	b.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+// request sends raw bytes and reads the answer's header.
+func (h *harness) request(raw string) (*http.Response, net.Conn) {
+	c, err := net.Dial("tcp", h.address)
+	h.is.NoErr(err)
+	h.t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	_, err = c.Write([]byte(raw))
-	b.is.NoErr(err)
+	h.is.NoErr(err)
 	response, err := http.ReadResponse(bufio.NewReader(c), nil)
-	b.is.NoErr(err)
+	h.is.NoErr(err)
 	return response, c
 }
 
-func (b *bench) ended() direct.Ended {
-	b.is.Helper()
+// ended returns the next end of an attempt that is reported to the node.
+func (h *harness) ended() direct.Ended {
+	h.is.Helper()
 	for {
 		select {
-		case e := <-b.node.events:
+		case e := <-h.node.events:
 			if x, ok := e.(direct.Ended); ok {
 				return x
 			}
-		case <-time.After(patience):
-			b.t.Fatal("the node was told of no end")
+		case <-time.After(waitTimeout):
+			h.t.Fatal("no end of an attempt was reported to the node")
 		}
 	}
 }
@@ -210,65 +213,65 @@
 }
 
 const (
-	made   = "Made: 1\r\n"
-	events = "Made: 1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
+	madeHeader    = "Made: 1\r\n"
+	streamHeaders = "Made: 1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
 )
 
 func chunk(c net.Conn, s string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
 
 func streamHead(c net.Conn, id string) {
-	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n"+events+"\r\n")
+	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n"+streamHeaders+"\r\n")
 }
 
-func TestARequestAndItsAnswerPassUnchanged(t *testing.T) {
-	b := newBench(t, func(c net.Conn, r *http.Request) {
+func TestARequestAndItsAnswerAreForwardedUnchanged(t *testing.T) {
+	h := newHarness(t, func(c net.Conn, r *http.Request) {
 		sent, _ := io.ReadAll(r.Body)
-		answer(c, r.Header.Get("Id"), made, r.Method+" "+r.RequestURI+" "+string(sent))
+		answer(c, r.Header.Get("Id"), madeHeader, r.Method+" "+r.RequestURI+" "+string(sent))
 	})
-	b.script(b.send(1, ""))
-	r, _ := b.ask("POST /a//b/../c%2F?x=1 HTTP/1.1\r\nHost: h\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
+	h.script(h.dispatch(1, ""))
+	r, _ := h.request("POST /a//b/../c%2F?x=1 HTTP/1.1\r\nHost: h\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
 	got, err := body(r)
-	b.is.NoErr(err)
-	b.is.Equal(got, "POST /a//b/../c%2F?x=1 abc")
-	b.is.Equal(b.ended().Kind, direct.EndOK)
+	h.is.NoErr(err)
+	h.is.Equal(got, "POST /a//b/../c%2F?x=1 abc")
+	h.is.Equal(h.ended().Kind, direct.EndOK)
 }
 
 func TestALateAnswerToAnotherRequestIsDropped(t *testing.T) {
-	b := newBench(t, func(c net.Conn, r *http.Request) {
-		answer(c, "another", made, "wrong")
-		answer(c, r.Header.Get("Id"), made, "right")
+	h := newHarness(t, func(c net.Conn, r *http.Request) {
+		answer(c, "another", madeHeader, "wrong")
+		answer(c, r.Header.Get("Id"), madeHeader, "right")
 	})
-	b.script(b.send(1, ""))
-	r, _ := b.ask(get("1"))
+	h.script(h.dispatch(1, ""))
+	r, _ := h.request(get("1"))
 	got, err := body(r)
-	b.is.NoErr(err)
-	b.is.Equal(got, "right")
+	h.is.NoErr(err)
+	h.is.Equal(got, "right")
 }
 
 func TestATruncatedAnswerIsNotPassedOn(t *testing.T) {
-	b := newBench(t, func(c net.Conn, r *http.Request) {
-		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n"+made+"Content-Length: 100\r\n\r\nshort")
+	h := newHarness(t, func(c net.Conn, r *http.Request) {
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n"+madeHeader+"Content-Length: 100\r\n\r\nshort")
 		_ = c.Close()
 	})
-	b.script(b.send(1, ""), func(a direct.Arrive) direct.Effect {
+	h.script(h.dispatch(1, ""), func(a direct.Arrive) direct.Effect {
 		return direct.Refuse{ID: a.ID, Refusal: &core.Refusal{Code: core.CodeUpstreamFailed, Ran: core.RanUnknown}}
 	})
-	r, _ := b.ask(get("1"))
-	b.is.Equal(r.StatusCode, http.StatusBadGateway)
-	b.is.Equal(b.ended().Kind, direct.EndBroken)
+	r, _ := h.request(get("1"))
+	h.is.Equal(r.StatusCode, http.StatusBadGateway)
+	h.is.Equal(h.ended().Kind, direct.EndBroken)
 }
 
-func TestAnAnswerThatNoReplicaMadeIsBroken(t *testing.T) {
-	b := newBench(t, func(c net.Conn, r *http.Request) { answer(c, "1", "", "who said this") })
-	b.script(b.send(1, ""), func(a direct.Arrive) direct.Effect {
+func TestAnAnswerWithoutTheReplicasMarkIsBroken(t *testing.T) {
+	h := newHarness(t, func(c net.Conn, r *http.Request) { answer(c, "1", "", "not by the replica") })
+	h.script(h.dispatch(1, ""), func(a direct.Arrive) direct.Effect {
 		return direct.Refuse{ID: a.ID, Refusal: &core.Refusal{Code: core.CodeUpstreamFailed, Ran: core.RanUnknown}}
 	})
-	r, _ := b.ask(get("1"))
-	b.is.Equal(r.StatusCode, http.StatusBadGateway)
-	b.is.Equal(b.ended().Kind, direct.EndBroken)
+	r, _ := h.request(get("1"))
+	h.is.Equal(r.StatusCode, http.StatusBadGateway)
+	h.is.Equal(h.ended().Kind, direct.EndBroken)
 }
 
-func TestNotRunAndMissingAreTold(t *testing.T) {
+func TestNotRunAndMissingAreReported(t *testing.T) {
 	for head, want := range map[string]direct.EndKind{
 		"HTTP/1.1 503 Busy\r\nNot-Run: 1\r\n":      direct.EndNotRun,
 		"HTTP/1.1 421 Misdirected\r\n":             direct.EndMissing,
@@ -276,72 +279,72 @@
 		"HTTP/1.1 503 Unavailable\r\nMade: 1\r\n":  direct.EndError,
 		"HTTP/1.1 503 Unavailable\r\nOther: 1\r\n": direct.EndBroken,
 	} {
-		b := newBench(t, func(c net.Conn, r *http.Request) {
+		h := newHarness(t, func(c net.Conn, r *http.Request) {
 			_, _ = io.WriteString(c, head+"Id: 1\r\nContent-Length: 0\r\n\r\n")
 		})
-		b.script(b.send(1, ""), func(a direct.Arrive) direct.Effect {
+		h.script(h.dispatch(1, ""), func(a direct.Arrive) direct.Effect {
 			return direct.Refuse{ID: a.ID, Refusal: core.Refuse(core.CodeOverloaded, 250*time.Millisecond, "")}
 		})
-		r, _ := b.ask(get("1"))
-		b.is.Equal(r.StatusCode, http.StatusServiceUnavailable)
-		b.is.Equal(r.Header.Get("Retry-After"), "0.25")
-		b.is.Equal(b.ended().Kind, want)
+		r, _ := h.request(get("1"))
+		h.is.Equal(r.StatusCode, http.StatusServiceUnavailable)
+		h.is.Equal(r.Header.Get("Retry-After"), "0.25")
+		h.is.Equal(h.ended().Kind, want)
 	}
 }
 
-func TestAReplicasOwnFailureIsDeliveredUnlessItsStatusPromises(t *testing.T) {
+func TestAReplicasOwnFailureIsDeliveredUnlessItsStatusImpliesNotRun(t *testing.T) {
 	for status, want := range map[int]int{500: 500, 504: 504, 503: 502, 429: 502} {
-		b := newBench(t, func(c net.Conn, r *http.Request) {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nId: 1\r\n%sContent-Length: 4\r\n\r\nfail", status, made)
+		h := newHarness(t, func(c net.Conn, r *http.Request) {
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nId: 1\r\n%sContent-Length: 4\r\n\r\nfail", status, madeHeader)
 		})
-		b.script(b.send(1, ""), func(a direct.Arrive) direct.Effect { return direct.Deliver{ID: a.ID} })
-		r, _ := b.ask(get("1"))
-		b.is.Equal(r.StatusCode, want)
-		b.is.Equal(r.Header.Get("Made") != "", status == want)
+		h.script(h.dispatch(1, ""), func(a direct.Arrive) direct.Effect { return direct.Deliver{ID: a.ID} })
+		r, _ := h.request(get("1"))
+		h.is.Equal(r.StatusCode, want)
+		h.is.Equal(r.Header.Get("Made") != "", status == want)
 	}
 }
 
-func TestEventsPassAsTheyArrive(t *testing.T) {
+func TestEventsAreForwardedAsTheyArrive(t *testing.T) {
 	second := make(chan struct{})
-	b := newBench(t, func(c net.Conn, r *http.Request) {
+	h := newHarness(t, func(c net.Conn, r *http.Request) {
 		streamHead(c, "1")
 		chunk(c, "id: 1\ndata: a\n\nid: 2\nda")
 		<-second
 		chunk(c, "ta: b\n\n")
 		_, _ = io.WriteString(c, "0\r\n\r\n")
 	})
-	b.script(b.send(1, ""))
-	r, _ := b.ask(get("1"))
+	h.script(h.dispatch(1, ""))
+	r, _ := h.request(get("1"))
 	first := make([]byte, len("id: 1\ndata: a\n\n"))
 	_, err := io.ReadFull(r.Body, first)
-	b.is.NoErr(err)
+	h.is.NoErr(err)
 	close(second)
 	rest, err := body(r)
-	b.is.NoErr(err)
-	b.is.Equal(rest, "id: 2\ndata: b\n\n")
-	e := b.ended()
-	b.is.Equal(e.Kind, direct.EndOK)
-	b.is.Equal(e.LastEvent, "2")
+	h.is.NoErr(err)
+	h.is.Equal(rest, "id: 2\ndata: b\n\n")
+	e := h.ended()
+	h.is.Equal(e.Kind, direct.EndOK)
+	h.is.Equal(e.LastEvent, "2")
 }
 
 func TestABrokenStreamNeverLooksComplete(t *testing.T) {
-	b := newBench(t, func(c net.Conn, r *http.Request) {
+	h := newHarness(t, func(c net.Conn, r *http.Request) {
 		streamHead(c, "1")
 		chunk(c, "id: 1\ndata: a\n\nid: 2\nda")
 		_ = c.Close()
 	})
-	b.script(b.send(1, ""), func(a direct.Arrive) direct.Effect { return direct.Cut{ID: a.ID} })
-	r, _ := b.ask(get("1"))
+	h.script(h.dispatch(1, ""), func(a direct.Arrive) direct.Effect { return direct.Cut{ID: a.ID} })
+	r, _ := h.request(get("1"))
 	got, err := body(r)
-	b.is.True(err != nil)
-	b.is.Equal(got, "id: 1\ndata: a\n\n") // no part of an event
-	e := b.ended()
-	b.is.Equal(e.Kind, direct.EndBroken)
-	b.is.Equal(e.LastEvent, "1")
+	h.is.True(err != nil)
+	h.is.Equal(got, "id: 1\ndata: a\n\n") // no incomplete event
+	e := h.ended()
+	h.is.Equal(e.Kind, direct.EndBroken)
+	h.is.Equal(e.LastEvent, "1")
 }
 
-func TestAStreamGoesOnAtAnotherReplica(t *testing.T) {
-	b := newBench(t, func(c net.Conn, r *http.Request) {
+func TestAStreamResumesOnAnotherReplica(t *testing.T) {
+	h := newHarness(t, func(c net.Conn, r *http.Request) {
 		streamHead(c, "1")
 		if r.Header.Get("After") == "" {
 			chunk(c, "id: 1\ndata: a\n\nid: 2\nda")
@@ -351,76 +354,77 @@
 		chunk(c, "id: 2\ndata: b\n\n")
 		_, _ = io.WriteString(c, "0\r\n\r\n")
 	})
-	b.script(b.send(1, ""), b.send(2, "1"))
-	r, _ := b.ask(get("1"))
+	h.script(h.dispatch(1, ""), h.dispatch(2, "1"))
+	r, _ := h.request(get("1"))
 	got, err := body(r)
-	b.is.NoErr(err)
-	b.is.Equal(got, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
+	h.is.NoErr(err)
+	h.is.Equal(got, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
 }
 
-// Found on the bench (LOST): an attempt was cancelled for its silence while its first
-// event was being passed on, and the caller's stream ended. Either comes first.
-func TestAnAttemptThatIsCancelledBeforeItBeginsPassesNothingOn(t *testing.T) {
+// Guards against a lost stream: the timeout for the first event cancelled an attempt
+// while that event was being forwarded, and the caller's stream ended. Of the two,
+// only the one that comes first may take effect.
+func TestAnAttemptCancelledBeforeItsAnswerStartsForwardsNothing(t *testing.T) {
 	n := 0
-	b := newBench(t, func(c net.Conn, _ *http.Request) {
+	h := newHarness(t, func(c net.Conn, _ *http.Request) {
 		n++
 		streamHead(c, "1")
 		chunk(c, fmt.Sprintf("id: 1\ndata: %d\n\n", n))
 		_, _ = io.WriteString(c, "0\r\n\r\n")
 	})
-	b.script(b.send(1, ""), b.send(2, ""))
-	b.node.cancelled = 1
-	r, _ := b.ask(get("1"))
+	h.script(h.dispatch(1, ""), h.dispatch(2, ""))
+	h.node.cancelled = 1
+	r, _ := h.request(get("1"))
 	text, err := body(r)
-	b.is.NoErr(err)
-	b.is.Equal(text, "id: 1\ndata: 2\n\n")
-	first := b.ended()
-	b.is.Equal(first.Kind, direct.EndCancelled)
-	b.is.Equal(first.LastEvent, "") // the caller has seen nothing of it
+	h.is.NoErr(err)
+	h.is.Equal(text, "id: 1\ndata: 2\n\n")
+	first := h.ended()
+	h.is.Equal(first.Kind, direct.EndCancelled)
+	h.is.Equal(first.LastEvent, "") // nothing of it was sent to the caller
 }
 
 func TestAHangUpEndsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{})
 	began := make(chan struct{})
-	b := newBench(t, func(c net.Conn, r *http.Request) {
+	h := newHarness(t, func(c net.Conn, r *http.Request) {
 		close(began)
 		_, _ = c.Read(make([]byte, 1))
 		close(cancelled)
 	})
-	b.script(b.send(1, ""))
-	c, err := net.Dial("tcp", b.address)
-	b.is.NoErr(err)
+	h.script(h.dispatch(1, ""))
+	c, err := net.Dial("tcp", h.address)
+	h.is.NoErr(err)
 	_, err = c.Write([]byte(get("1")))
-	b.is.NoErr(err)
+	h.is.NoErr(err)
 	<-began
-	b.is.NoErr(c.Close())
+	h.is.NoErr(c.Close())
 	select {
 	case <-cancelled:
-	case <-time.After(patience):
-		t.Fatal("the replica was not let go of")
+	case <-time.After(waitTimeout):
+		t.Fatal("the connection to the replica was not closed")
 	}
-	_, gone := (<-b.node.events).(direct.Gone)
-	b.is.True(gone)
-	b.is.Equal(b.ended().Kind, direct.EndCancelled)
+	_, gone := (<-h.node.events).(direct.Gone)
+	h.is.True(gone)
+	h.is.Equal(h.ended().Kind, direct.EndCancelled)
 }
 
-func TestAnEarlyAnswerToALongBodyIsTaken(t *testing.T) {
-	b := newBench(t, nil)
-	b.replica = b.listen(func(c net.Conn) {
+func TestAnEarlyAnswerToALongBodyIsForwarded(t *testing.T) {
+	h := newHarness(t, nil)
+	h.replica = h.listen(func(c net.Conn) {
 		r := bufio.NewReaderSize(c, 4<<10)
 		_, _ = r.ReadString('\n')
-		answer(c, "1", made, "early")
+		answer(c, "1", madeHeader, "early")
 		_, _ = io.Copy(io.Discard, r)
 	})
-	b.script(b.send(1, ""))
+	h.script(h.dispatch(1, ""))
 	long := strings.Repeat("x", 900<<10)
-	r, _ := b.ask(fmt.Sprintf("POST /x HTTP/1.1\r\nHost: h\r\nId: 1\r\nContent-Length: %d\r\n\r\n%s", len(long), long))
+	r, _ := h.request(fmt.Sprintf("POST /x HTTP/1.1\r\nHost: h\r\nId: 1\r\nContent-Length: %d\r\n\r\n%s", len(long), long))
 	got, err := body(r)
-	b.is.NoErr(err)
-	b.is.Equal(got, "early")
+	h.is.NoErr(err)
+	h.is.Equal(got, "early")
 }
 
-func TestWhatCantBeReadGetsATypedAnswer(t *testing.T) {
+func TestUnreadableRequestsGetATypedError(t *testing.T) {
 	for raw, want := range map[string]int{
 		"GET /x HTTP/1.1\r\nHost: h\r\nLong: " + strings.Repeat("x", 20<<10) + "\r\n\r\n":                                    http.StatusRequestHeaderFieldsTooLarge,
 		"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 9999999\r\n\r\n":                                                     http.StatusRequestEntityTooLarge,
@@ -428,8 +432,8 @@
 		"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd":                                  http.StatusBadRequest,
 		"nonsense\r\n\r\n": http.StatusBadRequest,
 	} {
-		b := newBench(t, nil)
-		r, _ := b.ask(raw)
-		b.is.Equal(r.StatusCode, want)
+		h := newHarness(t, nil)
+		r, _ := h.request(raw)
+		h.is.Equal(r.StatusCode, want)
 	}
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -21,16 +21,16 @@
 	"gentiancroft/internal/upstream"
 )
 
-// Limits bound what callers may send and take.
+// Limits bound the size of callers' requests and the time that callers may take.
 type Limits struct {
 	Body   int           // bytes
 	Header int           // bytes
-	Read   time.Duration // for a request to arrive
+	Read   time.Duration // for a whole request to arrive
 	Idle   time.Duration // between two requests on a connection
-	Stall  time.Duration // for a caller to take what is written to it
+	Stall  time.Duration // for a caller to read what is written to it
 }
 
-// DefaultLimits are used where settings give none.
+// DefaultLimits are the limits that apply where the settings give none.
 var DefaultLimits = Limits{
 	Body:   4 << 20,
 	Header: 16 << 10,
@@ -39,29 +39,30 @@
 	Stall:  10 * time.Second,
 }
 
-// connections is how many callers' connections are served at once.
-const connections = 4096
+// maxConnections is how many callers' connections are open at once.
+const maxConnections = 4096
 
-// Server answers callers.
+// Server is the HTTP server for callers.
 type Server struct {
-	node    Node
-	client  *upstream.Client
-	dialect Dialect
-	limits  Limits
-	metrics counters
-	next    atomic.Uint64 // number of the next request
-	http    *fasthttp.Server
+	node         Node
+	client       *upstream.Client
+	dialect      Dialect
+	limits       Limits
+	metrics      counters
+	requestCount atomic.Uint64 // requests so far; numbers them
+	http         *fasthttp.Server
 }
 
-// New returns a server that hands requests to a node and sends attempts with a client.
+// New returns a server that has requests decided by n and sends attempts with c. Its
+// metrics go to r.
 func New(n Node, c *upstream.Client, d Dialect, l Limits, r metrics.Registry) *Server {
 	s := &Server{node: n, client: c, dialect: d, limits: l, metrics: newCounters(r)}
 	s.http = &fasthttp.Server{
 		Handler:                      s.serve,
-		ErrorHandler:                 s.unreadable,
+		ErrorHandler:                 s.handleReadError,
 		MaxRequestBodySize:           l.Body,
 		ReadBufferSize:               l.Header,
-		Concurrency:                  connections,
+		Concurrency:                  maxConnections,
 		ReadTimeout:                  l.Read,
 		IdleTimeout:                  l.Idle,
 		ReduceMemoryUsage:            true,
@@ -71,26 +72,27 @@
 		NoDefaultContentType:         true,
 		DisablePreParseMultipartForm: true,
 		SecureErrorLogMessage:        true,
-		Logger:                       quiet{},
+		Logger:                       discardLogger{},
 	}
 	return s
 }
 
-// quiet drops fasthttp's own lines, which may hold parts of a request.
-type quiet struct{}
+// discardLogger drops fasthttp's own log lines, which may contain parts of a request.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Serve answers callers on l until it is closed.
+// Serve accepts connections from l until it is closed.
 func (s *Server) Serve(l net.Listener) error {
 	return s.http.Serve(hangup.Listener{Listener: l, Stall: s.limits.Stall})
 }
 
-// arrive makes the event of a request.
-func (s *Server) arrive(ctx *fasthttp.RequestCtx, d Declared) direct.Arrive {
+// arrival makes the event of a new request. Its id is this host's request number and
+// the caller's request id.
+func (s *Server) arrival(ctx *fasthttp.RequestCtx, d Declared) direct.Arrive {
 	a := direct.Arrive{
-		ID:        core.RequestID(strconv.FormatUint(s.next.Add(1), 10) + " " + d.RequestID),
+		ID:        core.RequestID(strconv.FormatUint(s.requestCount.Add(1), 10) + " " + d.RequestID),
 		Host:      string(ctx.Request.Header.Host()),
 		Path:      path(ctx.Request.Header.RequestURI()),
 		HasKey:    len(d.Key) > 0,
@@ -108,7 +110,7 @@
 	return a
 }
 
-// path is a request's path as it came, without the query.
+// path returns a request URI without the query, not normalized.
 func path(uri []byte) string {
 	for i, b := range uri {
 		if b == '?' {
@@ -121,27 +123,27 @@
 // serve answers one request.
 func (s *Server) serve(ctx *fasthttp.RequestCtx) {
 	s.metrics.requests.Inc(1)
-	if ambiguous(ctx.Request.Header.RawHeaders()) {
+	if ambiguousLength(ctx.Request.Header.RawHeaders()) {
 		ctx.SetConnectionClose()
 		s.refuse(ctx, "", core.Refuse(core.CodeBadRequest, 0, "the request gives its length twice"))
 		return
 	}
 	declared := s.dialect.Declared(&ctx.Request.Header)
 	t := &task{server: s, requestID: declared.RequestID, started: time.Now(), request: &ctx.Request}
-	arrive := s.arrive(ctx, declared)
-	t.id = arrive.ID
+	arrival := s.arrival(ctx, declared)
+	t.id = arrival.ID
 	t.ctx, t.cancel = context.WithCancel(context.Background())
-	t.exchange = s.node.Begin(arrive)
-	t.conn = hangup.Watch(ctx.Conn(), t.hangUp) // after Begin, so that Gone never overtakes the arrival
+	t.exchange = s.node.Begin(arrival)
+	t.conn = hangup.Watch(ctx.Conn(), t.hangUp) // after Begin, so that a hang-up is reported after the arrival
 	if s.node.Leaving() {
 		ctx.SetConnectionClose()
 	}
 	t.run(ctx)
 }
 
-// ambiguous reports whether a header tells the body's length more than once, so
-// that two readers could find different requests in the same bytes.
-func ambiguous(raw []byte) bool {
+// ambiguousLength reports whether a header gives the body's length more than once. Two
+// parsers could then find different requests in the same bytes (request smuggling).
+func ambiguousLength(raw []byte) bool {
 	lengths := 0
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
@@ -153,8 +155,8 @@
 	return lengths > 1
 }
 
-// statuses maps codes to HTTP statuses; every other code is 503.
-var statuses = map[core.Code]int{
+// statusByCode maps refusal codes to HTTP statuses; every other code is 503.
+var statusByCode = map[core.Code]int{
 	core.CodeBadRequest:     fasthttp.StatusBadRequest,
 	core.CodeTooLarge:       fasthttp.StatusRequestEntityTooLarge,
 	core.CodeNoKey:          fasthttp.StatusUnauthorized,
@@ -172,9 +174,9 @@
 	Ran     core.Ran  `json:"ran"`
 }
 
-// refuse writes the product's own answer to a request that gets no other.
+// refuse answers a request with a refusal of this host's own.
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, requestID string, r *core.Refusal) {
-	status, ok := statuses[r.Code]
+	status, ok := statusByCode[r.Code]
 	if !ok {
 		status = fasthttp.StatusServiceUnavailable
 	}
@@ -188,7 +190,7 @@
 	}
 	body, err := json.Marshal(errorBody{Code: r.Code, Message: r.Message, Ran: r.Ran})
 	if err != nil {
-		body = nil // a struct of strings
+		body = nil // can't fail: the fields are strings
 	}
 	ctx.SetBody(body)
 	if s.node.Leaving() {
@@ -196,8 +198,8 @@
 	}
 }
 
-// unreadable answers a request that could not even be read.
-func (s *Server) unreadable(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers a request that could not be read.
+func (s *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	refusal, status := badrequest.Classify(err)
 	s.refuse(ctx, "", refusal)
 	if status != 0 {
@@ -209,7 +211,7 @@
 type counters struct {
 	registry  metrics.Registry
 	requests  metrics.Counter
-	gone      metrics.Counter   // callers that hung up
+	hungUp    metrics.Counter   // callers that hung up
 	firstByte metrics.Histogram // microseconds
 	total     metrics.Histogram // microseconds
 }
@@ -222,12 +224,13 @@
 	return counters{
 		registry:  r,
 		requests:  metrics.GetOrRegisterCounter("relay.requests", r),
-		gone:      metrics.GetOrRegisterCounter("relay.hung_up", r),
+		hungUp:    metrics.GetOrRegisterCounter("relay.hung_up", r),
 		firstByte: histogram("relay.first_byte_us"),
 		total:     histogram("relay.total_us"),
 	}
 }
 
+// refused counts a refusal by its code.
 func (c counters) refused(code core.Code) {
 	metrics.GetOrRegisterCounter("relay.refused."+string(code), c.registry).Inc(1)
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -16,50 +16,51 @@
 	"gentiancroft/internal/upstream"
 )
 
-// Cut is the class of answers that can't be completed. The caller's connection
-// ends without the answer's end.
+// Cut is the class of errors of streams that can't be completed. The caller's
+// connection is closed without the end of the body.
 var Cut = errs.Class("answer cut")
 
 const (
-	readBytes = 2 << 10  // read of a stream at once
-	maxEvent  = 64 << 10 // bytes of one event
+	readSize      = 2 << 10  // bytes to read at once
+	maxEventBytes = 64 << 10 // of one event
 )
 
-// streamed reports whether an answer is a series of events.
-func streamed(a *upstream.Answer, answered Answered) bool {
+// isEventStream reports whether an answer is a successful stream of server-sent
+// events.
+func isEventStream(a *upstream.Answer, answered Answered) bool {
 	ok := answered.Status >= 200 && answered.Status < 300 && answered.Made
 	return ok && strings.HasPrefix(a.ContentType, "text/event-stream")
 }
 
-// stream passes events on as they arrive, whole ones only, so that another
-// replica can go on after the last one. It is read and closed by the caller's
-// connection.
+// stream is the body of a streamed answer. It forwards events as they arrive, but only
+// complete ones, so that another replica can continue after the last. The HTTP server
+// reads and closes it.
 type stream struct {
-	task     *task
-	dispatch direct.Dispatch
-	attempt  context.Context
-	cancel   context.CancelFunc
-	answer   *upstream.Answer
-	buffer   []byte
-	ready    int // bytes of whole events at the buffer's start
-	last     string
-	whole    bool // the answer has ended as it should
-	passed   bool
-	over     bool // the node knows that the attempt has ended
+	task       *task
+	dispatch   direct.Dispatch
+	attempt    context.Context
+	cancel     context.CancelFunc
+	answer     *upstream.Answer
+	buffer     []byte
+	readyBytes int    // length of the complete events at the buffer's start
+	lastEvent  string // id of the last complete event
+	complete   bool   // the replica has ended the answer regularly
+	passed     bool
+	released   bool // the attempt's end has been reported to the node
 }
 
-// beginStream waits for the first whole event. It returns false where there is
-// none.
+// beginStream waits for the first complete event and starts the caller's answer. It
+// returns false where the attempt failed or was cancelled before.
 func (t *task) beginStream(ctx *fasthttp.RequestCtx, d direct.Dispatch, attempt context.Context, cancel context.CancelFunc, answer *upstream.Answer) bool {
-	s := &stream{task: t, dispatch: d, attempt: attempt, cancel: cancel, answer: answer, last: d.LastEvent}
-	for s.ready == 0 && !s.whole {
+	s := &stream{task: t, dispatch: d, attempt: attempt, cancel: cancel, answer: answer, lastEvent: d.LastEvent}
+	for s.readyBytes == 0 && !s.complete {
 		if err := s.fill(); err != nil {
-			s.release(endOf(attempt, err))
+			s.release(endOfError(attempt, err))
 			return false
 		}
 	}
 	if !t.exchange.Begin(d.Attempt) {
-		s.last = d.LastEvent // the caller has been sent nothing of it
+		s.lastEvent = d.LastEvent // nothing of this attempt was sent to the caller
 		s.release(direct.Ended{Kind: direct.EndCancelled})
 		return false
 	}
@@ -71,33 +72,33 @@
 	return true
 }
 
-// release ends the running attempt.
+// release ends the current attempt, if it has not ended yet, and reports e.
 func (s *stream) release(e direct.Ended) {
-	if s.over {
+	if s.released {
 		return
 	}
-	s.over = true
-	e.LastEvent = s.last
+	s.released = true
+	e.LastEvent = s.lastEvent
 	s.answer.Close()
 	s.cancel()
-	s.task.ended(s.dispatch, e)
+	s.task.attemptEnded(s.dispatch, e)
 }
 
-// fill reads from the replica once.
+// fill reads from the replica once and finds the complete events.
 func (s *stream) fill() error {
-	if len(s.buffer) > maxEvent {
-		return upstream.TooLong.New("an event is over %d bytes", maxEvent)
+	if len(s.buffer) > maxEventBytes {
+		return upstream.TooLong.New("an event is over %d bytes", maxEventBytes)
 	}
-	s.buffer = slices.Grow(s.buffer, readBytes)
+	s.buffer = slices.Grow(s.buffer, readSize)
 	n, err := s.answer.Body.Read(s.buffer[len(s.buffer):cap(s.buffer)])
 	s.buffer = s.buffer[:len(s.buffer)+n]
-	s.scan()
+	s.findEvents()
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, io.EOF):
-		s.whole = true
-		s.ready = len(s.buffer)
+		s.complete = true
+		s.readyBytes = len(s.buffer)
 		return nil
 	}
 	return upstream.Broken.Wrap(err)
@@ -108,27 +109,27 @@
 	idField  = []byte("id:")
 )
 
-// scan finds the whole events in the buffer and the id of the last one.
-func (s *stream) scan() {
+// findEvents finds the complete events in the buffer and the last event id in them.
+func (s *stream) findEvents() {
 	for {
-		end := bytes.Index(s.buffer[s.ready:], eventEnd)
+		end := bytes.Index(s.buffer[s.readyBytes:], eventEnd)
 		if end < 0 {
 			return
 		}
-		event := s.buffer[s.ready : s.ready+end]
+		event := s.buffer[s.readyBytes : s.readyBytes+end]
 		for line := range bytes.SplitSeq(event, []byte("\n")) {
 			if id, ok := bytes.CutPrefix(line, idField); ok {
-				s.last = string(bytes.TrimSpace(id))
+				s.lastEvent = string(bytes.TrimSpace(id))
 			}
 		}
-		s.ready += end + len(eventEnd)
+		s.readyBytes += end + len(eventEnd)
 	}
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It blocks until a complete event is buffered.
 func (s *stream) Read(p []byte) (int, error) {
-	for s.ready == 0 {
-		if s.whole {
+	for s.readyBytes == 0 {
+		if s.complete {
 			s.release(direct.Ended{Kind: direct.EndOK})
 			return 0, io.EOF
 		}
@@ -136,54 +137,55 @@
 		if err == nil {
 			continue
 		}
-		s.release(endOf(s.attempt, err))
+		s.release(endOfError(s.attempt, err))
 		if !s.resume() {
 			return 0, Cut.Wrap(err)
 		}
 	}
-	n := copy(p, s.buffer[:s.ready])
+	n := copy(p, s.buffer[:s.readyBytes])
 	s.buffer = append(s.buffer[:0], s.buffer[n:]...)
-	s.ready -= n
+	s.readyBytes -= n
 	return n, nil
 }
 
-// resume goes on with another replica's answer, if the node decides so.
+// resume continues the stream with the answer of the node's next attempt. It returns
+// false where there is none.
 func (s *stream) resume() bool {
-	s.buffer = s.buffer[:0] // a part of an event comes again
+	s.buffer = s.buffer[:0] // an incomplete event is sent again by the next replica
 	for {
-		d, ok := s.task.next().(direct.Dispatch)
+		d, ok := s.task.nextDecision().(direct.Dispatch)
 		if !ok {
 			return false
 		}
 		attempt, cancel := s.task.exchange.Attempt(s.task.ctx, d.Attempt)
-		answer, err := s.task.call(attempt, d)
+		answer, err := s.task.send(attempt, d)
 		if err != nil {
-			s.task.ended(d, endOf(attempt, err))
+			s.task.attemptEnded(d, endOfError(attempt, err))
 			cancel()
 			continue
 		}
 		answered := s.task.server.dialect.Answered(answer.Header())
-		if !streamed(answer, answered) || !s.task.exchange.Begin(d.Attempt) {
-			end := judge(answered)
+		if !isEventStream(answer, answered) || !s.task.exchange.Begin(d.Attempt) {
+			end := endOfAnswer(answered)
 			if end.Kind == direct.EndOK {
-				end = endOf(attempt, upstream.Broken.New("no stream"))
+				end = endOfError(attempt, upstream.Broken.New("the answer is not an event stream"))
 			}
 			answer.Close()
 			cancel()
-			s.task.ended(d, end)
+			s.task.attemptEnded(d, end)
 			continue
 		}
 		s.task.server.node.Tell(direct.Begun{ID: d.ID, Attempt: d.Attempt})
 		s.dispatch, s.attempt, s.cancel, s.answer = d, attempt, cancel, answer
-		s.over, s.whole = false, false
+		s.released, s.complete = false, false
 		return true
 	}
 }
 
-// Close implements io.Closer. It is called once the last byte was handed over,
-// or when the caller's connection failed before.
+// Close implements io.Closer. It is called after the last byte was read, or when the
+// caller's connection failed before.
 func (s *stream) Close() error {
-	if !s.over {
+	if !s.released {
 		s.task.hangUp()
 		s.release(direct.Ended{Kind: direct.EndCancelled})
 	}
--- a/internal/relay/task.go
+++ b/internal/relay/task.go
@@ -13,10 +13,10 @@
 	"gentiancroft/internal/upstream"
 )
 
-// keptFresh is how long a kept connection may have been idle to carry a request
-// that must not run twice: a replica that closes it meanwhile leaves open
-// whether the request has run.
-const keptFresh = 600 * time.Millisecond
+// maxConnIdle is how long a reused connection may have been idle if it is to carry a
+// request that must not run twice. If the replica closes the connection at that
+// moment, the result is unknown: the request may or may not have run.
+const maxConnIdle = 600 * time.Millisecond
 
 // task serves one request from its arrival to the end of its answer.
 type task struct {
@@ -26,30 +26,31 @@
 	request   *fasthttp.Request
 	exchange  Exchange
 	started   time.Time
-	conn      *hangup.Conn // nil where hang-ups can't be seen
+	conn      *hangup.Conn // nil where hang-ups can't be detected
 
-	ctx    context.Context // ends when the caller hangs up
-	cancel context.CancelFunc
-	hung   sync.Once
+	ctx        context.Context // ends when the caller hangs up
+	cancel     context.CancelFunc
+	hangUpOnce sync.Once
 
-	failure *failure // the replica's own failure, to be delivered
+	failure *failure // the last error answer of a replica, which the node may have delivered
 }
 
-// failure is a replica's whole failure answer.
+// failure is a replica's complete error answer.
 type failure struct {
 	header fasthttp.ResponseHeader
 	body   []byte
 }
 
+// hangUp reports, once, that the caller hung up and cancels the task.
 func (t *task) hangUp() {
-	t.hung.Do(func() {
-		t.server.metrics.gone.Inc(1)
+	t.hangUpOnce.Do(func() {
+		t.server.metrics.hungUp.Inc(1)
 		t.server.node.Tell(direct.Gone{ID: t.id})
 		t.cancel()
 	})
 }
 
-// finish ends the task.
+// finish releases what the task holds and records its latency.
 func (t *task) finish() {
 	if t.conn != nil {
 		t.conn.Release()
@@ -59,23 +60,24 @@
 	t.server.metrics.total.Update(time.Since(t.started).Microseconds())
 }
 
-// run carries out the node's decisions up to the start of the answer.
+// run carries out the node's decisions until the caller's answer is complete, or, for
+// a stream, has started.
 func (t *task) run(ctx *fasthttp.RequestCtx) {
 	for {
-		switch d := t.next().(type) {
+		switch d := t.nextDecision().(type) {
 		case direct.Dispatch:
-			if t.attempt(ctx, d) {
+			if t.runAttempt(ctx, d) {
 				return
 			}
 		case direct.Deliver:
-			t.deliver(ctx)
+			t.deliverFailure(ctx)
 			t.finish()
 			return
 		case direct.Refuse:
 			t.server.refuse(ctx, t.requestID, d.Refusal)
 			t.finish()
 			return
-		default: // the caller is gone, or the answer was cut before it began
+		default: // the caller hung up, or the answer was cut off before it started
 			ctx.SetConnectionClose()
 			t.server.refuse(ctx, t.requestID, &core.Refusal{Code: core.CodeUpstreamFailed, Message: "no answer", Ran: core.RanUnknown})
 			t.finish()
@@ -84,8 +86,9 @@
 	}
 }
 
-// next is the node's next decision, nil once the caller is gone.
-func (t *task) next() direct.Effect {
+// nextDecision waits for the node's next decision. It returns nil once the caller has
+// hung up.
+func (t *task) nextDecision() direct.Effect {
 	select {
 	case d := <-t.exchange.Decisions():
 		return d
@@ -94,8 +97,8 @@
 	}
 }
 
-// call sends an attempt and waits for the head of its answer.
-func (t *task) call(ctx context.Context, d direct.Dispatch) (*upstream.Answer, error) {
+// send sends the request of an attempt and waits for the header of its answer.
+func (t *task) send(ctx context.Context, d direct.Dispatch) (*upstream.Answer, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	t.server.dialect.Forward(request, t.request, Attempt{
@@ -115,71 +118,72 @@
 		},
 	}
 	if d.Once {
-		call.Fresh = keptFresh
+		call.Fresh = maxConnIdle
 	}
 	return t.server.client.Do(ctx, call)
 }
 
-// attempt carries out one attempt. It returns true where the answer has begun,
-// so that the task ends with it.
-func (t *task) attempt(ctx *fasthttp.RequestCtx, d direct.Dispatch) bool {
+// runAttempt carries out one attempt. It returns true where the caller's answer has
+// started, so that run makes no further attempts.
+func (t *task) runAttempt(ctx *fasthttp.RequestCtx, d direct.Dispatch) bool {
 	attempt, cancel := t.exchange.Attempt(t.ctx, d.Attempt)
-	answer, err := t.call(attempt, d)
+	answer, err := t.send(attempt, d)
 	if err != nil {
-		t.ended(d, endOf(attempt, err))
+		t.attemptEnded(d, endOfError(attempt, err))
 		cancel()
 		return false
 	}
 	answered := t.server.dialect.Answered(answer.Header())
-	if streamed(answer, answered) {
+	if isEventStream(answer, answered) {
 		return t.beginStream(ctx, d, attempt, cancel, answer)
 	}
 	defer cancel()
-	return t.whole(ctx, d, attempt, answer, answered)
+	return t.forwardWhole(ctx, d, attempt, answer, answered)
 }
 
-// whole takes an answer that is passed on once it is complete.
-func (t *task) whole(ctx *fasthttp.RequestCtx, d direct.Dispatch, attempt context.Context, answer *upstream.Answer, answered Answered) bool {
+// forwardWhole reads an answer that is not a stream and, where it is a success,
+// forwards it. It returns whether it did.
+func (t *task) forwardWhole(ctx *fasthttp.RequestCtx, d direct.Dispatch, attempt context.Context, answer *upstream.Answer, answered Answered) bool {
 	defer answer.Close()
 	body, err := upstream.ReadWhole(answer, upstream.MaxAnswer)
 	if err != nil {
-		t.ended(d, endOf(attempt, err))
+		t.attemptEnded(d, endOfError(attempt, err))
 		return false
 	}
-	end := judge(answered)
+	end := endOfAnswer(answered)
 	if end.Kind == direct.EndError {
 		t.failure = &failure{body: body}
 		answer.Header().CopyTo(&t.failure.header)
 	}
 	if end.Kind != direct.EndOK {
-		t.ended(d, end)
+		t.attemptEnded(d, end)
 		return false
 	}
 	t.server.metrics.firstByte.Update(time.Since(t.started).Microseconds())
 	t.server.dialect.Return(&ctx.Response.Header, answer.Header())
 	ctx.SetBody(body)
-	t.ended(d, end)
+	t.attemptEnded(d, end)
 	t.finish()
 	return true
 }
 
-// judge tells how an attempt with a complete answer ended.
-func judge(a Answered) direct.Ended {
+// endOfAnswer returns how an attempt with a complete answer ended.
+func endOfAnswer(a Answered) direct.Ended {
 	switch {
 	case a.Missing:
 		return direct.Ended{Kind: direct.EndMissing}
 	case a.NotRun:
 		return direct.Ended{Kind: direct.EndNotRun, RetryAfter: a.RetryAfter}
 	case !a.Made:
-		return direct.Ended{Kind: direct.EndBroken} // not an answer of the replica's work
+		return direct.Ended{Kind: direct.EndBroken} // not produced by the replica
 	case a.Status >= 200 && a.Status < 300:
 		return direct.Ended{Kind: direct.EndOK}
 	}
 	return direct.Ended{Kind: direct.EndError}
 }
 
-// endOf tells how an attempt ended that got no complete answer.
-func endOf(attempt context.Context, err error) direct.Ended {
+// endOfError returns how an attempt without a complete answer ended.
+func endOfError(attempt context.Context, err error) direct.Ended {
 	switch {
 	case attempt.Err() != nil:
 		return direct.Ended{Kind: direct.EndCancelled}
@@ -189,17 +193,18 @@
 	return direct.Ended{Kind: direct.EndBroken, Dropped: upstream.Dropped(err)}
 }
 
-func (t *task) ended(d direct.Dispatch, e direct.Ended) {
+// attemptEnded reports the end of an attempt to the node.
+func (t *task) attemptEnded(d direct.Dispatch, e direct.Ended) {
 	e.ID, e.Attempt = d.ID, d.Attempt
 	t.server.node.Tell(e)
 }
 
-// deliver passes on the failure that the replica answered with.
-func (t *task) deliver(ctx *fasthttp.RequestCtx) {
+// deliverFailure forwards the replica's last error answer.
+func (t *task) deliverFailure(ctx *fasthttp.RequestCtx) {
 	f := t.failure
-	if promises(f.header.StatusCode()) {
-		// The replica does not say that it has not run the request, but its
-		// status would.
+	if impliesNotRun(f.header.StatusCode()) {
+		// The status would imply that the request has not run, which the replica
+		// has not said.
 		t.server.refuse(ctx, t.requestID, &core.Refusal{Code: core.CodeUpstreamFailed, Message: "the replica failed", Ran: core.RanUnknown})
 		return
 	}
@@ -207,8 +212,9 @@
 	ctx.SetBody(f.body)
 }
 
-// promises reports whether a status tells a caller that its request has not run.
-func promises(status int) bool {
+// impliesNotRun reports whether callers take a status to mean that the request has
+// not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable, fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest:
 		return true
