--- a/internal/core/residency/demand.go
+++ b/internal/core/residency/demand.go
@@ -6,41 +6,43 @@
 	"gentiancroft/internal/core"
 )
 
-// demand is a Demand and its times.
+// demand merges the repetitions of a Demand: its highest weight and version and its
+// latest deadline.
 type demand struct {
-	want  Demand
-	at    core.Instant // last repeated
-	from  core.Instant // first asked
-	until core.Instant // when the adapter must be there for a request to be on time
+	merged        Demand
+	lastReceived  core.Instant // of the latest repetition
+	firstReceived core.Instant // of the first one
+	deadline      core.Instant // until the adapter must be loaded for a request to be on time
 }
 
-// Demanded takes a demand of this host or of another one.
-func (m *Machine) Demanded(now core.Instant, w Demand) {
-	r := m.known[w.Replica]
+// Demanded adds or repeats a demand of this host or another one. Demands for unknown
+// replicas are ignored.
+func (m *Machine) Demanded(now core.Instant, d Demand) {
+	r := m.byID[d.Replica]
 	if r == nil {
 		return
 	}
-	if x := r.demands[w.Adapter.ID]; x != nil {
-		x.at = now
-		x.until = max(x.until, now.Add(w.Left))
-		x.want.Weight = max(x.want.Weight, w.Weight)
-		x.want.Adapter.Version = max(x.want.Adapter.Version, w.Adapter.Version)
+	if x := r.demands[d.Adapter.ID]; x != nil {
+		x.lastReceived = now
+		x.deadline = max(x.deadline, now.Add(d.Left))
+		x.merged.Weight = max(x.merged.Weight, d.Weight)
+		x.merged.Adapter.Version = max(x.merged.Adapter.Version, d.Adapter.Version)
 		return
 	}
-	r.demands[w.Adapter.ID] = &demand{want: w, at: now, from: now, until: now.Add(w.Left)}
+	r.demands[d.Adapter.ID] = &demand{merged: d, lastReceived: now, firstReceived: now, deadline: now.Add(d.Left)}
 }
 
-// Used takes what a host has running.
+// Used records a host's use of an adapter. Uses of unknown replicas are ignored.
 func (m *Machine) Used(now core.Instant, from core.HostID, u Use) {
-	r := m.known[u.Replica]
+	r := m.byID[u.Replica]
 	if r == nil {
 		return
 	}
-	if i := r.residents[u.Adapter]; i != nil {
-		i.used = now
+	if res := r.residents[u.Adapter]; res != nil {
+		res.lastUsed = now
 	}
 	if u.Begun > 0 {
-		r.count(now, u.Adapter, u.Begun)
+		r.countRequests(now, u.Adapter, u.Begun)
 	}
 	if u.Running == 0 {
 		delete(r.uses[u.Adapter], from)
@@ -52,86 +54,86 @@
 	r.uses[u.Adapter][from] = use{running: u.Running, at: now}
 }
 
-// Newest takes an adapter's newest version: replicas that hold an older one load
-// it once the old one is quiet, if requests have named the adapter lately.
+// Newest sets an adapter's newest version. A replica with an older one loads the new
+// one when the old one is idle, if requests have named the adapter lately.
 func (m *Machine) Newest(model core.BaseModel, a core.AdapterRef) {
-	m.newest[a.ID] = newest{model: model, version: a.Version}
+	m.newest[a.ID] = newestVersion{model: model, version: a.Version}
 }
 
-type newest struct {
+type newestVersion struct {
 	model   core.BaseModel
 	version int
 }
 
-// quietFor is how long nobody may have used an adapter before another version
-// takes its place: a replica finishes all runs of the old one first, and until
-// then takes no request that names the adapter, and no other order.
-const quietFor = 400 * time.Millisecond
+// minUpgradeIdle is how long an adapter must be idle before another version replaces
+// it. A replica first finishes all runs of the old version; until then it accepts no
+// request for the adapter and no other order.
+const minUpgradeIdle = 400 * time.Millisecond
 
-// topDemand is the best demand for an adapter that is neither held nor on its way, nor
-// held at an older version that is in use: of those that load from a copy, or of
-// those that have to be fetched.
+// topDemand returns the best demand for an adapter that the replica can load now,
+// either from a copy (copied) or from the weight store, or nil. Adapters that are
+// loaded, being loaded, or loaded at an older version that is in use don't qualify.
 func (m *Machine) topDemand(now core.Instant, r *replica, copied bool) *demand {
 	var best *demand
-	take := func(a core.AdapterID, w *demand) {
-		_, there := r.models[w.want.Model]
-		if !there || r.copies[a] != copied {
+	consider := func(a core.AdapterID, d *demand) {
+		_, hasModel := r.models[d.merged.Model]
+		if !hasModel || r.copies[a] != copied {
 			return
 		}
-		if i := r.residents[a]; i != nil {
-			newer := i.state == ready && i.version < w.want.Adapter.Version
-			if !newer || r.running(now, a) > 0 || now.Sub(i.used) < quietFor {
+		if res := r.residents[a]; res != nil {
+			newer := res.state == ready && res.version < d.merged.Adapter.Version
+			if !newer || r.running(now, a) > 0 || now.Sub(res.lastUsed) < minUpgradeIdle {
 				return
 			}
 		}
-		if best == nil || better(now, r, w, r, best) {
-			best = w
+		if best == nil || ranksBefore(now, r, d, r, best) {
+			best = d
 		}
 	}
-	for a, w := range r.demands {
-		take(a, w)
+	for a, d := range r.demands {
+		consider(a, d)
 	}
 	if best != nil {
 		return best
 	}
 	for a, n := range m.newest {
-		if r.residents[a] != nil && r.popularities[a].Now(now, popularityHalf) >= renewPopularity {
-			take(a, &demand{want: Demand{Replica: r.id, Model: n.model, Adapter: core.AdapterRef{ID: a, Version: n.version}}})
+		if r.residents[a] != nil && r.popularities[a].Now(now, popularityHalfLife) >= minUpgradePopularity {
+			consider(a, &demand{merged: Demand{Replica: r.id, Model: n.model, Adapter: core.AdapterRef{ID: a, Version: n.version}}})
 		}
 	}
 	return best
 }
 
-// renewPopularity is how much an adapter must be in use for its newest version to be
-// loaded unasked.
-const renewPopularity = 0.5
+// minUpgradePopularity is the popularity from which an adapter's newest version is
+// loaded without a demand.
+const minUpgradePopularity = 0.5
 
-// better reports whether a demand goes before another: those for which a request
-// can still be on time first, then those that more requests wait for, then those
-// of the replica that has fetched nothing for longest, then the older ones. While
-// more is wanted than can be loaded, this serves as many as can be on time, instead
-// of all of them late.
-func better(now core.Instant, sa *replica, a *demand, sb *replica, b *demand) bool {
-	if x, y := sa.onTime(now, a), sb.onTime(now, b); x != y {
+// ranksBefore reports whether demand a of replica ra goes before demand b of rb:
+// those for which a request can still be on time first, then those with more waiting
+// requests, then those of the replica whose last fetch is longest ago, then the older
+// ones. Under overload this loads as many adapters as possible on time; first come,
+// first served would make all of them late.
+func ranksBefore(now core.Instant, ra *replica, a *demand, rb *replica, b *demand) bool {
+	if x, y := ra.onTime(now, a), rb.onTime(now, b); x != y {
 		return x
 	}
-	if a.want.Weight != b.want.Weight {
-		return a.want.Weight > b.want.Weight
+	if a.merged.Weight != b.merged.Weight {
+		return a.merged.Weight > b.merged.Weight
 	}
-	if sa.fetched != sb.fetched {
-		return sa.fetched < sb.fetched
+	if ra.lastFetch != rb.lastFetch {
+		return ra.lastFetch < rb.lastFetch
 	}
-	if a.from != b.from {
-		return a.from < b.from
+	if a.firstReceived != b.firstReceived {
+		return a.firstReceived < b.firstReceived
 	}
-	return a.want.Adapter.ID < b.want.Adapter.ID
+	return a.merged.Adapter.ID < b.merged.Adapter.ID
 }
 
-// onTime reports whether a demand that is met next is met in time.
-func (r *replica) onTime(now core.Instant, w *demand) bool {
-	takes := fetchTime
-	if r.copies[w.want.Adapter.ID] {
-		takes = copyTime
+// onTime reports whether a load that starts now ends before the demand's deadline.
+func (r *replica) onTime(now core.Instant, d *demand) bool {
+	loadTime := fetchLoadTime
+	if r.copies[d.merged.Adapter.ID] {
+		loadTime = copyLoadTime
 	}
-	return now.Add(takes) <= w.until
+	return now.Add(loadTime) <= d.deadline
 }
--- a/internal/core/residency/machine.go
+++ b/internal/core/residency/machine.go
@@ -10,34 +10,34 @@
 	"gentiancroft/internal/core/table"
 )
 
-// Times of the decisions.
+// Intervals, timeouts and expected durations.
 const (
-	probeEvery   = 100 * time.Millisecond // after a report that tells of an earlier state
-	probeModel   = 250 * time.Millisecond // while a model is being loaded
-	probeFailed  = 500 * time.Millisecond // after a report that did not come
-	settle       = 150 * time.Millisecond // after an order without an answer
-	unloadAgain  = 100 * time.Millisecond // between two questions whether an adapter is gone
-	loadAgain    = 25 * time.Millisecond  // between two questions whether an adapter is there
-	copyTime     = 28 * time.Millisecond  // to load an adapter that the replica has a copy of
-	fetchTime    = 256 * time.Millisecond // to load one that it has not
-	loadPatience = 8 * time.Second        // for what is on its way; then the replica is asked anew
-	useFor       = 2 * time.Second        // a use that is not repeated is dropped after it
-	keepAtLeast  = 300 * time.Millisecond // from an adapter's arrival to its unloading
+	probeStaleInterval  = 100 * time.Millisecond // after an outdated report
+	probeModelInterval  = 250 * time.Millisecond // while a model is being loaded
+	probeFailedInterval = 500 * time.Millisecond // after a missing report
+	unknownOrderDelay   = 150 * time.Millisecond // after an order with an unknown result
+	unloadCheckInterval = 100 * time.Millisecond // between checks whether an adapter is unloaded
+	loadCheckInterval   = 25 * time.Millisecond  // between checks whether an adapter is loaded
+	copyLoadTime        = 28 * time.Millisecond  // to load an adapter that the replica has a copy of
+	fetchLoadTime       = 256 * time.Millisecond // to load one from the weight store
+	loadTimeout         = 8 * time.Second        // after which the state of a load or unload is read again
+	useTTL              = 2 * time.Second        // after which a use that is not repeated is dropped
+	minResidentTime     = 300 * time.Millisecond // between an adapter's load and its eviction
 )
 
-// Machine decides what the replicas hold that this host orders.
+// Machine decides the residency of the replicas whose shards this host owns.
 type Machine struct {
-	settings Settings
-	known    map[core.UpstreamID]*replica
-	sorted   []*replica // the same by replica; nil: to be made
-	services map[table.ServiceID]limits
-	newest   map[core.AdapterID]newest
-	fetches  int    // adapters that may be on their way from the weight store
-	next     uint64 // id of the next order
-	byOrder  map[uint64]*replica
+	settings    Settings
+	byID        map[core.UpstreamID]*replica
+	sorted      []*replica // the same, sorted by id; nil: not sorted yet
+	services    map[table.ServiceID]limits
+	newest      map[core.AdapterID]newestVersion
+	maxFetches  int    // adapters that may be loaded from the weight store at once
+	lastOrderID uint64 // id of the latest order
+	byOrder     map[uint64]*replica
 }
 
-// New returns a machine without replicas.
+// New returns a machine without replicas. Settings of 0 or less take their defaults.
 func New(s Settings) *Machine {
 	if s.InTransit <= 0 {
 		s.InTransit = DefaultInTransit
@@ -50,14 +50,14 @@
 	}
 	return &Machine{
 		settings: s,
-		known:    map[core.UpstreamID]*replica{},
+		byID:     map[core.UpstreamID]*replica{},
 		services: map[table.ServiceID]limits{},
 		byOrder:  map[uint64]*replica{},
-		newest:   map[core.AdapterID]newest{},
+		newest:   map[core.AdapterID]newestVersion{},
 	}
 }
 
-// Configure takes the engines of a configuration.
+// Configure sets the services. Those without an engine are ignored.
 func (m *Machine) Configure(services map[table.ServiceID]*table.Service) {
 	m.services = map[table.ServiceID]limits{}
 	for id, s := range services {
@@ -67,9 +67,10 @@
 	}
 }
 
-// Put takes a replica's entry. Those of plain services are never ordered.
+// Put adds or updates a replica. A new start resets its state. Replicas of plain
+// services get no orders.
 func (m *Machine) Put(e replicas.Entry) {
-	r := m.known[e.ID]
+	r := m.byID[e.ID]
 	if r == nil || r.started != e.Started {
 		if r != nil {
 			m.drop(r)
@@ -84,81 +85,82 @@
 			copies:       map[core.AdapterID]bool{},
 			popularities: map[core.AdapterID]core.Decaying{},
 		}
-		m.known[e.ID] = r
+		m.byID[e.ID] = r
 		m.sorted = nil
 	}
 	r.address, r.service = e.Address, e.Service
 }
 
-// Remove forgets a replica.
+// Remove removes a replica.
 func (m *Machine) Remove(id core.UpstreamID) {
-	if r := m.known[id]; r != nil {
+	if r := m.byID[id]; r != nil {
 		m.drop(r)
 	}
 }
 
+// drop removes a replica and its open order.
 func (m *Machine) drop(r *replica) {
 	if r.order != nil {
 		delete(m.byOrder, r.order.ID)
 	}
-	delete(m.known, r.id)
+	delete(m.byID, r.id)
 	m.sorted = nil
 }
 
-// Yield forgets what is known of a replica that another host orders now.
+// Yield discards the state and demands of a replica that another host owns now.
 func (m *Machine) Yield(id core.UpstreamID) {
-	if r := m.known[id]; r != nil {
+	if r := m.byID[id]; r != nil {
 		r.synced = false
-		r.probe = 0
+		r.probeAt = 0
 		r.demands = map[core.AdapterID]*demand{}
 	}
 }
 
-// Output is what the machine wants done.
+// Output are the orders and probes to send.
 type Output struct {
 	Orders []Order
 	Probes []Probe
 }
 
-// Probe asks a replica for its report.
+// Probe is a request for a replica's report.
 type Probe struct {
 	Replica core.UpstreamID
 	Address string
 }
 
-// Tick returns the orders and probes that are due.
+// Tick returns the orders and probes that are due at the replicas that act allows.
 func (m *Machine) Tick(now core.Instant, act Actor) Output {
 	var out Output
-	m.allot(act)
-	var fetches []candidate
+	m.updateFetchLimit(act)
+	var fetches []fetchCandidate
 	for _, r := range m.all() {
 		fence, ok := act(r.id)
 		if !ok {
 			continue
 		}
-		if w := m.advance(now, r, fence, &out); w != nil {
-			fetches = append(fetches, candidate{replica: r, fence: fence, demand: w})
+		if d := m.advance(now, r, fence, &out); d != nil {
+			fetches = append(fetches, fetchCandidate{replica: r, fence: fence, demand: d})
 		}
 	}
-	m.fetch(now, fetches, &out)
+	m.orderFetches(now, fetches, &out)
 	return out
 }
 
-// all returns the known by replica.
+// all returns the replicas sorted by id.
 func (m *Machine) all() []*replica {
 	if m.sorted != nil {
 		return m.sorted
 	}
-	m.sorted = make([]*replica, 0, len(m.known))
-	for _, r := range m.known {
+	m.sorted = make([]*replica, 0, len(m.byID))
+	for _, r := range m.byID {
 		m.sorted = append(m.sorted, r)
 	}
 	slices.SortFunc(m.sorted, func(a, b *replica) int { return cmp.Compare(a.id, b.id) })
 	return m.sorted
 }
 
-// Changed returns what the replicas hold that act reports as this host's:
-// of all, or of those where that has changed since the last call.
+// Changed returns the residency of the replicas that act allows: of all of them, or
+// of those whose residency has changed since the last call.
 func (m *Machine) Changed(act Actor, all bool) []replicas.Residency {
 	var changed []replicas.Residency
 	for _, r := range m.all() {
@@ -171,16 +173,17 @@
 	return changed
 }
 
-// Meets returns what a replica holds, if that meets a demand.
-func (m *Machine) Meets(w Demand) (held replicas.Residency, ok bool) {
-	r := m.known[w.Replica]
-	if r == nil || !r.synced || !r.holds(w.Adapter) {
+// Meets returns the residency of a demand's replica, and false if the adapter isn't
+// loaded there.
+func (m *Machine) Meets(d Demand) (found replicas.Residency, ok bool) {
+	r := m.byID[d.Replica]
+	if r == nil || !r.synced || !r.hasAdapter(d.Adapter) {
 		return replicas.Residency{}, false
 	}
 	return r.residency(), true
 }
 
-// Replicas returns the replicas that the machine knows, sorted.
+// Replicas returns the ids of all replicas, sorted.
 func (m *Machine) Replicas() []core.UpstreamID {
 	var ids []core.UpstreamID
 	for _, r := range m.all() {
--- a/internal/core/residency/machine_test.go
+++ b/internal/core/residency/machine_test.go
@@ -16,34 +16,35 @@
 
 const base core.BaseModel = "base"
 
-// fetch and copied are how long the tests' replica takes to load an adapter.
+// fetch and copied are the load times of the fake replica: from the weight store and
+// from a copy.
 const (
 	fetch  = 250 * time.Millisecond
 	copied = 25 * time.Millisecond
 )
 
-// engine is a replica as the tests see it: it carries orders out as told.
+// engine is a fake replica that carries out orders.
 type engine struct {
 	slots    int
 	sequence uint64
-	held     map[core.AdapterID]core.Instant // until when each is on its way
+	loadEnd  map[core.AdapterID]core.Instant // when its load ends
 	copies   map[core.AdapterID]bool
-	crashed  bool
+	crashed  bool // it was ordered to load more than its slots hold
 	loads    int
 }
 
 func newEngine(slots int) *engine {
-	return &engine{slots: slots, held: map[core.AdapterID]core.Instant{}, copies: map[core.AdapterID]bool{}}
+	return &engine{slots: slots, loadEnd: map[core.AdapterID]core.Instant{}, copies: map[core.AdapterID]bool{}}
 }
 
 func (e *engine) order(now core.Instant, o Order) Outcome {
 	if o.Expected != e.sequence {
 		return Conflict
 	}
-	until, there := e.held[o.Adapter.ID]
+	until, there := e.loadEnd[o.Adapter.ID]
 	if !o.Load {
 		if there {
-			delete(e.held, o.Adapter.ID)
+			delete(e.loadEnd, o.Adapter.ID)
 			e.sequence++
 		}
 		return Holds
@@ -53,7 +54,7 @@
 		return Holds
 	case there:
 		return Accepted
-	case len(e.held) >= e.slots:
+	case len(e.loadEnd) >= e.slots:
 		e.crashed = true
 		return Accepted
 	}
@@ -62,7 +63,7 @@
 		took = copied
 	}
 	e.copies[o.Adapter.ID] = true
-	e.held[o.Adapter.ID] = now.Add(took)
+	e.loadEnd[o.Adapter.ID] = now.Add(took)
 	e.sequence++
 	e.loads++
 	return Accepted
@@ -70,7 +71,7 @@
 
 func (e *engine) report(now core.Instant) Report {
 	r := Report{Replica: "r", OK: true, Started: 1, Sequence: e.sequence, Models: []replicas.Model{{Name: base, Version: 1}}}
-	for a, until := range e.held {
+	for a, until := range e.loadEnd {
 		ref := core.AdapterRef{ID: a, Version: 1}
 		if now >= until {
 			r.Models[0].Adapters = append(r.Models[0].Adapters, ref)
@@ -92,7 +93,7 @@
 
 func at(d time.Duration) core.Instant { return core.Instant(d) }
 
-// run lets the machine and the replica work until the given time.
+// run ticks the machine every 5 ms and answers its orders and probes from the engine.
 func run(m *Machine, e *engine, from, to time.Duration) {
 	for now := at(from); now <= at(to); now = now.Add(5 * time.Millisecond) {
 		out := m.Tick(now, act)
@@ -105,7 +106,7 @@
 	}
 }
 
-func held(m *Machine) []core.AdapterID {
+func loaded(m *Machine) []core.AdapterID {
 	var ids []core.AdapterID
 	for _, s := range m.Changed(act, true) {
 		for _, a := range s.Models[0].Adapters {
@@ -115,54 +116,53 @@
 	return ids
 }
 
-func want(a core.AdapterID) Demand {
+func demandFor(a core.AdapterID) Demand {
 	return Demand{Replica: "r", Model: base, Adapter: core.AdapterRef{ID: a}, Weight: 1}
 }
 
-func TestAWantedAdapterIsThereAsSoonAsTheReplicaHasIt(t *testing.T) {
+func TestDemandedAdapterIsLoadedWithoutDelay(t *testing.T) {
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
 	run(m, e, 0, 0)
-	m.Demanded(at(5*time.Millisecond), want("x"))
+	m.Demanded(at(5*time.Millisecond), demandFor("x"))
 	run(m, e, 5*time.Millisecond, fetch+15*time.Millisecond)
-	is.Equal(held(m), []core.AdapterID{"x"})
+	is.Equal(loaded(m), []core.AdapterID{"x"})
 }
 
-func TestTheColdestAdapterMakesRoomUnlessItIsInUse(t *testing.T) {
+func TestLeastPopularAdapterIsEvictedUnlessInUse(t *testing.T) {
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
 	run(m, e, 0, 0)
-	m.Demanded(0, want("x"))
-	m.Demanded(0, want("y"))
+	m.Demanded(0, demandFor("x"))
+	m.Demanded(0, demandFor("y"))
 	run(m, e, 0, time.Second)
-	m.Used(at(time.Second), "h", Use{Replica: "r", Adapter: "x", Running: 1}) // x stays, though y is younger
-	m.Demanded(at(time.Second), want("z"))
+	m.Used(at(time.Second), "h", Use{Replica: "r", Adapter: "x", Running: 1}) // x is kept although y was loaded later
+	m.Demanded(at(time.Second), demandFor("z"))
 	run(m, e, time.Second, 1500*time.Millisecond)
-	is.Equal(held(m), []core.AdapterID{"x", "z"})
+	is.Equal(loaded(m), []core.AdapterID{"x", "z"})
 }
 
-// The pattern of a burst of rare adapters: it must not push out the popular ones.
-func TestRareAdaptersMakeRoomForEachOther(t *testing.T) {
+// Guards against eviction of popular adapters by a burst of rare ones.
+func TestRareAdaptersDoNotEvictPopularOnes(t *testing.T) {
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
 	run(m, e, 0, 0)
-	m.Demanded(0, want("popular"))
+	m.Demanded(0, demandFor("popular"))
 	run(m, e, 0, time.Second)
 	m.Used(at(time.Second), "h", Use{Replica: "r", Adapter: "popular", Begun: 20})
 	for i := range 5 {
 		now := time.Duration(i+1) * time.Second
 		rare := core.AdapterID("rare" + strconv.Itoa(i))
-		m.Demanded(at(now), want(rare))
+		m.Demanded(at(now), demandFor(rare))
 		run(m, e, now, now+900*time.Millisecond)
 		m.Used(at(now+900*time.Millisecond), "h", Use{Replica: "r", Adapter: rare, Begun: 1})
-		is.Equal(held(m), []core.AdapterID{"popular", rare})
+		is.Equal(loaded(m), []core.AdapterID{"popular", rare})
 	}
 }
 
-// The pattern of rare adapters that are asked for faster than the weight store
-// gives them: most of what is loaded is in time, where first come first served
-// would soon be late for everybody.
-func TestUnderMoreWantsThanLoadsMostLoadsAreOnTime(t *testing.T) {
+// Rare adapters are demanded faster than the weight store can load them. Most loads
+// must still be on time; first come, first served would soon make all of them late.
+func TestMostLoadsAreOnTimeUnderOverload(t *testing.T) {
 	is := is.New(t)
 	const every, objective = 60 * time.Millisecond, 440 * time.Millisecond // against 2 loads in 256 ms
 	m, e := newMachine(100), newEngine(100)
@@ -174,14 +174,14 @@
 		id := core.AdapterID(strconv.Itoa(int(now / every)))
 		asked[id] = now
 		for a, since := range asked {
-			if now-since < 1200*time.Millisecond && !seen[a] { // callers leave after it
-				w := want(a)
+			if now-since < 1200*time.Millisecond && !seen[a] { // callers give up after 1.2 s
+				w := demandFor(a)
 				w.Left = objective - (now - since)
 				m.Demanded(at(now), w)
 			}
 		}
 		run(m, e, now, now+every-5*time.Millisecond)
-		for _, a := range held(m) {
+		for _, a := range loaded(m) {
 			if seen[a] {
 				continue
 			}
@@ -196,9 +196,9 @@
 	is.True(onTime >= met*3/4)
 }
 
-// Found in an incident: the places on the way went to the replicas in their
-// order, and the last one's adapters were never loaded.
-func TestNoReplicaIsStarvedOfFetches(t *testing.T) {
+// Guards against an incident where the replicas got the concurrent fetches in order
+// of their ids, and adapters of the last replica were never loaded.
+func TestFetchesAreSharedByAllReplicas(t *testing.T) {
 	is := is.New(t)
 	m := New(Settings{Self: "a"})
 	m.Configure(map[table.ServiceID]*table.Service{"s": {ID: "s", Engine: &table.Engine{AdapterSlots: 100, Models: []table.Model{{Name: base}}}}})
@@ -210,7 +210,7 @@
 	}
 	n := 0
 	for now := at(0); now < at(4*time.Second); now = now.Add(5 * time.Millisecond) {
-		for _, id := range names { // far more than can be loaded, at all of them
+		for _, id := range names { // far more demands than loads, at every replica
 			n++
 			m.Demanded(now, Demand{Replica: id, Model: base, Adapter: core.AdapterRef{ID: core.AdapterID(strconv.Itoa(n))}, Weight: 1, Left: 400 * time.Millisecond})
 		}
@@ -225,32 +225,33 @@
 		}
 	}
 	for _, id := range names {
-		is.True(engines[id].loads >= 6) // of some 30 in all
+		is.True(engines[id].loads >= 6) // of about 30 in total
 	}
 }
 
-func TestACopyLoadsWithoutWaitingForFetches(t *testing.T) {
+func TestLoadFromCopyDoesNotWaitForFetches(t *testing.T) {
 	is := is.New(t)
 	m, e := newMachine(1), newEngine(1)
 	run(m, e, 0, 0)
-	m.Demanded(0, want("x"))
+	m.Demanded(0, demandFor("x"))
 	run(m, e, 0, 700*time.Millisecond)
-	m.Demanded(at(700*time.Millisecond), want("y"))
+	m.Demanded(at(700*time.Millisecond), demandFor("y"))
 	run(m, e, 700*time.Millisecond, 1500*time.Millisecond)
-	m.Demanded(at(1500*time.Millisecond), want("x"))
+	m.Demanded(at(1500*time.Millisecond), demandFor("x"))
 	run(m, e, 1500*time.Millisecond, 1500*time.Millisecond+copied+20*time.Millisecond)
-	is.Equal(held(m), []core.AdapterID{"x"})
+	is.Equal(loaded(m), []core.AdapterID{"x"})
 }
 
-// Found on a day with a popular adapter (trouble-3): a replica that was ordered
-// to replace it waited four seconds for its runs, and refused it meanwhile.
-func TestANewerVersionWaitsUntilTheOldOneIsNotUsed(t *testing.T) {
+// Guards against replacing an adapter in use: a replica ordered to load a newer
+// version of a popular adapter waited 4 s for its runs and refused requests for the
+// adapter meanwhile.
+func TestNewerVersionWaitsUntilOldOneIsIdle(t *testing.T) {
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
 	run(m, e, 0, 0)
-	m.Demanded(0, want("x"))
+	m.Demanded(0, demandFor("x"))
 	run(m, e, 0, time.Second)
-	newer := want("x")
+	newer := demandFor("x")
 	newer.Adapter.Version = 5
 	m.Used(at(time.Second), "h", Use{Replica: "r", Adapter: "x", Running: 1})
 	m.Demanded(at(time.Second), newer)
@@ -258,52 +259,52 @@
 	m.Used(at(1100*time.Millisecond), "h", Use{Replica: "r", Adapter: "x"})
 	m.Demanded(at(1100*time.Millisecond), newer)
 	is.Equal(len(m.Tick(at(1200*time.Millisecond), act).Orders), 0)
-	out := m.Tick(at(1100*time.Millisecond+quietFor), act)
+	out := m.Tick(at(1100*time.Millisecond+minUpgradeIdle), act)
 	is.Equal(len(out.Orders), 1)
 	is.Equal(out.Orders[0].Adapter, core.AdapterRef{ID: "x", Version: 5})
 	is.True(out.Orders[0].Load)
 }
 
-func TestTheNewestVersionOfAnAdapterInUseIsLoadedUnasked(t *testing.T) {
+func TestNewestVersionOfPopularAdapterIsLoadedWithoutDemand(t *testing.T) {
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
 	run(m, e, 0, 0)
-	m.Demanded(0, want("used"))
-	m.Demanded(0, want("idle"))
+	m.Demanded(0, demandFor("used"))
+	m.Demanded(0, demandFor("idle"))
 	run(m, e, 0, time.Second)
 	m.Used(at(time.Second), "h", Use{Replica: "r", Adapter: "used", Begun: 1})
 	m.Newest(base, core.AdapterRef{ID: "used", Version: 2})
 	m.Newest(base, core.AdapterRef{ID: "idle", Version: 2})
 	is.Equal(len(m.Tick(at(time.Second), act).Orders), 0) // used a moment ago
-	out := m.Tick(at(time.Second+quietFor), act)
+	out := m.Tick(at(time.Second+minUpgradeIdle), act)
 	is.Equal(len(out.Orders), 1)
 	is.Equal(out.Orders[0].Adapter, core.AdapterRef{ID: "used", Version: 2})
 }
 
-func TestAnEmptyReplicaLoadsItsModelFirst(t *testing.T) {
+func TestEmptyReplicaLoadsItsModelFirst(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
 	m.Tick(0, act)
 	m.Reported(0, Report{Replica: "r", OK: true, Started: 1})
-	m.Demanded(0, want("x"))
+	m.Demanded(0, demandFor("x"))
 	out := m.Tick(0, act)
 	is.Equal(len(out.Orders), 1)
 	is.Equal(out.Orders[0].Model, base)
 	is.Equal(out.Orders[0].Adapter.ID, core.AdapterID(""))
 }
 
-func TestNobodyOrdersWithoutTheRight(t *testing.T) {
+func TestNoOrdersWithoutOwnership(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
-	m.Demanded(0, want("x"))
+	m.Demanded(0, demandFor("x"))
 	out := m.Tick(0, func(core.UpstreamID) (core.Fence, bool) { return 0, false })
 	is.Equal(len(out.Orders)+len(out.Probes), 0)
 }
 
-// Answers are lost, orders are carried out late, reports lag or fail: a replica
-// is never ordered to hold more than it has places, and wants are met once all
-// is well.
-func TestNoFaultOverfillsAReplica(t *testing.T) {
+// Answers are lost, orders are carried out late, and reports lag or fail. Invariant: a
+// replica is never ordered to load more adapters than it has slots, and demands are
+// met once the faults end.
+func TestNoFaultOverfillsReplica(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const slots = 3
 		m, e := newMachine(slots), newEngine(slots)
@@ -323,7 +324,7 @@
 				return true
 			})
 			if rapid.IntRange(0, 4).Draw(rt, "want") == 0 {
-				m.Demanded(now, want(core.AdapterID(strconv.Itoa(rapid.IntRange(0, 8).Draw(rt, "adapter")))))
+				m.Demanded(now, demandFor(core.AdapterID(strconv.Itoa(rapid.IntRange(0, 8).Draw(rt, "adapter")))))
 			}
 			lagging = append(lagging, e.report(now))
 			out := m.Tick(now, act)
@@ -337,7 +338,7 @@
 			}
 			for _, o := range out.Orders {
 				switch rapid.IntRange(0, 7).Draw(rt, "fault") {
-				case 0: // carried out, the answer is lost
+				case 0: // carried out, but the answer is lost
 					e.order(now, o)
 					m.Done(now, OrderDone{ID: o.ID, Outcome: Unknown})
 				case 1: // carried out late
@@ -348,15 +349,15 @@
 				}
 			}
 			if e.crashed {
-				rt.Fatalf("step %d: ordered beyond %d places", step, slots)
+				rt.Fatalf("step %d: ordered to load more than %d adapters", step, slots)
 			}
 		}
-		m.Demanded(at(6*time.Second), want("last"))
+		m.Demanded(at(6*time.Second), demandFor("last"))
 		run(m, e, 6*time.Second, 7*time.Second)
-		m.Demanded(at(7*time.Second), want("last")) // hosts repeat what they want
+		m.Demanded(at(7*time.Second), demandFor("last")) // hosts repeat their demands
 		run(m, e, 7*time.Second, 8*time.Second)
-		if !slices.Contains(held(m), "last") {
-			rt.Fatalf("the last want was not met: %v", held(m))
+		if !slices.Contains(loaded(m), "last") {
+			rt.Fatalf("the last demand was not met: %v", loaded(m))
 		}
 	})
 }
--- a/internal/core/residency/order.go
+++ b/internal/core/residency/order.go
@@ -6,145 +6,147 @@
 	"gentiancroft/internal/core"
 )
 
-// candidate is an adapter that a replica would have to load from the weight store.
-type candidate struct {
+// fetchCandidate is a demand that a replica would load from the weight store.
+type fetchCandidate struct {
 	replica *replica
 	fence   core.Fence
 	demand  *demand
 }
 
-// fetch orders, of what the replicas wait for, as much as may be on its way, the
-// best demands of all replicas first.
-func (m *Machine) fetch(now core.Instant, all []candidate, out *Output) {
-	slices.SortStableFunc(all, func(a, b candidate) int {
-		if better(now, a.replica, a.demand, b.replica, b.demand) {
+// orderFetches orders loads from the weight store up to the limit, the best demands
+// of all replicas first.
+func (m *Machine) orderFetches(now core.Instant, all []fetchCandidate, out *Output) {
+	slices.SortStableFunc(all, func(a, b fetchCandidate) int {
+		if ranksBefore(now, a.replica, a.demand, b.replica, b.demand) {
 			return -1
 		}
 		return 1
 	})
-	free := m.fetches - m.fetching()
+	free := m.maxFetches - m.fetchesInFlight()
 	for _, f := range all[:min(max(free, 0), len(all))] {
-		if o, ok := m.load(now, f.replica, f.demand); ok {
-			f.replica.fetched = now
-			m.give(f.replica, o, f.fence, out)
+		if o, ok := m.loadOrder(now, f.replica, f.demand); ok {
+			f.replica.lastFetch = now
+			m.send(f.replica, o, f.fence, out)
 		}
 	}
 }
 
-// leastFetches is how many adapters may be on their way however few replicas
-// this host orders.
-const leastFetches = 2
+// minFetches is the limit of concurrent loads from the weight store for a host that
+// owns few replicas.
+const minFetches = 2
 
-// allot sets how many adapters may be on their way from the weight store.
-func (m *Machine) allot(act Actor) {
+// updateFetchLimit sets how many adapters may be loaded from the weight store at once.
+func (m *Machine) updateFetchLimit(act Actor) {
 	ordered := 0
 	for _, r := range m.all() {
 		if _, ok := act(r.id); ok && m.services[r.service].slots > 0 {
 			ordered++
 		}
 	}
-	m.fetches = max(int(m.settings.Fetches*float64(ordered)+0.5), leastFetches)
+	m.maxFetches = max(int(m.settings.Fetches*float64(ordered)+0.5), minFetches)
 }
 
-// advance does what is due at a replica. It returns the demand that the replica
-// would have to fetch an adapter for, nil where there is none.
+// advance appends the probes and orders that are due at a replica to out. It returns
+// the demand to load from the weight store next, or nil.
 func (m *Machine) advance(now core.Instant, r *replica, fence core.Fence, out *Output) *demand {
 	limit, ok := m.services[r.service]
 	if !ok {
 		return nil
 	}
 	r.expire(now, m.settings.DemandFor)
-	if !r.probing && (!r.synced && r.probe == 0 || r.probe != 0 && now >= r.probe) {
+	if !r.probing && (!r.synced && r.probeAt == 0 || r.probeAt != 0 && now >= r.probeAt) {
 		r.probing = true
-		r.probe = 0
+		r.probeAt = 0
 		out.Probes = append(out.Probes, Probe{Replica: r.id, Address: r.address})
 	}
-	if r.order != nil || !r.synced || r.busy != 0 {
+	if r.order != nil || !r.synced || r.modelLoadingSince != 0 {
 		return nil
 	}
-	if o, ok := m.loadModel(r, limit); ok {
-		m.give(r, o, fence, out)
+	if o, ok := m.loadModelOrder(r, limit); ok {
+		m.send(r, o, fence, out)
 		return nil
 	}
-	if o, ok := r.check(now); ok {
-		r.checks = true
-		m.give(r, o, fence, out)
+	if o, ok := r.checkOrder(now); ok {
+		r.checking = true
+		m.send(r, o, fence, out)
 		return nil
 	}
-	if r.transit() >= m.settings.InTransit {
+	if r.loadsInFlight() >= m.settings.InTransit {
 		return nil
 	}
-	if w := m.topDemand(now, r, true); w != nil {
-		if o, ok := m.load(now, r, w); ok {
-			m.give(r, o, fence, out)
+	if d := m.topDemand(now, r, true); d != nil {
+		if o, ok := m.loadOrder(now, r, d); ok {
+			m.send(r, o, fence, out)
 			return nil
 		}
 	}
 	return m.topDemand(now, r, false)
 }
 
-// give sends an order to a replica.
-func (m *Machine) give(r *replica, o Order, fence core.Fence, out *Output) {
-	m.next++
-	o.ID, o.Replica, o.Address = m.next, r.id, r.address
+// send completes an order, records it as the replica's open one and appends it to out.
+func (m *Machine) send(r *replica, o Order, fence core.Fence, out *Output) {
+	m.lastOrderID++
+	o.ID, o.Replica, o.Address = m.lastOrderID, r.id, r.address
 	o.Expected, o.Holder, o.Fence = r.sequence, m.settings.Self, fence
 	r.order = &o
 	m.byOrder[o.ID] = r
 	out.Orders = append(out.Orders, o)
 }
 
-// load orders what a demand asks for, or makes room for it.
-func (m *Machine) load(now core.Instant, r *replica, w *demand) (Order, bool) {
-	replaces := r.residents[w.want.Adapter.ID] != nil
+// loadOrder returns the order that loads a demand's adapter or, if all slots are
+// taken, one that evicts another adapter; false if none can be evicted.
+func (m *Machine) loadOrder(now core.Instant, r *replica, d *demand) (Order, bool) {
+	replaces := r.residents[d.merged.Adapter.ID] != nil
 	if len(r.residents) >= m.services[r.service].slots && !replaces {
-		return m.makeRoom(now, r, w.want.Model)
+		return m.evictionOrder(now, r, d.merged.Model)
 	}
-	return Order{Load: true, Model: w.want.Model, Adapter: w.want.Adapter}, true
+	return Order{Load: true, Model: d.merged.Model, Adapter: d.merged.Adapter}, true
 }
 
-// loadModel loads the service's model into a replica that has none.
-func (m *Machine) loadModel(r *replica, limit limits) (Order, bool) {
+// loadModelOrder returns the order that loads the service's first base model, and
+// false if the replica has a model or the service none.
+func (m *Machine) loadModelOrder(r *replica, limit limits) (Order, bool) {
 	if len(r.models) > 0 || len(limit.models) == 0 {
 		return Order{}, false
 	}
 	return Order{Load: true, Model: limit.models[0].Name}, true
 }
 
-// makeRoom unloads the adapter that requests have named least, older requests
-// counting less. Keeps: an adapter that a request is known to use is not
-// unloaded.
-func (m *Machine) makeRoom(now core.Instant, r *replica, model core.BaseModel) (Order, bool) {
-	var victim core.AdapterID
-	var unpopular *resident
-	least := 0.0
-	for a, i := range r.residents {
-		if i.state == unloading {
-			return Order{}, false // room is on its way
+// evictionOrder returns the order that unloads the lowest popular adapter, and false if
+// none may be evicted or an unload is in progress. Invariant: an adapter with running
+// requests that have been reported isn't unloaded.
+func (m *Machine) evictionOrder(now core.Instant, r *replica, model core.BaseModel) (Order, bool) {
+	var victimID core.AdapterID
+	var victim *resident
+	lowest := 0.0
+	for a, res := range r.residents {
+		if res.state == unloading {
+			return Order{}, false // this frees a slot
 		}
-		if i.state != ready || now.Sub(i.since) < keepAtLeast || r.running(now, a) > 0 {
+		if res.state != ready || now.Sub(res.since) < minResidentTime || r.running(now, a) > 0 {
 			continue
 		}
-		h := r.popularities[a].Now(now, popularityHalf)
-		if unpopular == nil || lessPopular(h, i, a, least, unpopular, victim) {
-			victim, unpopular, least = a, i, h
+		popularity := r.popularities[a].Now(now, popularityHalfLife)
+		if victim == nil || lessPopular(popularity, res, a, lowest, victim, victimID) {
+			victimID, victim, lowest = a, res, popularity
 		}
 	}
-	if unpopular == nil {
+	if victim == nil {
 		return Order{}, false
 	}
-	return Order{Model: model, Adapter: core.AdapterRef{ID: victim, Version: unpopular.version}}, true
+	return Order{Model: model, Adapter: core.AdapterRef{ID: victimID, Version: victim.version}}, true
 }
 
-// fetching is how many adapters are on their way from the weight store to the
-// replicas of this host.
-func (m *Machine) fetching() int {
+// fetchesInFlight is the number of adapters that the synced replicas are loading from
+// the weight store.
+func (m *Machine) fetchesInFlight() int {
 	n := 0
-	for _, r := range m.known {
+	for _, r := range m.byID {
 		if !r.synced {
 			continue
 		}
-		for _, i := range r.residents {
-			if i.state == loading && !i.copied {
+		for _, res := range r.residents {
+			if res.state == loading && !res.fromCopy {
 				n++
 			}
 		}
--- a/internal/core/residency/outcome.go
+++ b/internal/core/residency/outcome.go
@@ -4,7 +4,7 @@
 	"gentiancroft/internal/core"
 )
 
-// Open returns an order that has no end yet.
+// Open returns the order with an id, and false if it has ended.
 func (m *Machine) Open(id uint64) (Order, bool) {
 	r := m.byOrder[id]
 	if r == nil || r.order == nil {
@@ -13,7 +13,8 @@
 	return *r.order, true
 }
 
-// Done takes the end of an order.
+// Done applies the result of an order. After an unexpected or unknown result the
+// replica's state is read again. Unknown ids are ignored.
 func (m *Machine) Done(now core.Instant, d OrderDone) {
 	r := m.byOrder[d.ID]
 	if r == nil {
@@ -26,124 +27,125 @@
 		r.resync(now)
 		return
 	}
-	checks := r.checks
-	r.checks = false
+	wasCheck := r.checking
+	r.checking = false
 	switch d.Outcome {
 	case Accepted:
-		if checks {
-			r.stillOnItsWay(now, o)
+		if wasCheck {
+			r.checkPending(now, o)
 			return
 		}
-		r.accepted(now, o)
+		r.applyAccepted(now, o)
 	case Holds:
-		r.done(now, o, checks)
+		r.applyHolds(now, o, wasCheck)
 	case Conflict, Elsewhere, Invalid:
 		r.resync(now)
 	case Unknown:
-		r.resync(now.Add(settle))
+		r.resync(now.Add(unknownOrderDelay))
 	}
 }
 
-// resync asks the replica for its state before it is ordered again.
+// resync schedules a probe and holds further orders until it is answered.
 func (r *replica) resync(at core.Instant) {
 	r.synced = false
-	r.probe = at
+	r.probeAt = at
 }
 
-// stillOnItsWay takes the answer that an order is being carried out yet.
-func (r *replica) stillOnItsWay(now core.Instant, o Order) {
-	i := r.residents[o.Adapter.ID]
-	if i == nil {
+// checkPending applies the answer to a check that the order is still being carried out.
+func (r *replica) checkPending(now core.Instant, o Order) {
+	res := r.residents[o.Adapter.ID]
+	if res == nil {
 		return
 	}
-	again := unloadAgain
+	again := unloadCheckInterval
 	if o.Load {
-		again = loadAgain
+		again = loadCheckInterval
 	}
-	i.check = now.Add(again)
-	if i.copied {
-		i.copied = false // the copy is gone: it is being fetched
-		i.check = i.since.Add(fetchTime)
+	res.nextCheck = now.Add(again)
+	if res.fromCopy {
+		res.fromCopy = false // the replica has no copy any more and loads from the weight store
+		res.nextCheck = res.since.Add(fetchLoadTime)
 	}
 }
 
-// accepted takes the answer that an order has been begun.
-func (r *replica) accepted(now core.Instant, o Order) {
+// applyAccepted applies the answer that the replica has started an order.
+func (r *replica) applyAccepted(now core.Instant, o Order) {
 	r.sequence++
 	r.changed = true
 	switch {
 	case o.Adapter.ID == "":
-		r.busy = now
-		r.probe = now.Add(probeModel)
+		r.modelLoadingSince = now
+		r.probeAt = now.Add(probeModelInterval)
 	case o.Load:
-		i := &resident{version: o.Adapter.Version, state: loading, since: now, used: now, copied: r.copies[o.Adapter.ID]}
+		res := &resident{version: o.Adapter.Version, state: loading, since: now, lastUsed: now, fromCopy: r.copies[o.Adapter.ID]}
 		if old := r.residents[o.Adapter.ID]; old != nil {
-			i.used = old.used
-			i.copied = false // another version of it
+			res.lastUsed = old.lastUsed
+			res.fromCopy = false // the copy is of another version
 		}
-		i.check = now.Add(fetchTime)
-		if i.copied {
-			i.check = now.Add(copyTime)
+		res.nextCheck = now.Add(fetchLoadTime)
+		if res.fromCopy {
+			res.nextCheck = now.Add(copyLoadTime)
 		}
-		r.residents[o.Adapter.ID] = i
+		r.residents[o.Adapter.ID] = res
 	default:
-		if i := r.residents[o.Adapter.ID]; i != nil {
-			i.state, i.since = unloading, now
-			i.check = now.Add(unloadAgain)
+		if res := r.residents[o.Adapter.ID]; res != nil {
+			res.state, res.since = unloading, now
+			res.nextCheck = now.Add(unloadCheckInterval)
 		}
 	}
 }
 
-// done takes the answer that the replica is as ordered.
-func (r *replica) done(now core.Instant, o Order, checks bool) {
+// applyHolds applies the answer that the replica is in the ordered state.
+func (r *replica) applyHolds(now core.Instant, o Order, wasCheck bool) {
 	r.changed = true
 	switch {
 	case o.Adapter.ID == "":
 		r.resync(now)
 	case o.Load:
-		i := &resident{version: o.Adapter.Version, state: ready, since: now, used: now}
+		res := &resident{version: o.Adapter.Version, state: ready, since: now, lastUsed: now}
 		if old := r.residents[o.Adapter.ID]; old != nil {
-			i.used = max(old.used, old.since)
+			res.lastUsed = max(old.lastUsed, old.since)
 		}
-		r.residents[o.Adapter.ID] = i
+		r.residents[o.Adapter.ID] = res
 		r.copies[o.Adapter.ID] = true
 	default:
 		delete(r.residents, o.Adapter.ID)
-		if !checks {
-			r.sequence++ // an unused adapter goes at once, and that counts as an order
+		if !wasCheck {
+			r.sequence++ // an unused adapter is unloaded at once, which counts as an accepted order
 		}
 	}
 }
 
-// Reported takes a replica's report. One that tells of an earlier state than
-// this host knows is passed over.
+// Reported applies a replica's report. A failed report, one of another start, one
+// older than the known state and one that comes while an order is open are ignored,
+// and a new probe is scheduled.
 func (m *Machine) Reported(now core.Instant, report Report) {
-	r := m.known[report.Replica]
+	r := m.byID[report.Replica]
 	if r == nil {
 		return
 	}
 	r.probing = false
 	switch {
 	case !report.OK:
-		r.probe = now.Add(probeFailed)
+		r.probeAt = now.Add(probeFailedInterval)
 		return
 	case report.Started != r.started && report.Started != 0:
-		r.probe = now.Add(probeFailed) // the list tells of the new start
+		r.probeAt = now.Add(probeFailedInterval) // the platform's list will show the new start
 		return
 	case r.synced && report.Sequence < r.sequence:
-		r.probe = now.Add(probeEvery)
+		r.probeAt = now.Add(probeStaleInterval)
 		return
 	case r.order != nil:
-		r.probe = now.Add(probeEvery) // the order under way changes what the report says
+		r.probeAt = now.Add(probeStaleInterval) // the open order changes the reported state
 		return
 	}
-	r.adopt(now, report.Sequence, report.Models, report.Pending)
+	r.applyState(now, report.Sequence, report.Models, report.Pending)
 	if report.Busy {
-		r.busy = max(r.busy, now)
-	} else if len(r.models) > 0 || r.busy != 0 && now.Sub(r.busy) > probeModel {
-		r.busy = 0
+		r.modelLoadingSince = max(r.modelLoadingSince, now)
+	} else if len(r.models) > 0 || r.modelLoadingSince != 0 && now.Sub(r.modelLoadingSince) > probeModelInterval {
+		r.modelLoadingSince = 0
 	}
-	if r.busy != 0 {
-		r.probe = now.Add(probeModel)
+	if r.modelLoadingSince != 0 {
+		r.probeAt = now.Add(probeModelInterval)
 	}
 }
--- a/internal/core/residency/replica.go
+++ b/internal/core/residency/replica.go
@@ -18,14 +18,14 @@
 	unloading
 )
 
-// resident is one adapter that takes a place at a replica.
+// resident is an adapter that takes a slot of a replica.
 type resident struct {
-	version int
-	state   state
-	since   core.Instant // of the state
-	used    core.Instant // last
-	check   core.Instant // when the replica is next asked whether the state has ended
-	copied  bool         // it loads from a copy that the replica has kept
+	version   int
+	state     state
+	since     core.Instant // when it entered the state
+	lastUsed  core.Instant // last use
+	nextCheck core.Instant // when to check next whether the load or unload is done
+	fromCopy  bool         // it is loaded from the replica's copy
 }
 
 type use struct {
@@ -33,47 +33,47 @@
 	at      core.Instant
 }
 
-// replica is one replica that this host may have to order.
+// replica is the state of one replica; it is current only while this host owns it.
 type replica struct {
-	id           core.UpstreamID
-	address      string
-	service      table.ServiceID
-	started      int64
-	sequence     uint64
-	synced       bool // sequence and residents are the replica's
-	models       map[core.BaseModel]int
-	residents    map[core.AdapterID]*resident
-	demands      map[core.AdapterID]*demand
-	uses         map[core.AdapterID]map[core.HostID]use
-	copies       map[core.AdapterID]bool          // adapters that the replica has held
-	popularities map[core.AdapterID]core.Decaying // how often requests have named them
-	order        *Order                           // without an answer yet
-	checks       bool                             // the order repeats one, to learn whether it is done
-	probing      bool
-	probe        core.Instant // when the next report is due; 0: none is
-	busy         core.Instant // a model is on its way since; 0: none is
-	fetched      core.Instant // when it was last ordered to fetch an adapter
-	changed      bool
+	id                core.UpstreamID
+	address           string
+	service           table.ServiceID
+	started           int64
+	sequence          uint64
+	synced            bool // sequence and residents match the replica
+	models            map[core.BaseModel]int
+	residents         map[core.AdapterID]*resident
+	demands           map[core.AdapterID]*demand
+	uses              map[core.AdapterID]map[core.HostID]use
+	copies            map[core.AdapterID]bool          // adapters that the replica has loaded before
+	popularities      map[core.AdapterID]core.Decaying // decaying counts of requests
+	order             *Order                           // the open one, or nil
+	checking          bool                             // the open order repeats an earlier one to check whether that is done
+	probing           bool                             // a probe is open
+	probeAt           core.Instant                     // when to send the next one; 0: none is due
+	modelLoadingSince core.Instant                     // since when a model is being loaded; 0: none is
+	lastFetch         core.Instant                     // when it was last ordered to load from the weight store
+	changed           bool                             // the residency has changed since it was last returned as changed
 }
 
-// adopt takes a replica's state as of a sequence.
-func (r *replica) adopt(now core.Instant, sequence uint64, models []replicas.Model, pending []core.AdapterRef) {
+// applyState replaces the replica's state by the one reported for a sequence.
+func (r *replica) applyState(now core.Instant, sequence uint64, models []replicas.Model, pending []core.AdapterRef) {
 	old := r.residents
 	r.sequence, r.synced, r.changed = sequence, true, true
 	r.residents = map[core.AdapterID]*resident{}
 	r.models = map[core.BaseModel]int{}
 	take := func(a core.AdapterRef, st state) {
-		i := &resident{version: a.Version, state: st, since: now, used: now}
+		res := &resident{version: a.Version, state: st, since: now, lastUsed: now}
 		if o := old[a.ID]; o != nil {
-			i.used = o.used
+			res.lastUsed = o.lastUsed
 			if o.state == st {
-				i.since, i.check, i.copied = o.since, o.check, o.copied
+				res.since, res.nextCheck, res.fromCopy = o.since, o.nextCheck, o.fromCopy
 			}
 			if o.state == unloading && st == ready {
-				i.state = unloading
+				res.state = unloading
 			}
 		}
-		r.residents[a.ID] = i
+		r.residents[a.ID] = res
 	}
 	for _, model := range models {
 		r.models[model.Name] = model.Version
@@ -87,17 +87,18 @@
 	}
 }
 
-// holds reports whether the replica holds an adapter, at a version or a newer one.
-func (r *replica) holds(a core.AdapterRef) bool {
-	i := r.residents[a.ID]
-	return i != nil && i.state == ready && i.version >= a.Version
+// hasAdapter reports whether an adapter is loaded at this version or a newer one.
+func (r *replica) hasAdapter(a core.AdapterRef) bool {
+	res := r.residents[a.ID]
+	return res != nil && res.state == ready && res.version >= a.Version
 }
 
-// running is how many requests use an adapter at a replica, as last told.
+// running is the number of requests that run with an adapter, as reported by all
+// hosts. It drops expired uses.
 func (r *replica) running(now core.Instant, a core.AdapterID) int {
 	total := 0
 	for host, u := range r.uses[a] {
-		if now.Sub(u.at) > useFor {
+		if now.Sub(u.at) > useTTL {
 			delete(r.uses[a], host)
 			continue
 		}
@@ -109,44 +110,47 @@
 	return total
 }
 
-func (r *replica) expire(now core.Instant, demandFor time.Duration) {
-	for a, w := range r.demands {
-		if r.holds(w.want.Adapter) || now.Sub(w.at) > demandFor {
+// expire drops demands that are met or not repeated, and marks the replica for a new
+// probe if a load or unload has timed out.
+func (r *replica) expire(now core.Instant, demandTTL time.Duration) {
+	for a, d := range r.demands {
+		if r.hasAdapter(d.merged.Adapter) || now.Sub(d.lastReceived) > demandTTL {
 			delete(r.demands, a)
 		}
 	}
-	for _, i := range r.residents {
-		if i.state != ready && now.Sub(i.since) > loadPatience {
+	for _, res := range r.residents {
+		if res.state != ready && now.Sub(res.since) > loadTimeout {
 			r.synced = false
-			i.since = now
+			res.since = now
 		}
 	}
-	if r.busy != 0 && now.Sub(r.busy) > loadPatience {
-		r.busy = 0
+	if r.modelLoadingSince != 0 && now.Sub(r.modelLoadingSince) > loadTimeout {
+		r.modelLoadingSince = 0
 		r.synced = false
 	}
 }
 
-// check asks again for what should have been carried out by now.
-func (r *replica) check(now core.Instant) (Order, bool) {
+// checkOrder returns an order that repeats the load or unload whose check is due
+// first, to learn whether it is done; false if none is due.
+func (r *replica) checkOrder(now core.Instant) (Order, bool) {
 	var due core.AdapterID
 	var first *resident
-	for a, i := range r.residents {
-		if i.state == ready || now < i.check {
+	for a, res := range r.residents {
+		if res.state == ready || now < res.nextCheck {
 			continue
 		}
-		if first == nil || i.check < first.check || i.check == first.check && a < due {
-			due, first = a, i
+		if first == nil || res.nextCheck < first.nextCheck || res.nextCheck == first.nextCheck && a < due {
+			due, first = a, res
 		}
 	}
 	if first == nil {
 		return Order{}, false
 	}
-	return Order{Load: first.state == loading, Model: r.model(), Adapter: core.AdapterRef{ID: due, Version: first.version}}, true
+	return Order{Load: first.state == loading, Model: r.loadedModel(), Adapter: core.AdapterRef{ID: due, Version: first.version}}, true
 }
 
-// model is the base model that the replica holds.
-func (r *replica) model() core.BaseModel {
+// loadedModel is the first of the loaded base models by name, "" if there is none.
+func (r *replica) loadedModel() core.BaseModel {
 	var first core.BaseModel
 	for name := range r.models {
 		if first == "" || name < first {
@@ -156,25 +160,26 @@
 	return first
 }
 
-// transit is how many adapters are on their way to a replica.
-func (r *replica) transit() int {
+// loadsInFlight is the number of adapters that the replica is loading.
+func (r *replica) loadsInFlight() int {
 	n := 0
-	for _, i := range r.residents {
-		if i.state == loading {
+	for _, res := range r.residents {
+		if res.state == loading {
 			n++
 		}
 	}
 	return n
 }
 
+// residency returns what is loaded, for other hosts.
 func (r *replica) residency() replicas.Residency {
 	e := replicas.Residency{Replica: r.id, Started: r.started, Orders: r.sequence}
 	for name, version := range r.models {
 		m := replicas.Model{Name: name, Version: version}
-		if len(e.Models) == 0 { // adapters are of the one model that engines run here
-			for a, i := range r.residents {
-				if i.state == ready {
-					m.Adapters = append(m.Adapters, core.AdapterRef{ID: a, Version: i.version})
+		if len(e.Models) == 0 { // an engine runs one base model, so all adapters belong to it
+			for a, res := range r.residents {
+				if res.state == ready {
+					m.Adapters = append(m.Adapters, core.AdapterRef{ID: a, Version: res.version})
 				}
 			}
 			slices.SortFunc(m.Adapters, func(a, b core.AdapterRef) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/core/residency/types.go
+++ b/internal/core/residency/types.go
@@ -1,6 +1,8 @@
-// Package residency decides which adapters a replica holds: what to load, in which
-// order, and what to unload for it. It runs on the one host that may order the
-// replica; other hosts send it their demands and what they have running.
+// Package residency decides which adapters are loaded on a replica: what to load, in
+// which order, and what to unload for it. It runs on the host that owns the replica's
+// shard. Its inputs are the demands and running requests of all hosts, the replicas'
+// reports and the results of orders; its outputs are orders and probes. Who owns a
+// shard is decided by package shard, which replica serves a request by the caller.
 package residency
 
 import (
@@ -11,30 +13,30 @@
 	"gentiancroft/internal/core/table"
 )
 
-// Order tells a replica to load or unload something.
+// Order is a load or unload order for a replica.
 type Order struct {
 	ID       uint64
 	Replica  core.UpstreamID
 	Address  string // ip:port
 	Load     bool   // false: unload
 	Model    core.BaseModel
-	Adapter  core.AdapterRef // zero: the model itself; version 0: the newest
-	Expected uint64          // orders that the replica must have accepted before this one
+	Adapter  core.AdapterRef // zero: the base model itself; version 0: the newest
+	Expected uint64          // the replica's order sequence that this order is based on
 	Holder   core.HostID
 	Fence    core.Fence
 }
 
-// Outcome is how an order ended.
+// Outcome is the result of an order.
 type Outcome uint8
 
 // Outcomes of an order.
 const (
-	Accepted  Outcome = iota + 1 // it is being carried out
+	Accepted  Outcome = iota + 1 // the replica is carrying it out
 	Holds                        // the replica is already as ordered
-	Conflict                     // another order came first, or is being carried out
-	Elsewhere                    // another replica answers at this address
-	Invalid                      // the order can't be carried out at all
-	Unknown                      // no answer: it may be carried out, also later
+	Conflict                     // another order was accepted first, or is being carried out
+	Elsewhere                    // another replica has this address
+	Invalid                      // the order can never be carried out
+	Unknown                      // no answer: the order may be carried out, now or later
 )
 
 var outcomeNames = map[Outcome]string{
@@ -46,39 +48,40 @@
 	Unknown:   "unknown",
 }
 
-// String names an outcome in logs and metrics.
+// String returns the outcome's name in logs and metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// OrderDone is the end of an order.
+// OrderDone is the result of the order with the same id.
 type OrderDone struct {
 	ID      uint64
 	Outcome Outcome
-	Err     error // why there is no answer; nil where there is one
+	Err     error // why there is no answer; nil if there is one
 }
 
-// Report is a replica's own account of what it holds. It lags.
+// Report is the state that a replica reports. It may be outdated.
 type Report struct {
 	Replica  core.UpstreamID
-	OK       bool  // false: no answer
-	Err      error // why there is none
-	Started  int64
-	Sequence uint64
-	Busy     bool // a model is being loaded or unloaded
+	OK       bool   // false: the replica did not answer
+	Err      error  // why it did not answer
+	Started  int64  // start of the reporting incarnation; 0: not reported
+	Sequence uint64 // orders that the replica has accepted
+	Busy     bool   // a model is being loaded or unloaded
 	Models   []replicas.Model
-	Pending  []core.AdapterRef // adapters on their way
+	Pending  []core.AdapterRef // adapters that are being loaded
 }
 
-// Demand asks for an adapter at a replica.
+// Demand is a host's request to load an adapter on a replica. It is repeated while
+// requests wait.
 type Demand struct {
 	Replica core.UpstreamID
 	Model   core.BaseModel
-	Adapter core.AdapterRef // the version is the newest known, 0 where none is
-	Weight  int             // requests that wait for it
-	Left    time.Duration   // in which the first of them must begin to be on time; 0 or less: it is late
+	Adapter core.AdapterRef // the newest version known; 0: none is known
+	Weight  int             // requests that wait for the adapter
+	Left    time.Duration   // until the first of them must start to be on time; 0 or less: it is late
 }
 
-// Use tells how many requests a host has at a replica that name an adapter, and
-// how many it has sent there since it last told.
+// Use counts a host's requests for an adapter on a replica: those running there and
+// those sent there since the host's previous report.
 type Use struct {
 	Replica core.UpstreamID
 	Adapter core.AdapterID
@@ -86,12 +89,13 @@
 	Begun   int
 }
 
-// Settings of the decisions.
+// Settings are the machine's settings. Limits and times of 0 or less take their
+// defaults.
 type Settings struct {
 	Self      core.HostID
-	InTransit int           // adapters on their way to one replica
-	Fetches   float64       // adapters on their way from the weight store, for each replica that this host orders
-	DemandFor time.Duration // a demand that is not repeated is dropped after it
+	InTransit int           // maximum number of adapters that one replica loads at once
+	Fetches   float64       // maximum number of concurrent loads from the weight store, per replica that this host owns
+	DemandFor time.Duration // after which a demand that is not repeated is dropped
 }
 
 // Defaults of Settings.
@@ -101,10 +105,11 @@
 	DefaultDemandFor = 700 * time.Millisecond
 )
 
-// Actor tells under which number this host may order a replica now.
+// Actor returns the fencing number under which this host may order a replica now, and
+// false if it may not.
 type Actor func(core.UpstreamID) (core.Fence, bool)
 
-// limits are what the replicas of a service can hold.
+// limits are the adapter slots and models of a service's replicas.
 type limits struct {
 	slots  int
 	models []table.Model
