--- a/internal/core/fleet/active.go
+++ b/internal/core/fleet/active.go
@@ -8,30 +8,30 @@
 	"gentiancroft/internal/core"
 )
 
-// In a small fleet every host serves callers and talks to every other one. In a
-// larger one the strongest hosts do, as many as the load needs: the active hosts.
-// The others stand by. They answer callers who reach them, tell where the active
-// hosts are, and take the places of those that are lost. What a host costs then
-// follows the load, and not the size of the fleet.
+// In a small fleet every host is active: it is advertised to callers and exchanges
+// heartbeats with all others. In a larger one only the strongest hosts are, as many as
+// the load needs. The others are standby hosts: they answer callers that reach them
+// with the addresses of the active hosts, and replace active hosts that become
+// unreachable. The cost per host then follows the load, not the size of the fleet.
 
 const (
-	// SmallMost is the size up to which all hosts of a fleet are active.
+	// SmallMost is the largest size of a fleet whose hosts are all active.
 	SmallMost = 12
-	// activeLeast is how many active hosts a larger fleet has at least.
-	activeLeast = 3
-	// NeedLeast is the capacity that the active hosts have at least, in cores.
+	// minActiveHosts is the minimum of active hosts in a larger fleet.
+	minActiveHosts = 3
+	// NeedLeast is the minimum capacity of the active hosts, in cores.
 	NeedLeast = 2.4
-	// similar is the part of the strongest host's capacity from which a host is
-	// active though the load could do without it.
-	similar = 0.5
-	// presumedFor is how long a host that is listed and not heard yet counts as
-	// there.
-	presumedFor = 2500 * time.Millisecond
-	// activeKind separates the scores of hosts of equal capacity from others.
-	activeKind = 37
+	// similarFraction is the fraction of the strongest host's capacity from which a
+	// host is active even if the load doesn't need it.
+	similarFraction = 0.5
+	// presumedTimeout is how long a newly registered host without heartbeats counts as
+	// reachable.
+	presumedTimeout = 2500 * time.Millisecond
+	// activeScoreKind separates these rendezvous scores from other uses.
+	activeScoreKind = 37
 )
 
-// Select chooses the active hosts for a need of capacity in cores.
+// Select chooses the active hosts so that they carry need, in cores.
 func (f *Fleet) Select(now core.Instant, need float64) {
 	f.large = f.Size(now) > SmallMost
 	if !f.large {
@@ -42,69 +42,72 @@
 		return
 	}
 	chosen := choose(f.candidates(now), need)
-	lost := f.lost(now) > 0
-	f.selfSubstitute = substitutes(f.selfSubstitute, f.selfActive, lost)
+	lost := f.lostCapacity(now) > 0
+	f.selfPromoted = isPromoted(f.selfPromoted, f.selfActive, lost)
 	f.selfActive = chosen[f.self.Name]
 	for name, p := range f.peers {
-		p.substitute = substitutes(p.substitute, p.active, lost)
+		p.promoted = isPromoted(p.promoted, p.active, lost)
 		p.active = chosen[name]
-		p.served = p.served || p.active && p.heard != 0
+		p.wasActive = p.wasActive || p.active && p.lastHeartbeat != 0
 	}
 }
 
-// substitutes tells whether a host, if it is active now, is so in the place of a lost
-// one: it was not active before, or substitutes already.
-func substitutes(already, active, lost bool) bool { return lost && (already || !active) }
+// isPromoted reports whether a host that is active now replaces an unreachable one:
+// it was not active before, or was promoted already.
+func isPromoted(already, active, lost bool) bool { return lost && (already || !active) }
 
-// lost is the capacity of the hosts that were active until they fell silent.
-func (f *Fleet) lost(now core.Instant) float64 {
+// lostCapacity is the capacity, in cores, of the hosts that were active until they
+// became unreachable.
+func (f *Fleet) lostCapacity(now core.Instant) float64 {
 	sum := 0.0
 	for _, p := range f.peers {
-		if p.served && !p.leaving && !p.gone(now) && !f.alive(now, p) {
+		if p.wasActive && !p.leaving && !p.forgotten(now) && !f.reachable(now, p) {
 			sum += capacityOf(p.Registration)
 		}
 	}
 	return sum
 }
 
-// substitutePart is what a host counts that is active in the place of a lost one. The
-// lost one may be at work in another part of a fleet that is cut.
-const substitutePart = 0.25
+// promotedFraction is the fraction of its capacity at which a promoted standby host
+// counts. The host that it replaces may still serve on the other side of a network
+// partition.
+const promotedFraction = 0.25
 
-// activePart is the capacity of the active hosts that are heard, as a part of that of
-// all that are active or were until they fell silent.
-func (f *Fleet) activePart(now core.Instant) float64 {
-	weight := func(r Registration, substitute bool) float64 {
-		if substitute {
-			return substitutePart * capacityOf(r)
+// reachableActiveFraction is the capacity of the reachable active hosts as a fraction
+// of that of all hosts that are active or were until they became unreachable.
+func (f *Fleet) reachableActiveFraction(now core.Instant) float64 {
+	weight := func(r Registration, promoted bool) float64 {
+		if promoted {
+			return promotedFraction * capacityOf(r)
 		}
 		return capacityOf(r)
 	}
-	heard := 0.0
+	reached := 0.0
 	if f.selfActive {
-		heard = weight(f.self, f.selfSubstitute)
+		reached = weight(f.self, f.selfPromoted)
 	}
-	all := heard + f.lost(now)
+	total := reached + f.lostCapacity(now)
 	for _, p := range f.peers {
 		if !p.active || p.leaving {
 			continue
 		}
-		w := weight(p.Registration, p.substitute)
+		w := weight(p.Registration, p.promoted)
 		switch {
-		case f.alive(now, p):
-			heard += w
-			all += w
-		case p.heard == 0: // not yet
-			all += w
+		case f.reachable(now, p):
+			reached += w
+			total += w
+		case p.lastHeartbeat == 0: // no heartbeat yet
+			total += w
 		}
 	}
-	if heard == 0 {
-		own := substitutePart * capacityOf(f.self)
-		return own / (own + all)
+	if reached == 0 {
+		own := promotedFraction * capacityOf(f.self)
+		return own / (own + total)
 	}
-	return heard / all
+	return reached / total
 }
 
+// capacityOf is a host's capacity in cores, 1 if none is registered.
 func capacityOf(r Registration) float64 {
 	if r.Capacity <= 0 {
 		return 1
@@ -112,7 +115,7 @@
 	return r.Capacity
 }
 
-// candidate is a host that could be active.
+// candidate is a host that may become active.
 type candidate struct {
 	name     string
 	capacity float64
@@ -120,19 +123,19 @@
 }
 
 func newCandidate(r Registration) candidate {
-	return candidate{name: r.Name, capacity: capacityOf(r), score: core.Score(core.HostID(r.Name), activeKind, "")}
+	return candidate{name: r.Name, capacity: capacityOf(r), score: core.Score(core.HostID(r.Name), activeScoreKind, "")}
 }
 
-// candidates are the hosts that are there, as far as can be told, the strongest
-// first.
+// candidates are the hosts that are reachable or presumed so and not leaving, the
+// strongest first.
 func (f *Fleet) candidates(now core.Instant) []candidate {
 	var all []candidate
 	if !f.self.Leaving {
 		all = append(all, newCandidate(f.self))
 	}
 	for _, p := range f.peers {
-		presumed := p.heard == 0 && now.Sub(p.listed) < presumedFor
-		if !p.leaving && (presumed || f.alive(now, p)) {
+		presumed := p.lastHeartbeat == 0 && now.Sub(p.listedAt) < presumedTimeout
+		if !p.leaving && (presumed || f.reachable(now, p)) {
 			all = append(all, newCandidate(p.Registration))
 		}
 	}
@@ -142,15 +145,16 @@
 	return all
 }
 
-// choose takes the fewest of the strongest hosts that carry the need, and those of
-// similar strength up to SmallMost. Callers spread evenly over the hosts that they
-// are told of, so the weakest of them bounds what all can carry.
+// choose returns the names of the active hosts: the fewest of the strongest that carry
+// need, in cores, and those of similar capacity up to the size of a small fleet.
+// Callers spread evenly over the active hosts, so the weakest of them bounds what all
+// can carry.
 func choose(sorted []candidate, need float64) map[string]bool {
 	n := 0
-	for n < len(sorted) && n < SmallMost && sorted[n].capacity >= similar*sorted[0].capacity {
+	for n < len(sorted) && n < SmallMost && sorted[n].capacity >= similarFraction*sorted[0].capacity {
 		n++
 	}
-	for n < len(sorted) && (n < activeLeast || float64(n)*sorted[n-1].capacity < need) {
+	for n < len(sorted) && (n < minActiveHosts || float64(n)*sorted[n-1].capacity < need) {
 		n++
 	}
 	names := make(map[string]bool, n)
@@ -163,15 +167,15 @@
 // Active reports whether this host is active.
 func (f *Fleet) Active() bool { return f.selfActive }
 
-// Large reports whether the fleet has hosts that stand by.
+// Large reports whether the fleet is large enough for standby hosts.
 func (f *Fleet) Large() bool { return f.large }
 
-// ActivePeers returns the other active hosts, sorted.
+// ActivePeers returns the other active hosts, sorted by name.
 func (f *Fleet) ActivePeers() []Registration {
 	return f.registrations(func(p *peer) bool { return p.active })
 }
 
-// ActiveHosts is how many hosts are active, this one included where it is.
+// ActiveHosts is the number of active hosts, including this one if it is active.
 func (f *Fleet) ActiveHosts() int {
 	n := 0
 	if f.selfActive {
@@ -185,63 +189,65 @@
 	return n
 }
 
-// IsActive reports whether another host is active.
+// IsActive reports whether another host is active, false if it isn't registered.
 func (f *Fleet) IsActive(h core.HostID) bool {
 	p := f.hosts[h]
 	return p != nil && p.active
 }
 
-// contacts is how many active hosts a host that stands by talks to.
+// contacts is how many active hosts a standby host sends heartbeats to.
 const contacts = 2
 
-// Contacts returns the active hosts that this one talks to while it stands by:
-// those of its own failure domain first.
+// Contacts returns the active hosts that this one sends heartbeats to while it is a
+// standby host. Hosts of its own failure domain are preferred.
 func (f *Fleet) Contacts() []Registration {
 	all := f.ActivePeers()
 	score := func(r Registration) uint64 {
-		return core.Score(core.HostID(r.Name), activeKind, f.self.Name)
+		return core.Score(core.HostID(r.Name), activeScoreKind, f.self.Name)
 	}
-	abroad := func(r Registration) int {
+	remote := func(r Registration) int {
 		if r.Domain == f.self.Domain {
 			return 0
 		}
 		return 1
 	}
 	slices.SortFunc(all, func(a, b Registration) int {
-		return cmp.Or(cmp.Compare(abroad(a), abroad(b)), cmp.Compare(score(a), score(b)))
+		return cmp.Or(cmp.Compare(remote(a), remote(b)), cmp.Compare(score(a), score(b)))
 	})
 	return all[:min(contacts, len(all))]
 }
 
-// tellsFor is how long a host is told of the active ones after it was last heard
-// from itself, and named to others as there.
-const tellsFor = 1600 * time.Millisecond
+// standbyReportTimeout is how long after its last direct heartbeat a standby host gets
+// the active hosts' heartbeats and is reported to others as ready.
+const standbyReportTimeout = 1600 * time.Millisecond
 
-// Standbys returns the hosts that have told this one lately that they stand by,
-// sorted.
+// Standbys returns the standby hosts that sent this one a heartbeat lately, sorted by
+// name.
 func (f *Fleet) Standbys(now core.Instant) []Registration {
-	return f.registrations(func(p *peer) bool { return p.standsBy(now) })
+	return f.registrations(func(p *peer) bool { return p.isDirectStandby(now) })
 }
 
-// standsBy reports whether a peer stands by and has told this host so lately.
-func (p *peer) standsBy(now core.Instant) bool {
-	return !p.active && p.direct != 0 && now.Sub(p.direct) < tellsFor
+// isDirectStandby reports whether a peer is a standby host that sent this host a
+// heartbeat lately.
+func (p *peer) isDirectStandby(now core.Instant) bool {
+	return !p.active && p.lastDirect != 0 && now.Sub(p.lastDirect) < standbyReportTimeout
 }
 
-// Hears are the short numbers of the hosts that stand by and have told this one
-// lately that they are ready.
+// Hears returns the short numbers of the ready standby hosts that sent this one a
+// heartbeat lately, sorted.
 func (f *Fleet) Hears(now core.Instant) []uint32 {
-	return f.spares(func(p *peer) bool { return p.standsBy(now) })
+	return f.readyStandbys(func(p *peer) bool { return p.isDirectStandby(now) })
 }
 
-// Census are the short numbers of all hosts that stand by, are ready and are there.
+// Census returns the short numbers of all reachable standby hosts that are ready,
+// sorted.
 func (f *Fleet) Census(now core.Instant) []uint32 {
-	return f.spares(func(p *peer) bool { return f.alive(now, p) })
+	return f.readyStandbys(func(p *peer) bool { return f.reachable(now, p) })
 }
 
-// spares are the short numbers of the hosts that stand by, are ready and that keep
-// chooses, sorted.
-func (f *Fleet) spares(keep func(*peer) bool) []uint32 {
+// readyStandbys returns the short numbers of the standby hosts that are ready, not
+// leaving and selected by keep, sorted.
+func (f *Fleet) readyStandbys(keep func(*peer) bool) []uint32 {
 	var all []uint32
 	for _, p := range f.peers {
 		if !p.active && p.ready && !p.leaving && keep(p) {
@@ -252,11 +258,11 @@
 	return all
 }
 
-// HeardOf takes what another host hears.
+// HeardOf applies another host's report of ready standby hosts, by short number.
 func (f *Fleet) HeardOf(now core.Instant, hosts []uint32) {
 	for _, short := range hosts {
 		if p := f.shorts[short]; p != nil {
-			p.heard, p.ready = now, true
+			p.lastHeartbeat, p.ready = now, true
 		}
 	}
 }
--- a/internal/core/fleet/active_test.go
+++ b/internal/core/fleet/active_test.go
@@ -10,9 +10,9 @@
 	"gentiancroft/internal/core"
 )
 
-// mixed is the view of a host of a large fleet: strong hosts of 0.8 cores, named
-// s0 and so on, and weak ones of 0.192, w0 and so on. The host itself is w0.
-func mixed(now core.Instant, strong, weak int) *Fleet {
+// newMixedFleet returns a fleet as seen by its host w0: strong hosts of 0.8 cores,
+// named s0 and so on, and weak ones of 0.192, w0 and so on.
+func newMixedFleet(now core.Instant, strong, weak int) *Fleet {
 	host := func(name string, capacity float64) Registration {
 		r := registration(name)
 		r.Capacity = capacity
@@ -29,8 +29,8 @@
 	return f
 }
 
-// hearAll has every listed host heard.
-func hearAll(f *Fleet, now core.Instant) {
+// heartbeatAll records a direct heartbeat of every registered host.
+func heartbeatAll(f *Fleet, now core.Instant) {
 	for h := range f.hosts {
 		f.Heard(now, h, true, true, false)
 	}
@@ -38,29 +38,29 @@
 
 func TestInASmallFleetEveryHostIsActive(t *testing.T) {
 	is := is.New(t)
-	f := mixed(start, 6, 6)
+	f := newMixedFleet(start, 6, 6)
 	f.Select(start, NeedLeast)
 	is.True(f.Active())
 	is.True(!f.Large())
 	is.Equal(len(f.ActivePeers()), 11)
 }
 
-func TestInALargeFleetTheStrongestHostsServe(t *testing.T) {
+func TestStrongestHostsOfLargeFleetAreActive(t *testing.T) {
 	is := is.New(t)
-	f := mixed(start, 6, 69)
-	f.Select(start, NeedLeast) // nobody is heard yet: all that are listed are presumed there
+	f := newMixedFleet(start, 6, 69)
+	f.Select(start, NeedLeast) // no heartbeat yet: all registered hosts are presumed reachable
 	is.True(!f.Active())
 	is.Equal(len(f.ActivePeers()), 6)
-	hearAll(f, start)
+	heartbeatAll(f, start)
 	is.Equal(f.Addresses(start, true), []string{"s0:80", "s1:80", "s2:80", "s3:80", "s4:80", "s5:80"})
 }
 
-func TestWeakHostsTakeThePlacesOfLostStrongOnes(t *testing.T) {
+func TestWeakHostsReplaceUnreachableStrongOnes(t *testing.T) {
 	is := is.New(t)
-	f := mixed(start, 6, 69)
-	hearAll(f, start)
+	f := newMixedFleet(start, 6, 69)
+	heartbeatAll(f, start)
 	f.Select(start, NeedLeast)
-	later := start.Add(relayedFor)
+	later := start.Add(relayedTimeout)
 	for i := 1; i < 69; i++ {
 		f.Heard(later, core.HostID(fmt.Sprintf("w%d/1", i)), true, true, false)
 	}
@@ -70,25 +70,25 @@
 	if f.Active() {
 		active++
 	}
-	is.Equal(active, 13) // each bears a thirteenth of the need
+	is.Equal(active, 13) // 13 weak hosts of 0.192 cores carry the need
 	is.True(f.IsActive("s0/1"))
 	is.True(!f.IsActive("s1/1"))
 }
 
 func TestALoadBeyondTheStrongHostsIsSpreadOverAll(t *testing.T) {
 	is := is.New(t)
-	f := mixed(start, 6, 69)
-	hearAll(f, start)
+	f := newMixedFleet(start, 6, 69)
+	heartbeatAll(f, start)
 	f.Select(start, 4.8)
 	is.Equal(len(f.ActivePeers()), 6)
-	f.Select(start, 10) // 53 weak hosts would carry it
+	f.Select(start, 10) // 53 weak hosts carry it
 	is.True(len(f.ActivePeers()) >= 52)
 }
 
-func TestHostsOfOneStrengthAreActiveAsManyAsTheLoadNeeds(t *testing.T) {
+func TestLoadDecidesHowManyEqualHostsAreActive(t *testing.T) {
 	is := is.New(t)
-	f := mixed(start, 0, 40)
-	hearAll(f, start)
+	f := newMixedFleet(start, 0, 40)
+	heartbeatAll(f, start)
 	f.Select(start, 0.192*20)
 	active := len(f.ActivePeers())
 	if f.Active() {
@@ -97,39 +97,39 @@
 	is.Equal(active, 20)
 }
 
-func TestAHostThatIsListedAndNeverHeardIsPresumedThereForAWhile(t *testing.T) {
+func TestNewlyRegisteredHostIsPresumedReachable(t *testing.T) {
 	is := is.New(t)
-	f := mixed(start, 6, 69)
-	f.Select(start.Add(presumedFor-1), NeedLeast)
+	f := newMixedFleet(start, 6, 69)
+	f.Select(start.Add(presumedTimeout-1), NeedLeast)
 	is.Equal(len(f.ActivePeers()), 6)
-	f.Select(start.Add(presumedFor), NeedLeast)
-	is.True(f.Active()) // nobody else is there
+	f.Select(start.Add(presumedTimeout), NeedLeast)
+	is.True(f.Active()) // no other host is reachable
 }
 
-func TestWhatActiveHostsHearIsHeard(t *testing.T) {
+func TestStandbyReportedByActiveHostIsReachable(t *testing.T) {
 	is := is.New(t)
-	told := mixed(start, 6, 69)
-	told.Select(start, NeedLeast)
-	told.Heard(start, "w5/1", true, true, false)
-	told.Heard(start, "w6/1", true, false, false) // not ready
-	told.Heard(start, "s1/1", true, true, false)  // active
-	hears := told.Hears(start)
-	is.Equal(hears, []uint32{core.Short("w5")})
-	is.Equal(len(told.Standbys(start)), 2) // both are told of the active hosts
-	is.Equal(len(told.Standbys(start.Add(tellsFor))), 0)
-
-	f := mixed(start, 6, 69)
+	reporter := newMixedFleet(start, 6, 69)
+	reporter.Select(start, NeedLeast)
+	reporter.Heard(start, "w5/1", true, true, false)
+	reporter.Heard(start, "w6/1", true, false, false) // not ready
+	reporter.Heard(start, "s1/1", true, true, false)  // active
+	standbys := reporter.Hears(start)
+	is.Equal(standbys, []uint32{core.Short("w5")})
+	is.Equal(len(reporter.Standbys(start)), 2) // both get the active hosts' heartbeats
+	is.Equal(len(reporter.Standbys(start.Add(standbyReportTimeout))), 0)
+
+	f := newMixedFleet(start, 6, 69)
 	f.Select(start, NeedLeast)
 	is.True(!f.Alive(start, "w5/1"))
-	f.HeardOf(start, hears)
+	f.HeardOf(start, standbys)
 	is.True(f.Alive(start, "w5/1"))
-	is.True(f.Alive(start.Add(standbyFor-time.Millisecond), "w5/1"))
-	is.True(!f.Alive(start.Add(standbyFor), "w5/1"))
+	is.True(f.Alive(start.Add(standbyTimeout-time.Millisecond), "w5/1"))
+	is.True(!f.Alive(start.Add(standbyTimeout), "w5/1"))
 }
 
-func TestAHostThatStandsByTalksToTwoActiveOnesNearFirst(t *testing.T) {
+func TestStandbyContactsHostsOfItsDomainFirst(t *testing.T) {
 	is := is.New(t)
-	f := mixed(start, 6, 69)
+	f := newMixedFleet(start, 6, 69)
 	f.Select(start, NeedLeast)
 	near := 0
 	for _, p := range f.ActivePeers() {
@@ -145,34 +145,35 @@
 	}
 }
 
-// The pattern of a loss of power of all hosts: the active ones find each other at
-// once, and must not wait for those that stand by to admit at the fleet's rate.
-func TestTheActiveHostsAreTheWholeOfALargeFleet(t *testing.T) {
+// After a power loss of all hosts the active ones reach each other at once. They must
+// admit at the fleet's full rate without waiting for the standby hosts.
+func TestReachableFractionOfLargeFleetCountsActiveHostsOnly(t *testing.T) {
 	is := is.New(t)
-	f := mixed(start, 6, 69)
+	f := newMixedFleet(start, 6, 69)
 	f.self = registration("s6")
 	f.self.Capacity = 0.8
 	f.Select(start, NeedLeast)
-	is.True(f.Part(start) < 0.15) // it hears nobody yet
+	is.True(f.Part(start) < 0.15) // it has received no heartbeat yet
 	for i := range 6 {
 		f.Heard(start, core.HostID(fmt.Sprintf("s%d/1", i)), true, true, false)
 	}
 	is.Equal(f.Part(start), 1.0)
 }
 
-// Keeps: whatever way the fleet is cut, the parts add up to the whole at most.
-func TestPartsOfACutFleetAddUp(t *testing.T) {
+// Invariant: however the network is partitioned, the fractions of both sides add up to
+// about 1.
+func TestReachableFractionsOfPartitionedFleetAddUp(t *testing.T) {
 	for _, strong := range []int{0, 1, 3, 6} {
 		is := is.New(t)
-		one, other := mixed(start, 6, 69), mixed(start, 6, 69)
+		one, other := newMixedFleet(start, 6, 69), newMixedFleet(start, 6, 69)
 		other.self = registration("w68")
 		other.self.Capacity = 0.192
 		delete(other.peers, "w68")
-		hearAll(one, start)
-		hearAll(other, start)
+		heartbeatAll(one, start)
+		heartbeatAll(other, start)
 		one.Select(start, NeedLeast)
 		other.Select(start, NeedLeast)
-		later := start.Add(standbyFor)
+		later := start.Add(standbyTimeout)
 		for i := range 69 {
 			side := one
 			if i >= 35 {
@@ -191,6 +192,6 @@
 		other.Select(later, NeedLeast)
 		sum := one.Part(later) + other.Part(later)
 		is.True(sum > 0.9)
-		is.True(sum < 1.15) // the sheet allows a tenth and a slack beyond
+		is.True(sum < 1.15) // rates may be exceeded by a tenth plus a slack
 	}
 }
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,5 +1,7 @@
-// Package fleet is what one host knows of the others: who is registered in the
-// store, who has been heard lately, and which addresses callers are told.
+// Package fleet keeps one host's state of the other hosts. From the registrations in
+// the store and the heartbeats received it decides which hosts are reachable, which
+// are active, and which addresses callers get. Sending heartbeats and writing
+// registrations is left to the caller.
 package fleet
 
 import (
@@ -10,63 +12,64 @@
 	"gentiancroft/internal/core"
 )
 
-// Registration is a host as it writes itself into the store.
+// Registration is the entry that a host writes into the store about itself.
 type Registration struct {
-	Name    string      `json:"name"` // the same over restarts
-	Host    core.HostID `json:"host"` // of this process
-	Link    string      `json:"link"` // ip:port for other hosts
-	Entry   string      `json:"entry"`
+	Name    string      `json:"name"`  // the same over restarts
+	Host    core.HostID `json:"host"`  // changes with each restart
+	Link    string      `json:"link"`  // ip:port for links of other hosts
+	Entry   string      `json:"entry"` // address for callers
 	Domain  core.Domain `json:"domain"`
 	Key     string      `json:"key"` // fingerprint of the certificate of its links
 	Leaving bool        `json:"leaving"`
 
-	Capacity float64 `json:"capacity,omitempty"` // cores that it may use; 0: one
+	Capacity float64 `json:"capacity,omitempty"` // cores that it may use; 0 counts as 1
 }
 
-// Times of the fleet.
+// Timeouts and bounds.
 const (
-	// HeardFor is how long a host counts as heard after its last heartbeat.
+	// HeardFor is how long after its last heartbeat a host counts as reachable.
 	HeardFor = 1200 * time.Millisecond
-	// relayedFor is the same between an active host and one that stands by: it is
-	// heard through others.
-	relayedFor = 1800 * time.Millisecond
-	// standbyFor is the same for a host that stands by.
-	standbyFor = 3500 * time.Millisecond
-	// forgetAfter is how long a registered host that is never heard still counts
-	// as a part of the fleet.
-	forgetAfter = 20 * time.Second
-	// namesMost bounds the addresses that callers are told.
-	namesMost = 64
+	// relayedTimeout is the same for an active host as seen by a standby host, which
+	// gets some heartbeats through others.
+	relayedTimeout = 1800 * time.Millisecond
+	// standbyTimeout is the same for a standby host.
+	standbyTimeout = 3500 * time.Millisecond
+	// forgetTimeout is how long a registered host without heartbeats still counts as
+	// part of the fleet.
+	forgetTimeout = 20 * time.Second
+	// maxAddresses bounds the addresses that callers get.
+	maxAddresses = 64
 )
 
+// peer is another registered host.
 type peer struct {
 	Registration
-	listed  core.Instant // since when the store lists it
-	heard   core.Instant // itself or through others; 0: never
-	direct  core.Instant // itself; 0: never
-	ready   bool
-	leaving bool
-	active  bool
-	served  bool // it has been active since it was listed
+	listedAt      core.Instant // since when this process is registered
+	lastHeartbeat core.Instant // received from the host or relayed; 0: never
+	lastDirect    core.Instant // received from the host; 0: never
+	ready         bool
+	leaving       bool
+	active        bool
+	wasActive     bool // it has been active and reachable since it was registered
 
-	substitute bool // active in the place of a lost host
+	promoted bool // active in place of an unreachable host
 }
 
 // Fleet is one host's view of all hosts.
 type Fleet struct {
 	self   Registration
 	peers  map[string]*peer      // by name, without this host
-	hosts  map[core.HostID]*peer // the same by process
+	hosts  map[core.HostID]*peer // the same by process id
 	shorts map[uint32]*peer      // the same by core.Short of the name
-	digest uint64                // of the registrations; 0: to be made
+	digest uint64                // of the registrations; 0: not computed yet
 
 	large      bool // not all hosts are active
 	selfActive bool
 
-	selfSubstitute bool
+	selfPromoted bool // this host is active in place of an unreachable one
 }
 
-// New returns the view of a host that knows nobody yet.
+// New returns a fleet that contains only this host, which is active.
 func New(self Registration) *Fleet {
 	return &Fleet{
 		self:       self,
@@ -77,7 +80,8 @@
 	}
 }
 
-// Listed takes a registration. It reports whether that is another host's and new.
+// Listed adds or updates a registration. It reports whether this changed anything; this
+// host's own registration is ignored.
 func (f *Fleet) Listed(now core.Instant, r Registration) bool {
 	if r.Name == f.self.Name {
 		return false
@@ -85,7 +89,7 @@
 	p := f.peers[r.Name]
 	if p == nil || p.Host != r.Host {
 		f.Unlisted(r.Name)
-		p = &peer{Registration: r, listed: now, leaving: r.Leaving, active: !f.large}
+		p = &peer{Registration: r, listedAt: now, leaving: r.Leaving, active: !f.large}
 		f.peers[r.Name], f.hosts[r.Host], f.shorts[core.Short(r.Name)] = p, p, p
 		f.digest = 0
 		return true
@@ -96,7 +100,7 @@
 	return changed
 }
 
-// Digest is of the processes that are registered, this one included.
+// Digest returns a hash of the registered processes, including this one.
 func (f *Fleet) Digest() uint64 {
 	if f.digest != 0 {
 		return f.digest
@@ -109,7 +113,7 @@
 	return sum
 }
 
-// Unlisted takes the news that a host's registration is gone.
+// Unlisted removes a registration.
 func (f *Fleet) Unlisted(name string) {
 	if p := f.peers[name]; p != nil {
 		delete(f.hosts, p.Host)
@@ -119,43 +123,44 @@
 	}
 }
 
-// Heard notes a heartbeat of a host, direct where the host told it itself. It
-// reports whether the host is known.
+// Heard records a heartbeat of a host; direct means that it came from the host itself.
+// It returns false for a host that isn't registered.
 func (f *Fleet) Heard(now core.Instant, from core.HostID, direct, ready, leaving bool) bool {
 	p := f.hosts[from]
 	if p == nil {
 		return false
 	}
-	p.heard, p.ready = now, ready
+	p.lastHeartbeat, p.ready = now, ready
 	if direct {
-		p.direct = now
+		p.lastDirect = now
 	}
 	p.leaving = p.leaving || leaving
 	return true
 }
 
-func (f *Fleet) alive(now core.Instant, p *peer) bool {
-	return p.heard != 0 && now.Sub(p.heard) < f.patience(p)
+// reachable reports whether a heartbeat of the peer came within its timeout.
+func (f *Fleet) reachable(now core.Instant, p *peer) bool {
+	return p.lastHeartbeat != 0 && now.Sub(p.lastHeartbeat) < f.heartbeatTimeout(p)
 }
 
-// patience is how long a host may be silent.
-func (f *Fleet) patience(p *peer) time.Duration {
+// heartbeatTimeout is how long after its last heartbeat a peer counts as reachable.
+func (f *Fleet) heartbeatTimeout(p *peer) time.Duration {
 	switch {
 	case !p.active:
-		return standbyFor
+		return standbyTimeout
 	case !f.selfActive:
-		return relayedFor
+		return relayedTimeout
 	}
 	return HeardFor
 }
 
-// gone reports that a host has been silent so long that it can't count on its
-// part any more.
-func (p *peer) gone(now core.Instant) bool {
-	return now.Sub(max(p.heard, p.listed)) > forgetAfter
+// forgotten reports whether a peer has been unreachable so long that it no longer
+// counts as part of the fleet.
+func (p *peer) forgotten(now core.Instant) bool {
+	return now.Sub(max(p.lastHeartbeat, p.listedAt)) > forgetTimeout
 }
 
-// Named returns the registration of another host by its name.
+// Named returns another host's registration by the host's name.
 func (f *Fleet) Named(name string) (Registration, bool) {
 	if p := f.peers[name]; p != nil {
 		return p.Registration, true
@@ -163,7 +168,7 @@
 	return Registration{}, false
 }
 
-// Of returns the registration of another host by its process.
+// Of returns another host's registration by its process id.
 func (f *Fleet) Of(h core.HostID) (Registration, bool) {
 	if p := f.hosts[h]; p != nil {
 		return p.Registration, true
@@ -171,58 +176,58 @@
 	return Registration{}, false
 }
 
-// Alive reports whether a host has been heard lately.
+// Alive reports whether another host is reachable.
 func (f *Fleet) Alive(now core.Instant, h core.HostID) bool {
 	p := f.hosts[h]
-	return p != nil && f.alive(now, p)
+	return p != nil && f.reachable(now, p)
 }
 
-// Age is how long ago another host was last heard; 0: never.
+// Age is the time since the last heartbeat of another host; 0: none was received.
 func (f *Fleet) Age(now core.Instant, h core.HostID) time.Duration {
 	p := f.hosts[h]
-	if p == nil || p.heard == 0 {
+	if p == nil || p.lastHeartbeat == 0 {
 		return 0
 	}
-	return now.Sub(p.heard)
+	return now.Sub(p.lastHeartbeat)
 }
 
-// Part is the share of the fleet that this host hears, itself included. In a large
-// fleet it is a share of the capacity that serves, or did until lately: hosts that
-// stand by count for nothing.
+// Part is the fraction of the fleet that this host reaches, itself included, in
+// (0, 1]. In a large fleet it is a fraction of the capacity of the hosts that are
+// active or were until they became unreachable; standby hosts don't count.
 func (f *Fleet) Part(now core.Instant) float64 {
 	if f.large {
-		return f.activePart(now)
+		return f.reachableActiveFraction(now)
 	}
-	all, heard := 1, 1
+	total, reached := 1, 1
 	for _, p := range f.peers {
-		if p.gone(now) {
+		if p.forgotten(now) {
 			continue
 		}
-		all++
-		if f.alive(now, p) {
-			heard++
+		total++
+		if f.reachable(now, p) {
+			reached++
 		}
 	}
-	return float64(heard) / float64(all)
+	return float64(reached) / float64(total)
 }
 
-// Size is how many hosts the fleet has, this one included.
+// Size is the number of hosts in the fleet, this one included.
 func (f *Fleet) Size(now core.Instant) int {
 	all := 1
 	for _, p := range f.peers {
-		if !p.gone(now) {
+		if !p.forgotten(now) {
 			all++
 		}
 	}
 	return all
 }
 
-// Peers returns the registrations of the other hosts that may be there, sorted.
+// Peers returns the registrations of the other hosts of the fleet, sorted by name.
 func (f *Fleet) Peers(now core.Instant) []Registration {
-	return f.registrations(func(p *peer) bool { return !p.gone(now) })
+	return f.registrations(func(p *peer) bool { return !p.forgotten(now) })
 }
 
-// registrations are those of the peers that keep chooses, sorted.
+// registrations returns those of the peers that keep selects, sorted by name.
 func (f *Fleet) registrations(keep func(*peer) bool) []Registration {
 	var all []Registration
 	for _, p := range f.peers {
@@ -234,15 +239,15 @@
 	return all
 }
 
-// Members returns the names of the active hosts that were heard lately and are not
-// leaving, sorted; of this host too where it is one of them.
+// Members returns the names of the reachable active hosts that are not leaving,
+// sorted. This host is included if it is active and not leaving.
 func (f *Fleet) Members(now core.Instant) []core.HostID {
 	var names []core.HostID
 	if f.selfActive && !f.self.Leaving {
 		names = append(names, core.HostID(f.self.Name))
 	}
 	for _, p := range f.peers {
-		if p.active && f.alive(now, p) && !p.leaving {
+		if p.active && f.reachable(now, p) && !p.leaving {
 			names = append(names, core.HostID(p.Name))
 		}
 	}
@@ -253,44 +258,44 @@
 // Leave marks this host as leaving.
 func (f *Fleet) Leave() { f.self.Leaving = true }
 
-// Trusted reports whether a certificate with this fingerprint is a host's own.
+// Trusted reports whether a host is registered with this certificate fingerprint.
 func (f *Fleet) Trusted(h core.HostID, key string) bool {
 	p := f.hosts[h]
 	return p != nil && p.Key == key
 }
 
-// Addresses are those that callers are told: the active hosts that were heard
-// lately and take requests; where there is none, all hosts that do; where none was
-// heard, all that are registered.
+// Addresses returns the addresses for callers, sorted: those of the reachable active
+// hosts that are ready; if there are none, of all reachable hosts that are ready; if
+// there are none, of all registered hosts. Leaving hosts are left out.
 func (f *Fleet) Addresses(now core.Instant, selfReady bool) []string {
-	var active, heard, listed []string
+	var active, readyHosts, registered []string
 	add := func(entry string, isActive bool) {
-		heard = append(heard, entry)
+		readyHosts = append(readyHosts, entry)
 		if isActive {
 			active = append(active, entry)
 		}
 	}
 	for _, p := range f.peers {
-		if p.leaving || p.gone(now) {
+		if p.leaving || p.forgotten(now) {
 			continue
 		}
-		if f.alive(now, p) && p.ready {
+		if f.reachable(now, p) && p.ready {
 			add(p.Entry, p.active)
 		}
-		listed = append(listed, p.Entry)
+		registered = append(registered, p.Entry)
 	}
 	if selfReady && !f.self.Leaving {
 		add(f.self.Entry, f.selfActive)
 	}
-	names := listed
+	addresses := registered
 	switch {
 	case len(active) > 0:
-		names = active
-	case len(heard) > 0:
-		names = heard
+		addresses = active
+	case len(readyHosts) > 0:
+		addresses = readyHosts
 	}
-	slices.Sort(names)
-	return names[:min(len(names), namesMost)]
+	slices.Sort(addresses)
+	return addresses[:min(len(addresses), maxAddresses)]
 }
 
 // Sort sorts registrations by name.
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 	"gentiancroft/internal/core"
 )
 
-// start is when the tests' fleets find each other.
+// start is when the tests' hosts are registered.
 const start = core.Instant(time.Second)
 
 func registration(name string) Registration {
@@ -24,7 +24,7 @@
 	return f
 }
 
-func TestCallersAreToldOfHostsThatWereHeardAndAreReady(t *testing.T) {
+func TestAddressesAreThoseOfReachableReadyHosts(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(start, "a", "b", "c", "d")
 	is.True(f.Heard(start, "a/1", true, true, false))
@@ -34,13 +34,13 @@
 	is.Equal(f.Addresses(start.Add(HeardFor), true), []string{"self:80"})
 }
 
-func TestAHostThatIsNotReadyAndHearsNobodyNamesAllThatAreRegistered(t *testing.T) {
+func TestAddressesOfIsolatedHostAreAllRegisteredOnes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(start, "a", "b")
 	is.Equal(f.Addresses(start, false), []string{"a:80", "b:80"})
 }
 
-func TestALeavingHostNamesItselfNoMore(t *testing.T) {
+func TestAddressesLeaveOutLeavingHost(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(start, "a")
 	f.Heard(start, "a/1", true, true, false)
@@ -49,17 +49,17 @@
 	is.Equal(f.Members(start), []core.HostID{"a"})
 }
 
-func TestThePartThatIsHeard(t *testing.T) {
+func TestReachableFraction(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(start, "a", "b", "c")
 	is.Equal(f.Part(start), 0.25)
 	f.Heard(start, "a/1", true, true, false)
 	is.Equal(f.Part(start), 0.5)
-	is.Equal(f.Part(start.Add(forgetAfter)), 0.25)
-	is.Equal(f.Part(start.Add(forgetAfter+HeardFor)), 1.0) // the others have been silent so long that they are gone
+	is.Equal(f.Part(start.Add(forgetTimeout)), 0.25)
+	is.Equal(f.Part(start.Add(forgetTimeout+HeardFor)), 1.0) // the others no longer count as part of the fleet
 }
 
-func TestARestartedHostIsAnother(t *testing.T) {
+func TestRestartedHostIsANewOne(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(start, "a")
 	f.Heard(start, "a/1", true, true, false)
