--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -1,16 +1,17 @@
-// Package quota keeps the workspaces' rates over all hosts without asking
-// anyone before a request is admitted.
+// Package quota decides whether a request is admitted within its workspace's rate,
+// which holds over all hosts. It decides locally, without a call to another host.
 //
-// Every host counts what it has admitted and tells the others its running
-// totals. Each keeps one token bucket a workspace for the whole fleet, takes
-// its own and the others' spending out of it, and admits while the bucket is
-// not in debt. What two hosts admit before they hear of each other becomes debt
-// that all of them pay back, so the rate holds on average and is exceeded by at
-// most what is admitted within one interval of the reports.
+// Every host counts the tokens that it has admitted and gossips its running totals.
+// Each keeps one token bucket per workspace for the whole fleet, charges it with its
+// own and the other hosts' totals, and admits while the bucket is not in debt. What
+// hosts admit before they receive each other's totals becomes a debt of all buckets,
+// so the rate holds on average and is exceeded by at most what is admitted within one
+// gossip interval.
 //
-// A host that does not hear the whole fleet fills its bucket at its part of the
-// rate alone: whatever way the fleet is cut, the parts' rates add up to the
-// whole.
+// A host that reaches only a fraction of the fleet fills its buckets at that fraction
+// of the rate: however the network is partitioned, the rates of all sides add up to
+// the whole. The fraction, the totals and the configuration come from the caller,
+// which also sends this host's totals.
 package quota
 
 import (
@@ -21,55 +22,54 @@
 	"gentiancroft/internal/core/table"
 )
 
-// retryLeast is the shortest wait that a refused caller is told.
-const retryLeast = 50 * time.Millisecond
+// minRetryAfter is the shortest wait returned with a refusal.
+const minRetryAfter = 50 * time.Millisecond
 
-// retryMost is the longest.
-const retryMost = 2 * time.Second
+// maxRetryAfter is the longest wait returned with a refusal.
+const maxRetryAfter = 2 * time.Second
 
-// joinLevel is how full the buckets of a host are that joins a fleet at work, as
-// a part of the burst: all hosts of a fleet may have restarted at once, so it is
-// little.
-const joinLevel = 0.15
+// joinFraction is the fraction of the burst that a bucket starts with on a host that
+// joins a running fleet. It is low because all hosts may have restarted at once.
+const joinFraction = 0.15
 
-// Totals are what one host has admitted since it started, by workspace.
+// Totals are the tokens that one host has admitted since it started, by workspace.
 type Totals map[core.WorkspaceID]int64
 
-// bucket is one workspace's tokens, as this host sees the fleet.
+// bucket is this host's copy of a workspace's token bucket for the whole fleet.
 type bucket struct {
-	rate  float64 // tokens a second, of the whole fleet
-	burst float64
-	level float64
-	at    core.Instant
+	rate     float64 // tokens per second over all hosts
+	burst    float64 // tokens
+	level    float64 // tokens; negative: debt
+	filledAt core.Instant
 }
 
-// Machine is one host's view of all workspaces' rates.
+// Machine holds one host's buckets and the totals of all hosts.
 type Machine struct {
-	buckets  map[core.WorkspaceID]*bucket
-	mine     Totals
-	heard    map[core.HostID]Totals
-	part     float64 // share of the fleet that this host hears, itself included
-	restored bool    // nothing is to be restored any more
-	fresh    bool    // the whole deployment starts: the first buckets are full
+	buckets           map[core.WorkspaceID]*bucket
+	admitted          Totals
+	reported          map[core.HostID]Totals
+	reachableFraction float64 // of the fleet, this host included
+	restored          bool    // levels are no longer restored
+	startFull         bool    // the first buckets are full: the whole deployment starts
 }
 
-// New returns a machine without workspaces. A host that joins a fleet at work
-// starts with little in its buckets, for it can't know what was spent before it
-// came.
+// New returns a machine without workspaces. Joining means that the fleet is running
+// already: the buckets then start partly filled, since the tokens spent before are
+// unknown.
 func New(joining bool) *Machine {
 	return &Machine{
-		buckets: map[core.WorkspaceID]*bucket{},
-		mine:    Totals{},
-		heard:   map[core.HostID]Totals{},
-		part:    1,
-		fresh:   !joining,
+		buckets:           map[core.WorkspaceID]*bucket{},
+		admitted:          Totals{},
+		reported:          map[core.HostID]Totals{},
+		reachableFraction: 1,
+		startFull:         !joining,
 
 		restored: !joining,
 	}
 }
 
-// Configure takes the workspaces of a configuration. A bucket that stays keeps
-// its level, within the new burst.
+// Configure sets the workspaces and their rates. Workspaces without a rate are not
+// limited. An existing bucket keeps its level, up to the new burst.
 func (m *Machine) Configure(now core.Instant, workspaces map[core.WorkspaceID]*table.Workspace) {
 	next := make(map[core.WorkspaceID]*bucket, len(workspaces))
 	for id, w := range workspaces {
@@ -78,12 +78,12 @@
 		}
 		b := m.buckets[id]
 		switch {
-		case b == nil && m.fresh:
-			b = &bucket{level: w.Burst, at: now}
+		case b == nil && m.startFull:
+			b = &bucket{level: w.Burst, filledAt: now}
 		case b == nil:
-			b = &bucket{level: joinLevel * w.Burst, at: now}
+			b = &bucket{level: joinFraction * w.Burst, filledAt: now}
 		default:
-			m.fill(now, b)
+			m.refill(now, b)
 		}
 		b.rate, b.burst = w.Rate, w.Burst
 		b.level = min(b.level, b.burst)
@@ -91,34 +91,35 @@
 	}
 	m.buckets = next
 	if len(next) > 0 {
-		m.fresh = false
+		m.startFull = false
 	}
 }
 
-// restoredPart is how much of what was in a bucket before a start is put back:
-// some of it may have been spent after it was told.
-const restoredPart = 0.6
+// restoredFraction is the fraction of a level from before the start that is restored:
+// some of it may have been spent after it was reported.
+const restoredFraction = 0.6
 
-// Restore takes how full the buckets were a moment ago, as parts of their
-// bursts, where this host has just started and knows nothing better.
+// Restore raises the buckets of a host that has just joined according to their levels
+// before its start, as fractions of the bursts. Only the first call has an effect.
 func (m *Machine) Restore(levels map[core.WorkspaceID]float64) {
 	if m.restored {
 		return
 	}
 	m.restored = true
-	for id, part := range levels {
+	for id, fraction := range levels {
 		if b := m.buckets[id]; b != nil {
-			b.level += max(restoredPart*min(part, 1)-joinLevel, 0) * b.burst
+			b.level += max(restoredFraction*min(fraction, 1)-joinFraction, 0) * b.burst
 		}
 	}
 }
 
-// Levels are how full the buckets are, as parts of their bursts.
+// Levels returns the bucket levels as fractions of the bursts, from -1 to 1, rounded
+// to hundredths.
 func (m *Machine) Levels(now core.Instant) map[core.WorkspaceID]float64 {
 	const precision = 100
 	levels := make(map[core.WorkspaceID]float64, len(m.buckets))
 	for id, b := range m.buckets {
-		m.fill(now, b)
+		m.refill(now, b)
 		if b.burst > 0 {
 			levels[id] = math.Round(max(b.level/b.burst, -1)*precision) / precision
 		}
@@ -126,68 +127,72 @@
 	return levels
 }
 
-// Hears sets how much of the fleet this host hears, itself included, in (0, 1].
-func (m *Machine) Hears(now core.Instant, part float64) {
-	if part == m.part {
+// Hears sets the fraction of the fleet that this host reaches, itself included, in
+// (0, 1].
+func (m *Machine) Hears(now core.Instant, fraction float64) {
+	if fraction == m.reachableFraction {
 		return
 	}
 	for _, b := range m.buckets {
-		m.fill(now, b)
+		m.refill(now, b)
 	}
-	m.part = part
+	m.reachableFraction = fraction
 }
 
-func (m *Machine) fill(now core.Instant, b *bucket) {
-	passed := max(now.Sub(b.at), 0)
-	b.at = max(b.at, now)
-	b.level = min(b.level+b.rate*m.part*passed.Seconds(), b.burst*m.part)
+// refill adds the tokens that the elapsed time has earned.
+func (m *Machine) refill(now core.Instant, b *bucket) {
+	passed := max(now.Sub(b.filledAt), 0)
+	b.filledAt = max(b.filledAt, now)
+	b.level = min(b.level+b.rate*m.reachableFraction*passed.Seconds(), b.burst*m.reachableFraction)
 }
 
-// Take admits a request and charges it, or says when to come back.
+// Take admits and charges a request while its bucket is not in debt. Otherwise it
+// returns false and when to retry. Workspaces without a bucket are not limited.
 func (m *Machine) Take(now core.Instant, id core.WorkspaceID, cost core.Tokens) (ok bool, retryAfter time.Duration) {
 	b := m.buckets[id]
 	if b == nil {
 		return true, 0
 	}
-	m.fill(now, b)
+	m.refill(now, b)
 	if b.level <= 0 {
-		wait := time.Duration((float64(cost) - b.level) / (b.rate * m.part) * float64(time.Second))
-		return false, min(max(wait, retryLeast), retryMost)
+		wait := time.Duration((float64(cost) - b.level) / (b.rate * m.reachableFraction) * float64(time.Second))
+		return false, min(max(wait, minRetryAfter), maxRetryAfter)
 	}
 	b.level -= float64(cost)
-	m.mine[id] += int64(cost)
+	m.admitted[id] += int64(cost)
 	return true, 0
 }
 
-// Level is what is left in a workspace's bucket, and the part of the fleet that
-// this host hears.
-func (m *Machine) Level(now core.Instant, id core.WorkspaceID) (tokens int64, part float64) {
+// Level returns the tokens left in a workspace's bucket, 0 if it has none, and the
+// fraction of the fleet that this host reaches.
+func (m *Machine) Level(now core.Instant, id core.WorkspaceID) (tokens int64, fraction float64) {
 	b := m.buckets[id]
 	if b == nil {
-		return 0, m.part
+		return 0, m.reachableFraction
 	}
-	m.fill(now, b)
-	return int64(b.level), m.part
+	m.refill(now, b)
+	return int64(b.level), m.reachableFraction
 }
 
-// Return gives back the tokens of a request that was not run after all.
+// Return refunds the tokens of an admitted request that was not run.
 func (m *Machine) Return(now core.Instant, id core.WorkspaceID, cost core.Tokens) {
-	m.mine[id] -= int64(cost)
+	m.admitted[id] -= int64(cost)
 	if b := m.buckets[id]; b != nil {
-		m.fill(now, b)
-		b.level = min(b.level+float64(cost), b.burst*m.part)
+		m.refill(now, b)
+		b.level = min(b.level+float64(cost), b.burst*m.reachableFraction)
 	}
 }
 
-// Mine is what this host has admitted since it started.
-func (m *Machine) Mine() Totals { return m.mine }
+// Mine returns the tokens that this host has admitted since it started, by workspace.
+func (m *Machine) Mine() Totals { return m.admitted }
 
-// Heard takes another host's totals. Totals that come late change nothing.
+// Heard applies another host's totals and charges the difference from its previous
+// ones to the buckets. The caller must drop totals older than those applied last.
 func (m *Machine) Heard(now core.Instant, from core.HostID, totals Totals) {
-	known := m.heard[from]
+	known := m.reported[from]
 	if known == nil {
 		known = Totals{}
-		m.heard[from] = known
+		m.reported[from] = known
 	}
 	for id, total := range totals {
 		spent := total - known[id]
@@ -196,20 +201,20 @@
 		if b == nil || spent == 0 {
 			continue
 		}
-		m.fill(now, b)
-		b.level = max(min(b.level-float64(spent), b.burst*m.part), -b.burst-b.rate)
+		m.refill(now, b)
+		b.level = max(min(b.level-float64(spent), b.burst*m.reachableFraction), -b.burst-b.rate)
 	}
 }
 
-// Join takes another host's totals as spent long ago: what a host hears first
-// from one that has been at work for a while.
+// Join sets another host's totals without charging them: the first totals received
+// from a host that was running before this one were spent before this one started.
 func (m *Machine) Join(from core.HostID, totals Totals) {
 	known := Totals{}
 	for id, total := range totals {
 		known[id] = total
 	}
-	m.heard[from] = known
+	m.reported[from] = known
 }
 
-// Knows reports whether a host's totals have been heard.
-func (m *Machine) Knows(from core.HostID) bool { return m.heard[from] != nil }
+// Knows reports whether a host's totals have been received.
+func (m *Machine) Knows(from core.HostID) bool { return m.reported[from] != nil }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -34,7 +34,7 @@
 	is.True(ok)
 }
 
-func TestAJoiningHostStartsWithLittle(t *testing.T) {
+func TestJoiningHostStartsWithPartialBuckets(t *testing.T) {
 	is := is.New(t)
 	m := New(true)
 	m.Configure(0, workspaces(100, 200))
@@ -44,10 +44,9 @@
 	is.True(!ok)
 }
 
-// The pattern of a fleet whose hosts all restart at once while a workspace sends
-// several times its rate: the window around it stays within the users' bound of
-// a tenth and their slack.
-func TestAFleetThatRestartsKeepsTheRate(t *testing.T) {
+// All hosts restart at once while a workspace sends 4.7 times its rate. Every window of
+// 8 s must stay within the allowed overshoot of a tenth plus the slack.
+func TestRestartedFleetKeepsTheRate(t *testing.T) {
 	is := is.New(t)
 	const hosts, rate, burst, cost, every = 8, 94030.0, 94030.0, 1100, 100 * time.Millisecond
 	names := []core.HostID{"a", "b", "c", "d", "e", "f", "g", "h"}
@@ -107,9 +106,9 @@
 	is.Equal(m.Mine()["w"], int64(100))
 }
 
-// A workspace that sends several times its rate through all hosts, while the
-// fleet is cut into parts that change: what is admitted in any window stays
-// within rate, burst and what one interval of reports lets through.
+// A workspace sends several times its rate through all hosts while the network is
+// partitioned in changing ways. The tokens admitted in any window must stay within rate,
+// burst and what one gossip interval lets through.
 func TestAnyPartitionKeepsTheRate(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const hosts, rate, burst, cost, every = 4, 1000.0, 1000.0, 50, 100 * time.Millisecond
@@ -129,13 +128,13 @@
 				}
 			}
 			for i, m := range fleet {
-				hears := 0
+				reached := 0
 				for j := range fleet {
 					if group[i] == group[j] {
-						hears++
+						reached++
 					}
 				}
-				m.Hears(now, float64(hears)/hosts)
+				m.Hears(now, float64(reached)/hosts)
 			}
 			total := 0.0
 			for range rapid.IntRange(0, 16).Draw(rt, "requests") {
@@ -159,18 +158,18 @@
 			for _, a := range admitted[from : from+window] {
 				sum += a
 			}
-			const overlap = 16 * cost // admitted by all hosts before they hear of each other
-			const heals = burst       // two parts' buckets, full at the cut, are one again after it
-			if limit := rate*8 + burst + overlap + heals; sum > limit {
+			const overlap = 16 * cost // admitted by all hosts before they receive each other's totals
+			const merge = burst       // the buckets of two sides, full when the partition started, merge after it
+			if limit := rate*8 + burst + overlap + merge; sum > limit {
 				rt.Fatalf("admitted %v in 8 s from %d, limit %v", sum, from, limit)
 			}
 		}
 	})
 }
 
-// The pattern of a host that restarts: a workspace within its rate is not
-// refused for it, one that was over its rate gets nothing back.
-func TestAStartRestoresWhatWasLeft(t *testing.T) {
+// After a restart of a host a workspace within its rate must not be refused, and one
+// that exceeded its rate must get nothing back.
+func TestRestartRestoresBucketLevels(t *testing.T) {
 	is := is.New(t)
 	old := New(false)
 	old.Configure(0, workspaces(100, 1000))
@@ -179,7 +178,7 @@
 	m.Restore(old.Levels(0))
 	level, _ := m.Level(0, "w")
 	is.Equal(level, int64(600))
-	m.Restore(old.Levels(0)) // once only
+	m.Restore(old.Levels(0)) // only the first call has an effect
 	level, _ = m.Level(0, "w")
 	is.Equal(level, int64(600))
 
