--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -1,11 +1,14 @@
-// Package shard decides which host may order which replicas. The replicas are
-// dealt to a fixed number of shards; each shard has one lease, an object in the
-// platform's store that is renewed by conditional updates.
+// Package shard decides which host may send load and unload orders to which replicas.
+// The replicas are hashed to a fixed number of shards; each shard has one lease, an
+// object in the platform's store that its owner renews by conditional updates. Inputs
+// are the listed leases, the results of writes and the reachable hosts; outputs are the
+// writes to make. What to order is decided elsewhere.
 //
-// Replicas need not check fencing numbers. What keeps two hosts from ordering
-// one replica at the same time is time alone: a holder orders only for Term
-// after it sent the last renewal that was acknowledged, and a successor writes
-// its name only after it has itself seen the lease unchanged for Term plus Gap.
+// Replicas need not check fencing numbers. Two hosts are kept from ordering the same
+// replica at the same time by time alone: an owner orders only for the lease term after
+// it sent the last acknowledged renewal, and a successor writes its name only after it
+// has itself observed the lease unchanged for the term plus a gap, or released for
+// the gap.
 package shard
 
 import (
@@ -17,21 +20,22 @@
 	"gentiancroft/internal/core"
 )
 
-// Prefix begins the keys of all leases.
+// Prefix is the key prefix of all leases in the store.
 const Prefix = "gentiancroft-shards/"
 
-// scoreKind separates the scores of shards from those of other things.
+// scoreKind separates these rendezvous scores from other uses.
 const scoreKind = 17
 
-// Settings of the leases.
+// Settings of the leases. The count and the times take their defaults at 0 or less,
+// apart from the delay after the start.
 type Settings struct {
-	Self  core.HostID // this machine's name, the same over restarts
-	Count int         // of shards
-	Term  time.Duration
-	Renew time.Duration // between two renewals, well within Term
-	Gap   time.Duration // between the orders of two holders
-	Turn  time.Duration // that the next best successor waits longer
-	Meet  time.Duration // from the start, for the hosts to find each other
+	Self  core.HostID   // this host's name, the same over restarts
+	Count int           // of shards
+	Term  time.Duration // lease term: how long an acknowledged renewal permits orders
+	Renew time.Duration // renewal interval, well below Term
+	Gap   time.Duration // minimum time between the orders of two owners
+	Turn  time.Duration // extra wait for each better-ranked successor
+	Meet  time.Duration // from the process's start until missing leases are created, so that hosts find each other first
 }
 
 // Defaults of Settings.
@@ -43,31 +47,32 @@
 	DefaultTurn  = 700 * time.Millisecond
 )
 
-// maxUnanswered is how long a call may stay open before the lease is tried again.
-const maxUnanswered = 1500 * time.Millisecond
+// callTimeout is how long a write may stay unanswered before the next one is sent.
+const callTimeout = 1500 * time.Millisecond
 
-// Record is a lease as it stands in the store.
+// Record is a lease as stored.
 type Record struct {
 	Holder   core.HostID `json:"holder"`
-	Fence    core.Fence  `json:"fence"` // rises with each holder
-	Renewals uint64      `json:"renewals"`
+	Fence    core.Fence  `json:"fence"`    // increases with each owner and after each expiry
+	Renewals uint64      `json:"renewals"` // since this owner took over
 	Released bool        `json:"released"`
 
-	// Levels are how full the workspaces' buckets were at the renewal, as parts of
-	// their bursts, for hosts that start.
+	// Levels are the workspaces' bucket levels at the renewal, as fractions of the
+	// bursts, for hosts that start.
 	Levels map[core.WorkspaceID]float64 `json:"levels,omitempty"`
 }
 
+// lease is a shard's lease as last observed or written by this host.
 type lease struct {
-	record  Record
-	version uint64       // in the store; 0: not there
-	seen    core.Instant // when this version was first seen
-	until   core.Instant // this host may order until then
-	asked   core.Instant // when the open call was sent; 0: none is open
-	due     core.Instant // next renewal
+	record     Record
+	version    uint64       // in the store; 0: the lease doesn't exist
+	seenAt     core.Instant // when this version was first observed
+	validUntil core.Instant // this host may order until then; 0: it may not
+	callSent   core.Instant // when the open write was sent; 0: none is open
+	renewAt    core.Instant // when to send the next renewal
 }
 
-// Call is a write that the machine wants done; give its end to Written.
+// Call is a write to the store. The caller passes its result back.
 type Call struct {
 	Shard  int
 	Sent   core.Instant
@@ -75,17 +80,17 @@
 	record Record
 }
 
-// Machine is one host's part in the leases.
+// Machine is one host's state of all leases.
 type Machine struct {
 	settings Settings
 	leases   []lease
-	of       map[core.UpstreamID]int // shards of replicas, worked out before
+	shardOf  map[core.UpstreamID]int // cached shards of replicas
 	listed   bool                    // the leases have been read at least once
 	leaving  bool
-	levels   func() map[core.WorkspaceID]float64 // nil: writes carry none
+	levels   func() map[core.WorkspaceID]float64 // nil: leases are written without levels
 }
 
-// New returns a machine that holds nothing.
+// New returns a machine that owns no shard.
 func New(s Settings) *Machine {
 	if s.Count <= 0 {
 		s.Count = DefaultCount
@@ -102,32 +107,33 @@
 	if s.Turn <= 0 {
 		s.Turn = DefaultTurn
 	}
-	return &Machine{settings: s, leases: make([]lease, s.Count), of: map[core.UpstreamID]int{}}
+	return &Machine{settings: s, leases: make([]lease, s.Count), shardOf: map[core.UpstreamID]int{}}
 }
 
-// Count is how many shards there are.
+// Count returns the number of shards.
 func (m *Machine) Count() int { return len(m.leases) }
 
-// rememberedMost bounds the shards that are remembered, of replicas long gone too.
-const rememberedMost = 4096
+// maxCachedShards bounds the cache of replicas' shards, which keeps removed replicas
+// too.
+const maxCachedShards = 4096
 
 // Of returns the shard of a replica.
 func (m *Machine) Of(id core.UpstreamID) int {
-	if shard, ok := m.of[id]; ok {
+	if shard, ok := m.shardOf[id]; ok {
 		return shard
 	}
-	if len(m.of) >= rememberedMost {
-		clear(m.of)
+	if len(m.shardOf) >= maxCachedShards {
+		clear(m.shardOf)
 	}
 	shard := int(core.Score("", scoreKind, string(id)) % uint64(len(m.leases)))
-	m.of[id] = shard
+	m.shardOf[id] = shard
 	return shard
 }
 
 // ActsAny reports whether this host may order any replicas now.
 func (m *Machine) ActsAny(now core.Instant) bool {
 	for i := range m.leases {
-		if now.Before(m.leases[i].until) {
+		if now.Before(m.leases[i].validUntil) {
 			return true
 		}
 	}
@@ -135,13 +141,13 @@
 }
 
 // Acting returns the fencing number under which this host may order a shard's
-// replicas now. Ask again before every send.
+// replicas now, and false if it may not. Callers check it before every send.
 func (m *Machine) Acting(now core.Instant, shard int) (core.Fence, bool) {
 	l := &m.leases[shard]
-	return l.record.Fence, now.Before(l.until)
+	return l.record.Fence, now.Before(l.validUntil)
 }
 
-// Holder is who holds a shard, as far as this host has seen, "" where nobody does.
+// Holder returns a shard's owner as last observed, "" if there is none.
 func (m *Machine) Holder(shard int) core.HostID {
 	l := &m.leases[shard]
 	if l.record.Released {
@@ -150,7 +156,7 @@
 	return l.record.Holder
 }
 
-// Read takes the leases as listed. A stale list only delays a takeover.
+// Read applies a list of the leases. A stale list only delays a takeover.
 func (m *Machine) Read(now core.Instant, objects []core.Object) {
 	m.listed = true
 	for _, o := range objects {
@@ -162,6 +168,7 @@
 	}
 }
 
+// observe applies a lease as stored, unless it is older than the known version.
 func (m *Machine) observe(now core.Instant, i int, o core.Object) {
 	l := &m.leases[i]
 	if o.Version <= l.version {
@@ -169,18 +176,19 @@
 	}
 	var r Record
 	if json.Unmarshal(o.Value, &r) != nil {
-		r = Record{} // not ours: taken over like any other lease that is not renewed
+		r = Record{} // foreign content: taken over like any lease that isn't renewed
 	}
 	if r.Holder != m.settings.Self {
-		l.until = 0
+		l.validUntil = 0
 	}
-	l.record, l.version, l.seen = r, o.Version, now
+	l.record, l.version, l.seenAt = r, o.Version, now
 }
 
-// Carry sets what gives the levels that writes carry.
+// Carry sets the function that returns the bucket levels stored with each lease.
 func (m *Machine) Carry(levels func() map[core.WorkspaceID]float64) { m.levels = levels }
 
-// Levels are those of the lease that was written last, as far as can be told.
+// Levels returns the bucket levels of the lease with the highest known version, nil if
+// no lease has any.
 func (m *Machine) Levels() map[core.WorkspaceID]float64 {
 	var latest *lease
 	for i := range m.leases {
@@ -194,10 +202,11 @@
 	return latest.record.Levels
 }
 
-// Leave gives all leases up and takes none any more.
+// Leave makes the host release its leases and take over no more.
 func (m *Machine) Leave() { m.leaving = true }
 
-// Tick returns the writes that are due. Members gives the hosts that are there.
+// Tick returns the writes that are due. Members returns the names of the hosts that
+// may take over. It returns none before the leases have been listed once.
 func (m *Machine) Tick(now core.Instant, members func() []core.HostID) []Call {
 	if !m.listed {
 		return nil
@@ -205,68 +214,69 @@
 	var calls []Call
 	for i := range m.leases {
 		l := &m.leases[i]
-		if l.asked != 0 && now.Sub(l.asked) < maxUnanswered {
+		if l.callSent != 0 && now.Sub(l.callSent) < callTimeout {
 			continue
 		}
-		l.asked = 0
-		if c, ok := m.next(now, i, l, members); ok {
-			l.asked = now
+		l.callSent = 0
+		if c, ok := m.nextWrite(now, i, l, members); ok {
+			l.callSent = now
 			calls = append(calls, c)
 		}
 	}
 	return calls
 }
 
-func (m *Machine) next(now core.Instant, i int, l *lease, members func() []core.HostID) (Call, bool) {
+// nextWrite returns the write that is due for a lease, and false if there is none.
+func (m *Machine) nextWrite(now core.Instant, i int, l *lease, members func() []core.HostID) (Call, bool) {
 	mine := l.version != 0 && l.record.Holder == m.settings.Self && !l.record.Released
 	switch {
-	case m.leaving && mine && l.until != 0:
-		l.until = 0
+	case m.leaving && mine && l.validUntil != 0:
+		l.validUntil = 0
 		r := l.record
 		r.Released = true
 		return m.write(now, i, l, r), true
 	case m.leaving:
 		return Call{}, false
-	case mine && l.until == 0: // of an earlier process of this machine, or of a write without an answer
-		return m.write(now, i, l, m.successor(l)), true
-	case mine && now >= l.due:
-		l.due = now.Add(m.settings.Renew)
+	case mine && l.validUntil == 0: // written by an earlier process of this host, or by a write without an answer
+		return m.write(now, i, l, m.takeoverRecord(l)), true
+	case mine && now >= l.renewAt:
+		l.renewAt = now.Add(m.settings.Renew)
 		r := l.record
-		if !now.Before(l.until) { // it has run out: orders go on under a new number
+		if !now.Before(l.validUntil) { // expired: later orders need a new fencing number
 			r.Fence++
 		}
 		r.Renewals++
 		return m.write(now, i, l, r), true
-	case !mine && m.free(now, i, l, members):
-		return m.write(now, i, l, m.successor(l)), true
+	case !mine && m.mayTakeOver(now, i, l, members):
+		return m.write(now, i, l, m.takeoverRecord(l)), true
 	}
 	return Call{}, false
 }
 
-// successor is the record of a new holder.
-func (m *Machine) successor(l *lease) Record {
+// takeoverRecord is the record with this host as the new owner.
+func (m *Machine) takeoverRecord(l *lease) Record {
 	return Record{Holder: m.settings.Self, Fence: l.record.Fence + 1}
 }
 
-// free reports whether a lease may be taken by this host now.
-func (m *Machine) free(now core.Instant, i int, l *lease, members func() []core.HostID) bool {
+// mayTakeOver reports whether this host may write its name into a lease now.
+func (m *Machine) mayTakeOver(now core.Instant, i int, l *lease, members func() []core.HostID) bool {
 	wait := m.settings.Term + m.settings.Gap
 	if l.record.Released {
 		wait = m.settings.Gap
 	}
-	from := l.seen
+	since := l.seenAt
 	if l.version == 0 {
-		from, wait = 0, m.settings.Meet
+		since, wait = 0, m.settings.Meet
 	}
-	if now.Sub(from) < wait {
+	if now.Sub(since) < wait {
 		return false
 	}
-	turn := time.Duration(m.rank(i, members())) * m.settings.Turn
-	return now.Sub(from) >= wait+turn
+	delay := time.Duration(m.rank(i, members())) * m.settings.Turn
+	return now.Sub(since) >= wait+delay
 }
 
-// rank is this host's place among those that could take a shard; a host that is not
-// one of them comes last.
+// rank is this host's place among the possible successors for a shard, 0 for the best;
+// a host that isn't a member comes last.
 func (m *Machine) rank(i int, members []core.HostID) int {
 	order := core.RendezvousN(members, scoreKind, strconv.Itoa(i), len(members))
 	if rank := slices.Index(order, m.settings.Self); rank >= 0 {
@@ -275,6 +285,7 @@
 	return len(members)
 }
 
+// write returns the call that stores a record if the lease is unchanged.
 func (m *Machine) write(now core.Instant, i int, l *lease, r Record) Call {
 	if m.levels != nil {
 		r.Levels = m.levels()
@@ -290,20 +301,20 @@
 	return Call{Shard: i, Sent: now, Object: c, record: r}
 }
 
-// Written takes the end of a write.
+// Written applies the result of a write.
 func (m *Machine) Written(now core.Instant, c Call, result core.ObjectResult) {
 	l := &m.leases[c.Shard]
-	l.asked = 0
+	l.callSent = 0
 	switch result.Status {
 	case core.ObjectOK:
 		if result.Object.Version < l.version {
-			return // a later version has been read meanwhile
+			return // a later version has been observed meanwhile
 		}
-		l.record, l.version, l.seen = c.record, result.Object.Version, now
-		l.until = 0
+		l.record, l.version, l.seenAt = c.record, result.Object.Version, now
+		l.validUntil = 0
 		if !c.record.Released && !m.leaving {
-			l.until = c.Sent.Add(m.settings.Term)
-			l.due = c.Sent.Add(m.settings.Renew)
+			l.validUntil = c.Sent.Add(m.settings.Term)
+			l.renewAt = c.Sent.Add(m.settings.Renew)
 		}
 	case core.ObjectConflict:
 		if result.Object.Version != 0 {
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -10,7 +10,7 @@
 	"gentiancroft/internal/core"
 )
 
-// store is a store with conditional updates.
+// store is a fake store with conditional updates.
 type store struct {
 	version uint64
 	objects map[string]core.Object
@@ -41,11 +41,12 @@
 	return all
 }
 
+// alone returns host a as the only member.
 func alone() []core.HostID { return []core.HostID{"a"} }
 
 func at(d time.Duration) core.Instant { return core.Instant(d) }
 
-func TestAFreshFleetActsAtOnce(t *testing.T) {
+func TestFirstHostOwnsFreeShardAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
 	m := New(Settings{Self: "a", Count: 1})
@@ -60,7 +61,7 @@
 	is.True(!ok) // not renewed
 }
 
-func TestARestartedHolderGoesOnAtOnceUnderAHigherNumber(t *testing.T) {
+func TestRestartedOwnerContinuesWithHigherFence(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
 	for i := range 3 {
@@ -75,7 +76,7 @@
 	}
 }
 
-func TestAnUnansweredRenewalExtendsNothing(t *testing.T) {
+func TestUnansweredRenewalDoesNotExtendLease(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
 	m := New(Settings{Self: "a", Count: 1, Renew: 700 * time.Millisecond})
@@ -95,15 +96,15 @@
 	is.True(ok)
 }
 
-// Hosts stop, restart, lose answers and read stale lists: two hosts never order
-// within Gap of each other, and fencing numbers rise.
-func TestTwoHoldersNeverOrderWithinTheGap(t *testing.T) {
+// Hosts pause, restart, lose answers and read stale lists. Invariant: two hosts never
+// order within 3 s of each other (Gap is 3.3 s), and fencing numbers never fall.
+func TestTwoOwnersNeverOrderWithinGap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const step = 100 * time.Millisecond
 		names := []core.HostID{"a", "b", "c"}
 		s := newStore()
 		machines := map[core.HostID]*Machine{}
-		asleep := map[core.HostID]int{}
+		paused := map[core.HostID]int{}
 		var stale []core.Object
 		lastOrder := map[core.HostID]core.Instant{}
 		var fences []core.Fence
@@ -113,13 +114,13 @@
 				stale = s.list()
 			}
 			for _, n := range names {
-				if asleep[n] > 0 {
-					asleep[n]--
+				if paused[n] > 0 {
+					paused[n]--
 					continue
 				}
 				switch rapid.IntRange(0, 60).Draw(rt, "fault") {
 				case 0:
-					asleep[n] = rapid.IntRange(1, 80).Draw(rt, "sleep")
+					paused[n] = rapid.IntRange(1, 80).Draw(rt, "sleep")
 					continue
 				case 1:
 					machines[n] = nil
@@ -149,7 +150,7 @@
 					}
 				}
 				if len(fences) > 0 && fence < fences[len(fences)-1] {
-					rt.Fatalf("number %d after %d", fence, fences[len(fences)-1])
+					rt.Fatalf("fencing number %d after %d", fence, fences[len(fences)-1])
 				}
 				fences = append(fences, fence)
 				lastOrder[n] = now
