--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -1,6 +1,7 @@
-// Package table holds the routes, services and workspaces that a host serves
-// without looking into requests: what a caller asks for stands in the request's
-// header, and the bytes of the body and the answer pass unchanged.
+// Package table holds the routes, services, workspaces and key hashes of one version of
+// the configuration, indexed for lookup by request headers. It decides which route
+// and service a request goes to. Bodies are not inspected; parsing and checking the
+// configuration is left to the caller.
 package table
 
 import (
@@ -14,14 +15,14 @@
 // ServiceID names a group of interchangeable replicas.
 type ServiceID string
 
-// Kind says what may be repeated on a route.
+// Kind is whether requests on a route may be repeated.
 type Kind uint8
 
 // Kinds of route.
 const (
 	Idempotent    Kind = iota + 1 // may run more than once
-	NonIdempotent                 // runs once at most
-	Streaming                     // answers with events; runs once at most unless it may be resumed
+	NonIdempotent                 // runs at most once
+	Streaming                     // answers with events; runs at most once unless it is resumable
 )
 
 // String names a kind in logs and metrics.
@@ -37,23 +38,23 @@
 	return "unknown"
 }
 
-// Target is one service that a route leads to and its share of the requests.
+// Target is a service of a route with its weight among the route's services.
 type Target struct {
 	Service ServiceID
 	Weight  int
 }
 
-// Route leads requests for a host name and a path prefix to services.
+// Route maps requests for a host name and a path prefix to services.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
-	Resumable   bool // a stream may be continued by another replica
-	Open        bool // needs no key
+	Resumable   bool // another replica may continue a stream
+	Open        bool // callers need no key
 	Timeout     time.Duration
-	Objective   time.Duration // to the whole answer, or to the first event of a stream
-	Pause       time.Duration // longest between two events that is still on time
+	Objective   time.Duration // target latency of the whole answer, or of the first event of a stream
+	Pause       time.Duration // maximum time between two events that counts as on time
 	Priority    int           // 0 is the most urgent
 	MaxAttempts int           // replicas that one request may be sent to
 	Targets     []Target
@@ -64,7 +65,8 @@
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Target picks a service by a number that is spread evenly over all requests.
+// Target returns the service for a number that is uniformly distributed over requests,
+// in proportion to the weights; "" if no target has a weight.
 func (r *Route) Target(spread uint64) ServiceID {
 	total := 0
 	for _, t := range r.Targets {
@@ -90,7 +92,7 @@
 
 // Engine describes the replicas of a service that run models.
 type Engine struct {
-	Batch        int // requests that run at once
+	Batch        int // requests that run concurrently
 	AdapterSlots int
 	Models       []Model
 }
@@ -105,21 +107,21 @@
 type Workspace struct {
 	ID       core.WorkspaceID
 	Priority int
-	Rate     float64     // tokens a second over all hosts; 0: no limit
+	Rate     float64     // tokens per second over all hosts; 0: no limit
 	Burst    float64     // tokens
-	Plain    core.Tokens // that a request without a count of its own costs
+	Plain    core.Tokens // cost of a request that doesn't state its own
 }
 
-// KeyHash stands for a caller's key; keys themselves are not kept.
+// KeyHash is the hash of a caller's key; keys themselves are not stored.
 type KeyHash [sha256.Size]byte
 
-// HashKey returns what a key is known by.
+// HashKey returns the hash of a key.
 func HashKey(key []byte) KeyHash { return sha256.Sum256(key) }
 
-// Table is one version of the configuration, checked and indexed.
+// Table is one checked version of the configuration.
 type Table struct {
 	Version    uint64
-	Keyed      bool // callers need keys, but on open routes
+	Keyed      bool // callers need keys except on open routes
 	Routes     []Route
 	Services   map[ServiceID]*Service
 	Workspaces map[core.WorkspaceID]*Workspace
@@ -128,7 +130,7 @@
 	routes map[string]map[string]*Route // by host name and prefix
 }
 
-// Index prepares a table for Route. Call it once, before the table is shared.
+// Index builds the index for Route. It must be called once, before the table is shared.
 func (t *Table) Index() {
 	t.routes = map[string]map[string]*Route{}
 	for i := range t.Routes {
@@ -140,8 +142,7 @@
 	}
 }
 
-// Route returns the route of a host name with the longest prefix that begins
-// the path, or nil.
+// Route returns the route of a host name with the longest prefix of the path, or nil.
 func (t *Table) Route(host, path string) *Route {
 	prefixes := t.routes[host]
 	if prefixes == nil {
