--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -1,7 +1,7 @@
-// Package directory decides which hosts a caller is told to use. It is one pure
-// function of what a host knows: hosts that can't serve are filtered out, the
-// workspace's homes are chosen by rendezvous hash, and the answer is ordered by
-// nearness and load.
+// Package directory decides which hosts a caller should use. From the membership, the
+// hosts' states and loads, and the caller's workspace and failure domain it filters out
+// hosts that can't serve, chooses the workspace's home hosts by rendezvous hash, and
+// orders them by distance and load. Collecting the inputs is left to the caller.
 package directory
 
 import (
@@ -15,46 +15,46 @@
 
 // Bounds of an answer.
 const (
-	// Keep is how long a caller may keep an answer. A leaving host serves on for
-	// at least so long after it has left the directory.
+	// Keep is how long a caller may cache an answer. A leaving host continues to serve
+	// for at least this long after it has left the directory.
 	Keep = 10 * time.Second
-	// KeepUnsure is the same where hosts are suspected, lag or overloaded.
+	// KeepUnsure is the same if hosts are suspected or a home is overloaded.
 	KeepUnsure = 3 * time.Second
-	// MinHomes is the fewest hosts named while so many live.
+	// MinHomes is the minimum of homes of a workspace, if that many hosts are usable.
 	MinHomes = 2
-	// MaxAddresses is the most addresses in one answer.
+	// MaxAddresses is the maximum of addresses in an answer.
 	MaxAddresses = 8
-	// LoadFull is the load from which a host is named last.
+	// LoadFull is the fraction of capacity in use from which a host is ordered last.
 	LoadFull = 0.9
 )
 
-// kindHome separates these rendezvous scores from those of shards.
-const kindHome = 0xd1
+// homeScoreKind separates these rendezvous scores from other uses.
+const homeScoreKind = 0xd1
 
 // Input is all that an answer depends on.
 type Input struct {
-	Members   []core.Member               // the membership in force
+	Members   []core.Member               // the current membership
 	Regions   map[core.Domain]core.Region // of domains without members, where known
-	Suspected []core.HostID               // silent, or unreachable
-	Leaving   []string                    // addresses that the platform lists as leaving; it lags
-	Load      map[core.HostID]float64     // share of a host's capacity in use; a host left out counts as idle
-	Workspace core.WorkspaceID            // "" names no homes
-	Share     float64                     // the workspace's part of all rates, 0 to 1
-	Domain    core.Domain                 // the caller's, "" where not known
-	Seed      uint64                      // spreads callers over hosts of one rank
+	Suspected []core.HostID               // unresponsive or unreachable
+	Leaving   []string                    // addresses that the platform lists as leaving; may be outdated
+	Load      map[core.HostID]float64     // fraction of a host's capacity in use; 0 for hosts that are missing
+	Workspace core.WorkspaceID            // "": all usable hosts are homes
+	Share     float64                     // the workspace's rate as a fraction of all rates, 0 to 1
+	Domain    core.Domain                 // of the caller, "" if unknown
+	Seed      uint64                      // spreads callers over hosts of equal distance
 }
 
-// Answer is what a caller is told.
+// Answer is the list of hosts for a caller.
 type Answer struct {
 	Hosts     []core.HostID // best first
 	Addresses []string      // of Hosts
-	Keep      time.Duration // ask again after it
+	Keep      time.Duration // how long the caller may cache the answer
 }
 
-// Entries chooses the hosts for a caller. It names at least one while any
-// member is known: a leaving or suspected host is better than none.
+// Entries chooses the hosts for a caller, at least one if there is any member: a
+// leaving or suspected host is better than none.
 func Entries(in Input) Answer {
-	live, unsure := usable(in)
+	live, unsure := usableMembers(in)
 	homes := chooseHomes(live, in)
 	order(homes, in)
 	answer := Answer{Keep: Keep}
@@ -68,9 +68,10 @@
 	return answer
 }
 
-// usable filters out what can't serve a new caller. Where that leaves nobody,
-// it lets suspected hosts back in, then leaving ones.
-func usable(in Input) (live []core.Member, unsure bool) {
+// usableMembers returns the members that can serve a new caller. If there are none, it
+// falls back to suspected hosts, then to leaving ones. Unsure is true if any host is
+// suspected or a fallback was used.
+func usableMembers(in Input) (live []core.Member, unsure bool) {
 	leaving := func(m core.Member) bool { return m.Leaving || slices.Contains(in.Leaving, m.Address) }
 	suspected := func(m core.Member) bool { return slices.Contains(in.Suspected, m.Host) }
 	for _, m := range in.Members {
@@ -92,43 +93,44 @@
 	return live, true
 }
 
-// Homes is how many of n hosts a workspace with a share of all rates is spread
-// over: enough that a host carries at most its even part, and never so many
-// that the workspace's own share on each becomes thin.
+// Homes is the number of n hosts that a workspace with a share of all rates is spread
+// over: twice its even share, but at least MinHomes and at most n. More would leave too
+// little of the workspace's rate on each host.
 func Homes(n int, share float64) int {
-	const spare = 2 // times the even part, for callers that come unevenly
+	const spare = 2 // times the even share, for callers that arrive unevenly
 	homes := int(math.Ceil(share * spare * float64(n)))
 	return min(max(homes, MinHomes), n)
 }
 
-// chooseHomes picks a workspace's homes by rendezvous hash over failure domains
-// in turn: a membership change moves only the homes that it touches, and losing
-// a failure domain leaves the others.
+// chooseHomes chooses a workspace's homes by rendezvous hash, taking failure domains in
+// turn. A membership change moves only the affected homes, and the loss of a failure
+// domain leaves homes in the others.
 func chooseHomes(live []core.Member, in Input) []core.Member {
 	if in.Workspace == "" {
 		return slices.Clone(live)
 	}
 	ranked := slices.Clone(live)
 	slices.SortFunc(ranked, func(a, b core.Member) int {
-		sa := core.Score(a.Host, kindHome, string(in.Workspace))
-		sb := core.Score(b.Host, kindHome, string(in.Workspace))
+		sa := core.Score(a.Host, homeScoreKind, string(in.Workspace))
+		sb := core.Score(b.Host, homeScoreKind, string(in.Workspace))
 		return cmp.Or(cmp.Compare(sb, sa), cmp.Compare(a.Host, b.Host))
 	})
-	want := Homes(len(ranked), in.Share)
-	homes := make([]core.Member, 0, want)
-	for round := 0; len(homes) < want; round++ {
-		taken := map[core.Domain]int{}
+	count := Homes(len(ranked), in.Share)
+	homes := make([]core.Member, 0, count)
+	for round := 0; len(homes) < count; round++ {
+		perDomain := map[core.Domain]int{}
 		for _, m := range ranked {
-			if taken[m.Domain] == round && len(homes) < want {
+			if perDomain[m.Domain] == round && len(homes) < count {
 				homes = append(homes, m)
 			}
-			taken[m.Domain]++
+			perDomain[m.Domain]++
 		}
 	}
 	return homes
 }
 
-// order puts near, unloaded hosts first and rotates callers over equals.
+// order sorts saturated hosts last, then by distance, and spreads callers over hosts of
+// equal distance by free capacity.
 func order(homes []core.Member, in Input) {
 	const (
 		sameDomain = iota
@@ -152,29 +154,30 @@
 		}
 		return elsewhere
 	}
-	const callers = 0xd2
+	const callerScoreKind = 0xd2
 	draw := core.NewRand(in.Seed).Uint64()
 	slices.SortFunc(homes, func(a, b core.Member) int {
-		fullA, fullB := in.Load[a.Host] >= LoadFull, in.Load[b.Host] >= LoadFull
-		if fullA != fullB {
-			if fullB {
+		saturatedA, saturatedB := in.Load[a.Host] >= LoadFull, in.Load[b.Host] >= LoadFull
+		if saturatedA != saturatedB {
+			if saturatedB {
 				return -1
 			}
 			return 1
 		}
 		return cmp.Or(
 			cmp.Compare(distance(a), distance(b)),
-			cmp.Compare(weight(a, in, draw, callers), weight(b, in, draw, callers)),
+			cmp.Compare(weight(a, in, draw, callerScoreKind), weight(b, in, draw, callerScoreKind)),
 			cmp.Compare(a.Host, b.Host),
 		)
 	})
 }
 
-// weight is a draw per caller and host, longer for a loaded host, so that
-// callers spread in proportion to the capacity that is free.
+// weight is an exponentially distributed number per caller and host, with a larger mean
+// for a loaded host, so that the smallest one spreads callers in proportion to the
+// free capacity.
 func weight(m core.Member, in Input, draw uint64, kind uint8) float64 {
-	const tiny = 0.02 // of capacity; a full host is still drawn now and then
-	free := max(1-in.Load[m.Host], tiny)
+	const minFree = 0.02 // of capacity; saturated hosts are still chosen sometimes
+	free := max(1-in.Load[m.Host], minFree)
 	var name [8]byte
 	for i := range name {
 		name[i] = byte(draw >> (8 * i))
@@ -184,6 +187,7 @@
 	return -math.Log(u) / free
 }
 
+// overloaded reports whether any home is saturated.
 func overloaded(homes []core.Member, in Input) bool {
 	for _, m := range homes {
 		if in.Load[m.Host] >= LoadFull {
--- a/internal/core/directory/directory_test.go
+++ b/internal/core/directory/directory_test.go
@@ -33,7 +33,7 @@
 	return members
 }
 
-func TestNeverEmptyAndNeverHiddenHosts(t *testing.T) {
+func TestAnswerIsNeverEmptyAndPrefersUsableHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := Input{Members: fleet(rapid.IntRange(1, 20).Draw(t, "n"), 4), Workspace: "w", Seed: rapid.Uint64().Draw(t, "seed")}
 		in.Share = rapid.Float64Range(0, 1).Draw(t, "share")
@@ -69,7 +69,7 @@
 	})
 }
 
-func TestHomesAreFewForTheSmallAndStable(t *testing.T) {
+func TestHomesFollowShareAndAreStable(t *testing.T) {
 	is := is.New(t)
 	in := Input{Members: fleet(350, 8), Workspace: "small", Share: 0.001}
 	before := chooseHomes(in.Members, in)
@@ -88,7 +88,7 @@
 			moved++
 		}
 	}
-	is.Equal(moved, 1) // only the home that went
+	is.Equal(moved, 1) // only the removed home
 }
 
 func TestCallersSpreadByFreeCapacityAndNearness(t *testing.T) {
@@ -100,10 +100,10 @@
 		in.Seed = seed
 		a := Entries(in)
 		first[a.Hosts[0]]++
-		is.Equal(a.Hosts[3], core.HostID("h003")) // the full one comes last
+		is.Equal(a.Hosts[3], core.HostID("h003")) // the saturated host comes last
 	}
 	is.Equal(first["h003"], 0)
-	is.True(math.Abs(float64(first["h000"])/callers-0.2) < 0.03) // half of the others' free capacity
+	is.True(math.Abs(float64(first["h000"])/callers-0.2) < 0.03) // it has half the free capacity of the other two
 	in = Input{Members: fleet(12, 6), Domain: "d4"}
 	a := Entries(in)
 	is.Equal(a.Hosts[0] == "h004" || a.Hosts[0] == "h010", true)
