--- a/internal/core/decay_test.go
+++ b/internal/core/decay_test.go
@@ -12,7 +12,7 @@
 	var d Decaying
 	d.Add(Instant(time.Second), 8, time.Second)
 	is.Equal(d.Now(Instant(3*time.Second), time.Second), 2.0)
-	is.Equal(d.Now(0, time.Second), 8.0) // a clock that is behind changes nothing
+	is.Equal(d.Now(0, time.Second), 8.0) // an earlier time changes nothing
 	d.Add(Instant(2*time.Second), 1, time.Second)
 	is.Equal(d.Now(Instant(2*time.Second), time.Second), 5.0)
 }
--- a/internal/core/default.go
+++ b/internal/core/default.go
@@ -1,6 +1,6 @@
 package core
 
-// OrDefault gives a setting its default where it is not set.
+// OrDefault sets a setting of zero value to its default.
 func OrDefault[T comparable](setting *T, value T) {
 	var zero T
 	if *setting == zero {
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -5,65 +5,65 @@
 // ObjectOp is an operation of the platform's object API.
 type ObjectOp uint8
 
-// Operations. Every one counts as a call, a waiting watch as one.
+// Operations. Each counts as one call, also a watch that waits.
 const (
 	ObjectGet    ObjectOp = iota + 1
 	ObjectCreate          // fails with Conflict where the key exists
 	ObjectUpdate          // fails with Conflict unless the version is IfVersion
 	ObjectDelete          // fails with Conflict unless the version is IfVersion; 0 deletes any
 	ObjectList            // all objects whose key starts with Key
-	ObjectWatch           // answers once a key under Key is newer than IfVersion, or with none at its time-out
+	ObjectWatch           // returns keys that start with Key once one is newer than IfVersion, or nothing after its timeout
 )
 
-// ObjectCall is one call to the object API. Tag is the caller's own and comes
-// back with the result.
+// ObjectCall is one call to the object API. Tag is chosen by the caller and returned
+// with the result.
 type ObjectCall struct {
 	Tag       uint64
 	Op        ObjectOp
 	Key       string
 	Value     []byte
 	IfVersion uint64
-	Wait      time.Duration // of a watch: how long it may stay unanswered; 0: the client's own time
-	Stale     bool          // of a list: the answer may be seconds old
+	Wait      time.Duration // of a watch: its timeout; 0: the client's default
+	Stale     bool          // of a list: the result may be seconds old
 }
 
-// ObjectStatus is how an object call ended.
+// ObjectStatus is the status of a finished object call.
 type ObjectStatus uint8
 
-// Ends of an object call.
+// Statuses of an object call.
 const (
 	ObjectOK          ObjectStatus = iota + 1
 	ObjectNotFound                 // Get, Update or Delete of a missing key
-	ObjectConflict                 // the condition did not hold; nothing changed
+	ObjectConflict                 // the condition did not hold; nothing was changed
 	ObjectUnavailable              // the call did not reach the store
-	ObjectUnknown                  // no answer: a write may have taken effect
-	ObjectHistoryGone              // of a watch: changes since IfVersion are no longer kept; list again
+	ObjectUnknown                  // no answer: a write may have been applied
+	ObjectHistoryGone              // of a watch: the changes since IfVersion are no longer stored; list the objects instead
 )
 
-// Object is one stored value. Versions rise over the whole store.
+// Object is a stored value. Versions increase across the whole store.
 type Object struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value"`
 	Version uint64 `json:"version"`
-	Deleted bool   `json:"deleted,omitempty"` // of a watch: the key is gone as of Version
+	Deleted bool   `json:"deleted,omitempty"` // of a watch: the key was deleted as of Version
 }
 
-// ObjectResult is the end of the call with the same Tag.
+// ObjectResult is the result of the call with the same Tag.
 type ObjectResult struct {
 	Tag     uint64
 	Status  ObjectStatus
-	Object  Object   // of Get, Create, Update; of a conflicting Update the present one if known
+	Object  Object   // of Get, Create and Update; after a conflicting Update the stored one, if known
 	Objects []Object // of List and Watch
 	Version uint64   // the store's version as of a List or Watch
 }
 
-// Send is a message for another host. It may be lost, doubled or reordered.
+// Send is a message for another host. It may be lost, duplicated or reordered.
 type Send[M any] struct {
 	To      HostID
 	Message M
 }
 
-// Output collects what a machine wants done after one event.
+// Output collects the effects that a machine returns for one event.
 type Output[M any] struct {
 	Calls []ObjectCall
 	Sends []Send[M]
--- a/internal/core/hash.go
+++ b/internal/core/hash.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the rendezvous weight of a host for a name. The same inputs give
-// the same score on every host.
+// Score returns the rendezvous weight of a host for a name. Kind separates independent
+// uses. The score is the same on every host.
 func Score(h HostID, kind uint8, name string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(string(h))
@@ -17,8 +17,8 @@
 	return d.Sum64()
 }
 
-// Rendezvous returns the host with the highest score for a name, and false
-// where there is none.
+// Rendezvous returns the host with the highest score for a name, and false if there
+// are no hosts.
 func Rendezvous(hosts []HostID, kind uint8, name string) (HostID, bool) {
 	best, top := HostID(""), uint64(0)
 	for i, h := range hosts {
@@ -30,7 +30,7 @@
 	return best, len(hosts) > 0
 }
 
-// RendezvousN returns up to n hosts by falling score.
+// RendezvousN returns up to n hosts by descending score.
 func RendezvousN(hosts []HostID, kind uint8, name string, n int) []HostID {
 	type scored struct {
 		host  HostID
@@ -59,8 +59,8 @@
 	return out
 }
 
-// Short is a number that stands for a name where messages are many. Two names of
-// one kind hardly ever share theirs.
+// Short returns a 32-bit hash that stands for a name in frequent messages. Collisions
+// of names of one kind are unlikely, but possible.
 func Short(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // Fingerprint hashes the parts of a request that decide what an upstream runs,
--- a/internal/core/purity_test.go
+++ b/internal/core/purity_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// allowedImports are the packages outside the core that its code may import.
+// allowedImports are the packages outside internal/core that its code may import.
 var allowedImports = map[string]bool{
 	"bytes": true, "cmp": true, "container/heap": true, "container/list": true,
 	"crypto/hmac": true, "crypto/sha256": true, "crypto/subtle": true,
@@ -31,8 +31,8 @@
 	"rand": {"Int", "IntN", "Int64", "Int64N", "Uint64", "Uint64N", "Float64", "Shuffle", "Perm", "N", "ExpFloat64", "NormFloat64"},
 }
 
-// impurities lists what makes one source file unfit for the core.
-func impurities(name string, src any) []string {
+// findImpurities returns the forbidden imports, goroutines and calls of a source file.
+func findImpurities(name string, src any) []string {
 	fset := token.NewFileSet()
 	file, err := parser.ParseFile(fset, name, src, 0)
 	if err != nil {
@@ -76,13 +76,13 @@
 			return err
 		}
 		files++
-		for _, f := range impurities(path, nil) {
+		for _, f := range findImpurities(path, nil) {
 			t.Error(f)
 		}
 		return nil
 	})
 	is.NoErr(err)
-	is.True(files > 3) // the walk found the core
+	is.True(files > 3) // the walk found the packages
 }
 
 func TestPurityCheckCanFail(t *testing.T) {
@@ -91,5 +91,5 @@
 import ("net"; "time"; "math/rand/v2")
 var _ net.Conn
 func f() { go f(); time.Sleep(1); _ = rand.Int(); _ = time.Now() }`
-	is.Equal(len(impurities("x.go", src)), 5)
+	is.Equal(len(findImpurities("x.go", src)), 5)
 }
--- a/internal/core/rand.go
+++ b/internal/core/rand.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Rand is the seeded source of randomness that is handed to a machine.
+// Rand is a seeded source of randomness for a machine.
 type Rand struct{ *rand.Rand }
 
 // NewRand returns a source that gives the same sequence for the same seed.
@@ -11,5 +11,5 @@
 	return &Rand{rand.New(rand.NewPCG(seed, stream))}
 }
 
-// Jitter returns a value in [0.5, 1.5) times d.
+// Jitter returns a random value in [0.5, 1.5) times d, which must be positive.
 func (r *Rand) Jitter(d int64) int64 { return d/2 + r.Int64N(d) }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,9 +1,9 @@
 // Package core holds the types that every decision package shares: time,
 // identities, typed refusals, object API calls and peer sends.
 //
-// Packages below internal/core are pure: time and randomness are handed in,
-// inputs are typed events, outputs are typed effects. They start no goroutine
-// and do no I/O; a test in this package enforces it.
+// Packages below internal/core are pure: time and randomness are arguments, inputs are
+// typed events and outputs are typed effects. They start no goroutines and do no I/O;
+// a test in this package enforces this.
 package core
 
 import (
@@ -26,7 +26,7 @@
 
 // Identities. All are unique within one deployment.
 type (
-	// HostID names one process lifetime of a host: a restarted host has a new one.
+	// HostID names one process of a host: it changes with each restart.
 	HostID string
 	// Domain names a failure domain.
 	Domain string
@@ -40,9 +40,10 @@
 	AdapterID string
 	// BaseModel names the model that adapters are loaded onto.
 	BaseModel string
-	// RequestID names one caller request; the entry host makes it.
+	// RequestID names one caller request; the entry host generates it.
 	RequestID string
-	// Fence is a fencing number. Of two orders for one shard the higher wins.
+	// Fence is a fencing number. Of two orders for one shard the one with the
+	// higher number takes precedence.
 	Fence uint64
 	// Tokens counts model tokens, prompt and generated alike.
 	Tokens int64
@@ -54,20 +55,20 @@
 	Version int       `cbor:"2,keyasint"`
 }
 
-// String returns "id@version", the name an engine knows the adapter by.
+// String returns "id@version", the adapter's name at an engine.
 func (r AdapterRef) String() string { return fmt.Sprintf("%s@%d", r.ID, r.Version) }
 
-// Member is a host that holds a lease.
+// Member is a host with a membership lease.
 type Member struct {
 	Host    HostID `cbor:"1,keyasint"`
-	Address string `cbor:"2,keyasint"` // callers' HTTP address, ip:port
-	Link    string `cbor:"3,keyasint"` // peers' QUIC address, ip:port
+	Address string `cbor:"2,keyasint"` // HTTP address for callers, ip:port
+	Link    string `cbor:"3,keyasint"` // QUIC address for other hosts, ip:port
 	Domain  Domain `cbor:"4,keyasint"`
 	Region  Region `cbor:"5,keyasint"`
 	Leaving bool   `cbor:"6,keyasint,omitempty"`
 }
 
-// ShardKind tells what a shard's owner decides.
+// ShardKind is what a shard's owner decides.
 type ShardKind uint8
 
 // Kinds of shard.
@@ -86,25 +87,24 @@
 // Grant is the right to act for a shard.
 type Grant struct {
 	Fence Fence
-	Until Instant // of this host's clock; not to be acted on from then
+	Until Instant // on this host's clock; the grant is invalid from then on
 }
 
-// Ownership answers who decides for a shard. The lease machine implements it.
+// Ownership returns which host decides for a shard. The lease machine implements it.
 type Ownership interface {
 	// Self is this host.
 	Self() HostID
-	// Owner is the host that should own s under the membership in force, and
-	// false where there is no live host.
+	// Owner is the host that should own s under the current membership, and false if
+	// there is no live host.
 	Owner(s Shard) (HostID, bool)
-	// Acting reports whether this host may act for s at now, alone. Ask again
-	// immediately before every send.
+	// Acting reports whether this host may exclusively act for s at now. Callers check
+	// it immediately before every send.
 	Acting(now Instant, s Shard) (Grant, bool)
-	// Serving is the weaker right that outlives a store outage: this host may
-	// answer for s as it stands (hand out tickets for what is loaded), but may
-	// take nothing away (evict), since another host may own s by now. Acting
-	// implies Serving.
+	// Serving is a weaker right that lasts through a store outage: this host may answer
+	// for s in its current state (issue tickets for loaded adapters), but must not evict,
+	// since another host may own s by now. Acting implies Serving.
 	Serving(now Instant, s Shard) bool
-	// Members is the membership in force, sorted by HostID.
+	// Members is the current membership, sorted by HostID.
 	Members() []Member
 }
 
@@ -116,10 +116,10 @@
 	Interactive Class = iota
 	Normal
 	Overnight
-	Classes // how many there are
+	Classes // number of classes
 )
 
-// Ran says whether an upstream may have run a request.
+// Ran is whether an upstream has run a request.
 type Ran string
 
 // Values of Ran.
@@ -129,10 +129,10 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Code is the stable name of a refusal.
+// Code is the stable name of a refusal's reason.
 type Code string
 
-// Codes that callers see.
+// Codes returned to callers.
 const (
 	CodeBadRequest       Code = "bad_request"
 	CodeTooLarge         Code = "too_large"
@@ -159,12 +159,12 @@
 	CodeInternal         Code = "internal"
 )
 
-// Refusal is the typed reason why a request got no whole answer.
+// Refusal is the reason why a request got no complete answer.
 type Refusal struct {
 	Code       Code          `cbor:"1,keyasint"`
 	Message    string        `cbor:"2,keyasint,omitempty"`
 	Ran        Ran           `cbor:"3,keyasint"`
-	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"` // 0: asking again does not help
+	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"` // 0: a retry doesn't help
 }
 
 // Error implements error.
@@ -172,7 +172,7 @@
 	return fmt.Sprintf("%s: %s (ran: %s)", r.Code, r.Message, r.Ran)
 }
 
-// Refuse returns a refusal of a request that no upstream can have seen.
+// Refuse returns a refusal of a request that was sent to no upstream.
 func Refuse(code Code, retryAfter time.Duration, message string) *Refusal {
 	return &Refusal{Code: code, Message: message, Ran: RanNo, RetryAfter: retryAfter}
 }
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// UpstreamReport is an upstream's own account of itself, as polled. It lags.
+// UpstreamReport is the state that an upstream returned to a poll. It may be outdated.
 type UpstreamReport struct {
 	Upstream    UpstreamID
 	OK          bool   // false: the poll failed
@@ -11,35 +11,36 @@
 	Waiting     int    // requests queued inside the upstream
 	Adapters    []AdapterLoad
 	Loading     []AdapterRef
-	Sent        Instant // this host's clock before the poll was sent
-	Leaving     bool    // the upstream says it is leaving
+	Sent        Instant // on this host's clock, before the poll was sent
+	Leaving     bool    // the upstream reports that it is leaving
 }
 
-// AdapterLoad is one adapter an engine holds and how many requests run on it.
+// AdapterLoad is an adapter loaded on an engine and the number of requests that run
+// with it.
 type AdapterLoad struct {
 	Adapter AdapterRef
 	Running int
 }
 
-// AdapterOrder tells an engine to load or unload an adapter.
+// AdapterOrder is an order to an engine to load or unload an adapter.
 type AdapterOrder struct {
 	ID       uint64
 	Upstream UpstreamID
 	Address  string // ip:port
 	Load     bool   // false: unload
 	Adapter  AdapterRef
-	Grant    Grant // not sent from Grant.Until on
+	Grant    Grant // the order isn't sent from Grant.Until on
 	Timeout  time.Duration
 }
 
-// OrderDone is the end of an adapter order.
+// OrderDone is the result of the adapter order with the same id.
 type OrderDone struct {
 	ID   uint64
 	OK   bool
-	Sure bool // with OK false: the order surely had and will have no effect
+	Sure bool // if OK is false: the order has had and will have no effect
 }
 
-// Outcome is the answer of a non-idempotent request, bounded, as recorded.
+// Outcome is the recorded answer to a non-idempotent request. Its size is bounded.
 type Outcome struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint,omitempty"`
