--- a/internal/core/dispatch/suspect/bench_test.go
+++ b/internal/core/dispatch/suspect/bench_test.go
@@ -8,8 +8,8 @@
 	"gentiancroft/internal/core"
 )
 
-// BenchmarkClaim is a claim, its verdict and its release, at entry host and home
-// together, in a fleet of 350 hosts.
+// BenchmarkClaim measures a claim, its verdict and its release, at the entry host
+// and the home together, with 350 hosts.
 func BenchmarkClaim(b *testing.B) {
 	f := newFleet(350)
 	entry, own := f.machines["h0"], f.own("h0")
--- a/internal/core/dispatch/suspect/entry.go
+++ b/internal/core/dispatch/suspect/entry.go
@@ -7,33 +7,35 @@
 	"gentiancroft/internal/core"
 )
 
-// homes is how many homes an entry host asks before it decides alone.
-const homes = 2
+// maxHomesAsked is the number of homes that an entry host asks before it decides
+// without one.
+const maxHomesAsked = 2
 
-// ask sends a claim to a home that has not been asked yet.
-func (m *Machine) ask(now core.Instant, c *claim) {
-	if c.apart {
-		m.noTurn(now, c)
+// sendClaim sends a claim to a home that has not been asked yet. The previous one
+// did not answer in time and is marked unresponsive.
+func (m *Machine) sendClaim(now core.Instant, c *claim) {
+	if c.isolated {
+		m.isolationTimedOut(now, c)
 		return
 	}
-	if n := len(c.asked); n > 0 {
-		m.silent[c.asked[n-1]] = now.Add(silentTerm)
+	if n := len(c.homes); n > 0 {
+		m.unresponsive[c.homes[n-1]] = now.Add(unresponsiveTTL)
 		m.epoch++
 	}
 	home, ok := m.home(now, c.req.Fingerprint)
-	if !ok || c.tries == homes {
-		m.alone(now, c)
+	if !ok || c.attempts == maxHomesAsked {
+		m.decideWithoutHome(now, c)
 		return
 	}
 	first := home
-	if len(m.silent) > 0 {
+	if len(m.unresponsive) > 0 {
 		first, _ = core.Rendezvous(m.hosts, homeOfFingerprint, strconv.FormatUint(c.req.Fingerprint, 16))
 	}
-	c.tries++
+	c.attempts++
 	c.epoch = m.epoch
-	c.asked = append(c.asked, home)
-	c.due = now.Add(claimWait)
-	m.tell(now, home, Message{Claim: &ClaimMessage{
+	c.homes = append(c.homes, home)
+	c.due = now.Add(claimTimeout)
+	m.send(now, home, Message{Claim: &ClaimMessage{
 		ID:          c.id,
 		Fingerprint: c.req.Fingerprint,
 		Upstream:    c.req.Upstream,
@@ -41,138 +43,143 @@
 	}})
 }
 
-// end tells everybody who may know of a claim that it is over.
-func (m *Machine) end(now core.Instant, c *claim, end End) {
-	m.forget(c)
+// endClaim removes a claim and sends its release to every host that may have a
+// record of it.
+func (m *Machine) endClaim(now core.Instant, c *claim, end End) {
+	m.removeClaim(c)
 	if c.epoch != m.epoch {
-		if home, ok := m.home(now, c.req.Fingerprint); ok && !slices.Contains(c.asked, home) {
-			c.asked = append(c.asked, home)
+		if home, ok := m.home(now, c.req.Fingerprint); ok && !slices.Contains(c.homes, home) {
+			c.homes = append(c.homes, home)
 		}
 	}
-	r := ReleaseMessage{ID: c.id, Fingerprint: c.req.Fingerprint, Upstream: c.req.Upstream, End: end, Age: now.Sub(c.since)}
-	for _, home := range c.asked {
-		m.tell(now, home, Message{Release: &r})
+	r := ReleaseMessage{ID: c.id, Fingerprint: c.req.Fingerprint, Upstream: c.req.Upstream, End: end, Age: now.Sub(c.createdAt)}
+	for _, home := range c.homes {
+		m.send(now, home, Message{Release: &r})
 	}
-	if !c.apart {
+	if !c.isolated {
 		return
 	}
-	if keeper, ok := m.keeper(now, c.req.Upstream); ok {
-		m.tell(now, keeper, Message{Free: &FreeMessage{ID: c.id, Upstream: c.req.Upstream}})
+	if host, ok := m.isolationHost(now, c.req.Upstream); ok {
+		m.send(now, host, Message{Free: &FreeMessage{ID: c.id, Upstream: c.req.Upstream}})
 	}
 }
 
-// alone decides a claim that no home has answered. A host that reaches no home
-// is mostly cut off from the upstream's owner too; a fingerprint without
-// strikes may run, so that lost homes do not stop serving.
-func (m *Machine) alone(now core.Instant, c *claim) {
-	if m.struck(now, c.req.Fingerprint) > 0 {
-		m.refuse(c, core.Refuse(core.CodeSuspect, busyRetry, "a suspected request can't be checked now"), "suspect without a home")
+// decideWithoutHome decides a claim that no home has answered. A host that
+// reaches no home is usually cut off from the upstream's owner too, so running is
+// a small risk: a fingerprint without a crash count is allowed, which keeps
+// serving when homes are lost.
+func (m *Machine) decideWithoutHome(now core.Instant, c *claim) {
+	if m.crashCountOf(now, c.req.Fingerprint) > 0 {
+		m.refuse(c, core.Refuse(core.CodeSuspect, busyRetryAfter, "a suspected request can't be checked now"), "suspect without a home")
 		return
 	}
 	m.allow(now, c, false, "no home answers")
 }
 
-func (m *Machine) allow(now core.Instant, c *claim, apart bool, reason string) {
+func (m *Machine) allow(now core.Instant, c *claim, isolated bool, reason string) {
 	c.decided = true
-	c.apart = apart
-	c.due = now.Add(renewEvery)
-	m.decide(Decision{ID: c.req.ID, Allowed: true, Suspect: apart, Reason: reason})
+	c.isolated = isolated
+	c.due = now.Add(renewInterval)
+	m.decide(Decision{ID: c.req.ID, Allowed: true, Suspect: isolated, Reason: reason})
 }
 
 func (m *Machine) refuse(c *claim, r *core.Refusal, reason string) {
-	m.forget(c)
+	m.removeClaim(c)
 	m.decide(Decision{ID: c.req.ID, Refusal: r, Reason: reason})
 }
 
-// renew tells the present home about a request that runs.
+// renew reports a running request to its current home, and to the host that
+// isolates it if it is a suspect.
 func (m *Machine) renew(now core.Instant, c *claim) {
-	c.due = now.Add(renewEvery)
+	c.due = now.Add(renewInterval)
 	home, ok := m.home(now, c.req.Fingerprint)
 	if !ok {
 		return
 	}
-	if !slices.Contains(c.asked, home) {
-		c.asked = append(c.asked, home)
+	if !slices.Contains(c.homes, home) {
+		c.homes = append(c.homes, home)
 	}
 	c.epoch = m.epoch
-	m.tell(now, home, Message{Claim: &ClaimMessage{
+	m.send(now, home, Message{Claim: &ClaimMessage{
 		ID:          c.id,
 		Fingerprint: c.req.Fingerprint,
 		Upstream:    c.req.Upstream,
 		Running:     true,
-		Age:         now.Sub(c.since),
+		Age:         now.Sub(c.createdAt),
 	}})
-	if !c.apart {
+	if !c.isolated {
 		return
 	}
-	if keeper, ok := m.keeper(now, c.req.Upstream); ok {
-		m.tell(now, keeper, Message{Apart: &ApartMessage{ID: c.id, Entry: m.self, Upstream: c.req.Upstream}})
+	if host, ok := m.isolationHost(now, c.req.Upstream); ok {
+		m.send(now, host, Message{Apart: &ApartMessage{ID: c.id, Entry: m.self, Upstream: c.req.Upstream}})
 	}
 }
 
-// verdict takes a home's answer at the entry host. One for a claim that is
-// over needs nothing: its release follows it to the home.
-func (m *Machine) verdict(now core.Instant, from core.HostID, v VerdictMessage) {
-	if _, silent := m.silent[from]; silent {
+// handleVerdict applies a home's answer at the entry host. One for a claim that
+// has ended is ignored: the home receives the release anyway.
+func (m *Machine) handleVerdict(now core.Instant, from core.HostID, v VerdictMessage) {
+	if _, marked := m.unresponsive[from]; marked {
 		m.epoch++
-		delete(m.silent, from)
+		delete(m.unresponsive, from)
 	}
 	c := m.claims[v.ID]
 	switch {
-	case c == nil || c.cut:
+	case c == nil || c.aborted:
 	case v.Revoked:
-		m.revoked(now, c)
+		m.handleRevocation(now, c)
 	case c.decided:
 	case v.Waiting:
-		c.apart, c.use = true, v.Use
-		c.due = now.Add(apartWait)
-		if len(c.use) > 0 {
-			c.due = now.Add(secondWait)
+		c.isolated, c.alternatives = true, v.Use
+		c.due = now.Add(isolationTimeout)
+		if len(c.alternatives) > 0 {
+			c.due = now.Add(secondUpstreamTimeout)
 		}
 	case v.Allowed:
 		m.allow(now, c, v.Suspect, "home "+string(from))
 	case v.Struck >= Budget:
-		m.learn(now, Strike{Fingerprint: c.req.Fingerprint, Count: v.Struck})
-		m.refuse(c, convicted(), "convicted")
+		m.mergeCount(now, Strike{Fingerprint: c.req.Fingerprint, Count: v.Struck})
+		m.refuse(c, blockedRefusal(), "convicted")
 	default:
-		if c.apart {
-			m.end(now, c, EndNotSent) // the keeper's queue is full: the home must hear of it
+		if c.isolated {
+			m.endClaim(now, c, EndNotSent) // the slot's queue is full: release the claim at the home
 		}
-		m.elsewhere(c, v.Use)
+		m.refuseOverBudget(c, v.Use)
 	}
 }
 
-// elsewhere refuses a claim and names where one would be allowed.
-func (m *Machine) elsewhere(c *claim, use []core.UpstreamID) {
-	m.refuse(c, core.Refuse(core.CodeOverloaded, busyRetry, "the same request is being tried elsewhere"), "budget in use")
-	m.out.Decisions[len(m.out.Decisions)-1].Use = use
+// refuseOverBudget refuses a claim because its fingerprint runs on as many
+// upstreams as it may, and returns those where a claim would be allowed.
+func (m *Machine) refuseOverBudget(c *claim, alternatives []core.UpstreamID) {
+	m.refuse(c, core.Refuse(core.CodeOverloaded, busyRetryAfter, "the same request is being tried elsewhere"), "budget in use")
+	m.out.Decisions[len(m.out.Decisions)-1].Use = alternatives
 }
 
-// noTurn ends the wait of a claim for its upstream's keeper.
-func (m *Machine) noTurn(now core.Instant, c *claim) {
-	m.end(now, c, EndNotSent)
-	if len(c.use) > 0 {
-		m.elsewhere(c, c.use)
+// isolationTimedOut ends the wait of a claim for its isolation slot.
+func (m *Machine) isolationTimedOut(now core.Instant, c *claim) {
+	m.endClaim(now, c, EndNotSent)
+	if len(c.alternatives) > 0 {
+		m.refuseOverBudget(c, c.alternatives)
 		return
 	}
-	m.refuse(c, core.Refuse(core.CodeSuspect, busyRetry, "a suspected request got no turn"), "no turn")
+	m.refuse(c, core.Refuse(core.CodeSuspect, busyRetryAfter, "a suspected request got no turn"), "no turn")
 }
 
-// revoked takes back a leave whose upstream has died. One that waited for its
-// batch place meanwhile must not run on the restarted upstream.
-func (m *Machine) revoked(now core.Instant, c *claim) {
-	refusal := core.Refuse(core.CodeSuspect, busyRetry, "the same request was running on an upstream that died")
+// handleRevocation withdraws the permission to run on an upstream that crashed. A
+// request that still waits for a place in the batch must not run on the restarted
+// upstream.
+func (m *Machine) handleRevocation(now core.Instant, c *claim) {
+	refusal := core.Refuse(core.CodeSuspect, busyRetryAfter, "the same request was running on an upstream that died")
 	if !c.decided {
-		m.end(now, c, EndNotSent) // the leave itself is still on its way, and void
+		m.endClaim(now, c, EndNotSent) // the permission may still arrive, and is void
 		m.refuse(c, refusal, "upstream died")
 		return
 	}
 	m.decide(Decision{ID: c.req.ID, Revoked: true, Refusal: refusal, Reason: "upstream died"})
 }
 
-func (m *Machine) forget(c *claim) {
+func (m *Machine) removeClaim(c *claim) {
 	delete(m.claims, c.id)
-	if m.present[c.req.ID] == c {
-		delete(m.present, c.req.ID)
+	if m.byRequest[c.req.ID] == c {
+		delete(m.byRequest, c.req.ID)
 	}
 }
--- a/internal/core/dispatch/suspect/fleet_test.go
+++ b/internal/core/dispatch/suspect/fleet_test.go
@@ -17,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-// members is a membership that the test changes at will.
+// members is a membership that the test can change.
 type members struct {
 	core.Ownership
 	self core.HostID
@@ -27,8 +27,8 @@
 func (o members) Self() core.HostID      { return o.self }
 func (o members) Members() []core.Member { return *o.list }
 
-// restart is how long an upstream is down after its death.
-const restart = 5 * time.Second
+// restartTime is how long an upstream is down after a crash.
+const restartTime = 5 * time.Second
 
 type packet struct {
 	from, to core.HostID
@@ -37,26 +37,27 @@
 }
 
 type running struct {
-	entry core.HostID
-	req   Request
-	died  core.Instant
+	entry     core.HostID
+	req       Request
+	crashedAt core.Instant
 }
 
-// fleet is a few machines, the messages between them and what runs where.
+// fleet is a set of machines, the messages in flight between them and the
+// requests that run on upstreams.
 type fleet struct {
-	now      core.Instant
-	list     []core.Member
-	machines map[core.HostID]*Machine
-	net      []packet
-	running  []running // dispatched
-	poison   map[uint64]bool
-	down     map[core.UpstreamID]core.Instant // dead upstreams, until when
-	deaths   map[uint64]int                   // upstreams taken, by fingerprint
-	noticed  []running                        // deaths that the entry host has not reported yet
-	refused  map[core.RequestID]core.Code
-	use      map[core.RequestID][]core.UpstreamID
-	strikes  []Strike
-	serial   int
+	now         core.Instant
+	list        []core.Member
+	machines    map[core.HostID]*Machine
+	inFlight    []packet
+	running     []running // dispatched
+	poison      map[uint64]bool
+	down        map[core.UpstreamID]core.Instant // crashed upstreams, and until when
+	crashes     map[uint64]int                   // upstreams crashed, by fingerprint
+	unreported  []running                        // crashed runs that the entry host has not reported yet
+	refused     map[core.RequestID]core.Code
+	use         map[core.RequestID][]core.UpstreamID
+	crashCounts []Strike
+	serial      int
 }
 
 func newFleet(hosts int) *fleet {
@@ -65,7 +66,7 @@
 		machines: map[core.HostID]*Machine{},
 		poison:   map[uint64]bool{},
 		down:     map[core.UpstreamID]core.Instant{},
-		deaths:   map[uint64]int{},
+		crashes:  map[uint64]int{},
 		refused:  map[core.RequestID]core.Code{},
 		use:      map[core.RequestID][]core.UpstreamID{},
 	}
@@ -79,44 +80,44 @@
 
 func (f *fleet) own(h core.HostID) core.Ownership { return members{self: h, list: &f.list} }
 
-// take carries out what a machine wants.
-func (f *fleet) take(h core.HostID, r Result) {
+// apply carries out a machine's result.
+func (f *fleet) apply(h core.HostID, r Result) {
 	for _, s := range r.Sends {
-		f.net = append(f.net, packet{h, s.To, s.Message, f.now})
+		f.inFlight = append(f.inFlight, packet{h, s.To, s.Message, f.now})
 	}
-	f.strikes = append(f.strikes, r.Publish...)
+	f.crashCounts = append(f.crashCounts, r.Publish...)
 	for _, d := range r.Decisions {
 		if d.Revoked {
-			continue // here every request was dispatched at once
+			continue // every request was dispatched at once
 		}
 		if !d.Allowed {
 			f.refused[d.ID] = d.Refusal.Code
 			f.use[d.ID] = d.Use
 			continue
 		}
-		c := f.machines[h].present[d.ID]
+		c := f.machines[h].byRequest[d.ID]
 		f.dispatch(running{entry: h, req: c.req})
 	}
 }
 
-// dispatch runs a request; a poisoned one takes its upstream and every
-// neighbour there with it.
+// dispatch runs a request; a poisoned one crashes its upstream and ends every
+// other request there.
 func (f *fleet) dispatch(x running) {
 	if f.now.Before(f.down[x.req.Upstream]) {
-		f.take(x.entry, f.machines[x.entry].Release(f.now, f.own(x.entry), x.req.ID, EndNotSent))
+		f.apply(x.entry, f.machines[x.entry].Release(f.now, f.own(x.entry), x.req.ID, EndNotSent))
 		return
 	}
 	f.running = append(f.running, x)
 	if !f.poison[x.req.Fingerprint] {
 		return
 	}
-	f.deaths[x.req.Fingerprint]++
-	f.down[x.req.Upstream] = f.now.Add(restart)
+	f.crashes[x.req.Fingerprint]++
+	f.down[x.req.Upstream] = f.now.Add(restartTime)
 	var left []running
 	for _, y := range f.running {
 		if y.req.Upstream == x.req.Upstream {
-			y.died = f.now
-			f.noticed = append(f.noticed, y)
+			y.crashedAt = f.now
+			f.unreported = append(f.unreported, y)
 		} else {
 			left = append(left, y)
 		}
@@ -127,51 +128,51 @@
 func (f *fleet) claim(h core.HostID, fp uint64, u core.UpstreamID) core.RequestID {
 	f.serial++
 	id := core.RequestID(string(h) + "-" + strconv.Itoa(f.serial))
-	f.take(h, f.machines[h].Claim(f.now, f.own(h), Request{ID: id, Fingerprint: fp, Upstream: u}))
+	f.apply(h, f.machines[h].Claim(f.now, f.own(h), Request{ID: id, Fingerprint: fp, Upstream: u}))
 	return id
 }
 
-// notice lets an entry host report the i-th death.
-func (f *fleet) notice(i int) {
-	x := f.noticed[i]
-	f.noticed = append(f.noticed[:i], f.noticed[i+1:]...)
-	f.take(x.entry, f.machines[x.entry].Release(f.now, f.own(x.entry), x.req.ID, EndDied))
+// reportCrash has the entry host report the i-th crashed run.
+func (f *fleet) reportCrash(i int) {
+	x := f.unreported[i]
+	f.unreported = append(f.unreported[:i], f.unreported[i+1:]...)
+	f.apply(x.entry, f.machines[x.entry].Release(f.now, f.own(x.entry), x.req.ID, EndDied))
 }
 
 func (f *fleet) finish(i int) {
 	x := f.running[i]
 	f.running = append(f.running[:i], f.running[i+1:]...)
-	f.take(x.entry, f.machines[x.entry].Release(f.now, f.own(x.entry), x.req.ID, EndOK))
+	f.apply(x.entry, f.machines[x.entry].Release(f.now, f.own(x.entry), x.req.ID, EndOK))
 }
 
 func (f *fleet) deliver(i int) {
-	p := f.net[i]
-	f.net = append(f.net[:i], f.net[i+1:]...)
+	p := f.inFlight[i]
+	f.inFlight = append(f.inFlight[:i], f.inFlight[i+1:]...)
 	if m := f.machines[p.to]; m != nil {
-		f.take(p.to, m.Peer(f.now, f.own(p.to), p.from, p.msg))
+		f.apply(p.to, m.Peer(f.now, f.own(p.to), p.from, p.msg))
 	}
 }
 
 func (f *fleet) tick(d time.Duration) {
 	f.now = f.now.Add(d)
 	for _, x := range f.list {
-		f.take(x.Host, f.machines[x.Host].Tick(f.now, f.own(x.Host)))
+		f.apply(x.Host, f.machines[x.Host].Tick(f.now, f.own(x.Host)))
 	}
 }
 
-// settle delivers and reports everything that is due.
-func (f *fleet) settle() {
-	for len(f.net) > 0 || len(f.noticed) > 0 {
-		if len(f.net) > 0 {
+// deliverAll delivers all messages and reports all crashes.
+func (f *fleet) deliverAll() {
+	for len(f.inFlight) > 0 || len(f.unreported) > 0 {
+		if len(f.inFlight) > 0 {
 			f.deliver(0)
 		} else {
-			f.notice(0)
+			f.reportCrash(0)
 		}
 	}
 }
 
-// lose takes a host from the fleet with all it knows.
-func (f *fleet) lose(h core.HostID) {
+// removeHost removes a host and its state from the fleet.
+func (f *fleet) removeHost(h core.HostID) {
 	delete(f.machines, h)
 	var list []core.Member
 	for _, x := range f.list {
--- a/internal/core/dispatch/suspect/home.go
+++ b/internal/core/dispatch/suspect/home.go
@@ -6,244 +6,247 @@
 	"gentiancroft/internal/core"
 )
 
-// record is what a home knows of one fingerprint.
-type record struct {
-	strikes  int
-	serial   uint64
-	struckAt core.Instant
-	cleared  core.Instant // until when a completed run speaks for it; 0: not
-	active   []run
-	deaths   []death // behind the strikes
-	touched  core.Instant
-}
-
-// death is an upstream's death that counted against a fingerprint.
-type death struct {
+// fingerprintRecord is a home's state of one fingerprint.
+type fingerprintRecord struct {
+	crashCount   int
+	serial       uint64
+	lastCrash    core.Instant
+	clearedUntil core.Instant // it completed recently and may run anywhere until then; 0: not cleared
+	runs         []run
+	crashes      []crash // counted in crashCount
+	lastUsed     core.Instant
+}
+
+// crash is an upstream crash that was counted against a fingerprint.
+type crash struct {
 	upstream core.UpstreamID
 	at       core.Instant
 }
 
 // run is one claim that a home has allowed.
 type run struct {
-	id       claimID
-	entry    core.HostID
-	upstream core.UpstreamID
-	seen     core.Instant // claimed or renewed
-	apart    bool         // its leave comes from the upstream's keeper
+	id        claimID
+	entry     core.HostID
+	upstream  core.UpstreamID
+	renewedAt core.Instant // last claim or renewal
+	isolated  bool         // its permission comes from the upstream's isolation host
 }
 
-// handle takes a message as a home or as an entry host.
+// handle applies a message as a home, an isolation host or an entry host.
 func (m *Machine) handle(now core.Instant, from core.HostID, msg Message) {
 	switch {
 	case msg.Claim != nil:
-		m.claimed(now, from, *msg.Claim)
+		m.handleClaim(now, from, *msg.Claim)
 	case msg.Verdict != nil:
-		m.verdict(now, from, *msg.Verdict)
+		m.handleVerdict(now, from, *msg.Verdict)
 	case msg.Release != nil:
-		m.released(now, *msg.Release)
+		m.handleRelease(now, *msg.Release)
 	case msg.Apart != nil:
-		m.apart(now, *msg.Apart)
+		m.handleIsolate(now, *msg.Apart)
 	case msg.Free != nil:
-		m.freed(now, *msg.Free)
+		m.handleFree(now, *msg.Free)
 	}
 }
 
-// recordOf returns the home's record of a fingerprint, made if need be.
-func (m *Machine) recordOf(now core.Instant, f uint64) *record {
-	r := m.cases[f]
+// recordOf returns the home's record of a fingerprint, creating it if needed.
+func (m *Machine) recordOf(now core.Instant, f uint64) *fingerprintRecord {
+	r := m.records[f]
 	if r == nil {
-		r = &record{}
+		r = &fingerprintRecord{}
 		if s, ok := m.learned[f]; ok && now.Before(s.until) {
-			r.strikes, r.serial, r.struckAt = s.count, s.serial, now
+			r.crashCount, r.serial, r.lastCrash = s.count, s.serial, now
 		}
-		m.cases[f] = r
-		m.aged = append(m.aged, f)
+		m.records[f] = r
+		m.expiryOrder = append(m.expiryOrder, f)
 	}
-	r.touched = now
+	r.lastUsed = now
 	return r
 }
 
-// claimed decides a claim at the fingerprint's home.
-func (m *Machine) claimed(now core.Instant, from core.HostID, c ClaimMessage) {
+// handleClaim decides a claim at the fingerprint's home.
+func (m *Machine) handleClaim(now core.Instant, from core.HostID, c ClaimMessage) {
 	r := m.recordOf(now, c.Fingerprint)
-	r.lapse(now)
-	if i := slices.IndexFunc(r.active, func(x run) bool { return x.id == c.ID }); i >= 0 {
-		// Invariant: a doubled claim never takes away what was allowed.
-		r.active[i].seen = now
-		if !c.Running && r.strikes == 0 && !r.active[i].apart {
-			m.tell(now, from, Message{Verdict: &VerdictMessage{ID: c.ID, Allowed: true}})
+	r.expire(now)
+	if i := slices.IndexFunc(r.runs, func(x run) bool { return x.id == c.ID }); i >= 0 {
+		// Invariant: a duplicate claim never revokes what was allowed.
+		r.runs[i].renewedAt = now
+		if !c.Running && r.crashCount == 0 && !r.runs[i].isolated {
+			m.send(now, from, Message{Verdict: &VerdictMessage{ID: c.ID, Allowed: true}})
 		}
 		return
 	}
-	x := run{id: c.ID, entry: from, upstream: c.Upstream, seen: now}
+	x := run{id: c.ID, entry: from, upstream: c.Upstream, renewedAt: now}
 	if c.Running {
-		r.active = append(r.active, x) // a fact, not a question
+		r.runs = append(r.runs, x) // it runs already: record it, nothing to decide
 		return
 	}
 	if !r.allows(now, c) {
-		v := VerdictMessage{ID: c.ID, Struck: r.strikes}
-		if r.strikes == 0 {
+		v := VerdictMessage{ID: c.ID, Struck: r.crashCount}
+		if r.crashCount == 0 {
 			v.Use = r.upstreams()
 		}
-		m.tell(now, from, Message{Verdict: &v})
+		m.send(now, from, Message{Verdict: &v})
 		return
 	}
-	x.apart = r.suspected(now, c.Upstream)
+	x.isolated = r.mustIsolate(now, c.Upstream)
 	use := r.upstreams()
-	r.active = append(r.active, x)
-	if x.apart {
-		m.keepApart(now, x, use)
+	r.runs = append(r.runs, x)
+	if x.isolated {
+		m.isolate(now, x, use)
 		return
 	}
-	m.tell(now, from, Message{Verdict: &VerdictMessage{ID: c.ID, Allowed: true}})
+	m.send(now, from, Message{Verdict: &VerdictMessage{ID: c.ID, Allowed: true}})
 }
 
-// allows is the rule that bounds the upstreams that a fingerprint can take:
-// those it has taken and those it runs on never exceed Budget together. A
-// second home, which does not know what the first has allowed, allows one.
-func (r *record) allows(now core.Instant, c ClaimMessage) bool {
-	if r.strikes >= Budget {
+// allows bounds the upstreams that a fingerprint can crash: those it has crashed
+// and those it runs on together never exceed the budget. The second home does not
+// know what the first one allowed, so it allows one upstream only.
+func (r *fingerprintRecord) allows(now core.Instant, c ClaimMessage) bool {
+	if r.crashCount >= Budget {
 		return false
 	}
-	if r.strikes > 0 {
-		return len(r.active) == 0 // a suspect runs one at a time
+	if r.crashCount > 0 {
+		return len(r.runs) == 0 // a suspect runs one at a time
 	}
-	if now.Before(r.cleared) {
+	if now.Before(r.clearedUntil) {
 		return true
 	}
 	budget := Budget
 	if c.Second {
 		budget = 1
 	}
-	in := r.upstreams()
-	return slices.Contains(in, c.Upstream) || len(in) < budget
+	used := r.upstreams()
+	return slices.Contains(used, c.Upstream) || len(used) < budget
 }
 
-// suspected tells whether a run must be kept apart: that of a suspect, and the
-// first one on a second upstream, which may be a repeat that has come before the
-// news of the first upstream's death.
-func (r *record) suspected(now core.Instant, u core.UpstreamID) bool {
-	if r.strikes > 0 {
+// mustIsolate reports whether a run needs an isolation slot: that of a suspect,
+// and the first one on a second upstream, which may be a retry that arrives
+// before the report that the first upstream crashed.
+func (r *fingerprintRecord) mustIsolate(now core.Instant, u core.UpstreamID) bool {
+	if r.crashCount > 0 {
 		return true
 	}
-	in := r.upstreams()
-	return !now.Before(r.cleared) && len(in) > 0 && !slices.Contains(in, u)
+	used := r.upstreams()
+	return !now.Before(r.clearedUntil) && len(used) > 0 && !slices.Contains(used, u)
 }
 
-// upstreams are the distinct upstreams that a fingerprint runs on.
-func (r *record) upstreams() []core.UpstreamID {
-	var in []core.UpstreamID
-	for _, x := range r.active {
-		if !slices.Contains(in, x.upstream) {
-			in = append(in, x.upstream)
+// upstreams returns the distinct upstreams that a fingerprint runs on.
+func (r *fingerprintRecord) upstreams() []core.UpstreamID {
+	var distinct []core.UpstreamID
+	for _, x := range r.runs {
+		if !slices.Contains(distinct, x.upstream) {
+			distinct = append(distinct, x.upstream)
 		}
 	}
-	return in
+	return distinct
 }
 
-func (r *record) drop(id claimID) {
-	r.active = slices.DeleteFunc(r.active, func(x run) bool { return x.id == id })
+func (r *fingerprintRecord) removeRun(id claimID) {
+	r.runs = slices.DeleteFunc(r.runs, func(x run) bool { return x.id == id })
 }
 
-// lapse forgets claims and suspicions that are too old.
-func (r *record) lapse(now core.Instant) {
-	r.active = slices.DeleteFunc(r.active, func(x run) bool { return now.Sub(x.seen) >= claimTerm })
-	term := suspicionTerm
-	if r.strikes >= Budget {
-		term = ConvictionTerm
+// expire removes runs that were not renewed in time and resets an expired crash
+// count.
+func (r *fingerprintRecord) expire(now core.Instant) {
+	r.runs = slices.DeleteFunc(r.runs, func(x run) bool { return now.Sub(x.renewedAt) >= claimTTL })
+	ttl := suspicionTTL
+	if r.crashCount >= Budget {
+		ttl = ConvictionTerm
 	}
-	if r.strikes > 0 && now.Sub(r.struckAt) >= term {
-		r.strikes = 0
-		r.deaths = nil
+	if r.crashCount > 0 && now.Sub(r.lastCrash) >= ttl {
+		r.crashCount = 0
+		r.crashes = nil
 	}
 }
 
-// released takes the end of a claim, or a death seen without one.
-func (m *Machine) released(now core.Instant, e ReleaseMessage) {
-	r := m.cases[e.Fingerprint]
+// handleRelease applies the end of a claim, or a crash reported without one.
+func (m *Machine) handleRelease(now core.Instant, e ReleaseMessage) {
+	r := m.records[e.Fingerprint]
 	if r == nil && e.End != EndDied {
 		return
 	}
 	if e.End == EndDied {
 		r = m.recordOf(now, e.Fingerprint)
 	}
-	r.lapse(now)
-	r.drop(e.ID)
+	r.expire(now)
+	r.removeRun(e.ID)
 	switch e.End {
 	case EndDied:
-		m.died(now, r, e)
+		m.countCrash(now, r, e)
 	case EndOK:
 		m.clear(now, e.Fingerprint, r)
 	}
 }
 
-// died counts a death once, however many requests and hosts report it: a
-// dispatch that was out when a counted death of its upstream happened was ended
-// by that death.
-func (m *Machine) died(now core.Instant, r *record, e ReleaseMessage) {
-	dispatched := now.Add(-e.Age - deathSlack)
-	for _, d := range r.deaths {
+// countCrash counts a crash once, however many requests and hosts report it: a
+// dispatch that started before an already counted crash of its upstream was ended
+// by that crash.
+func (m *Machine) countCrash(now core.Instant, r *fingerprintRecord, e ReleaseMessage) {
+	dispatched := now.Add(-e.Age - crashReportSlack)
+	for _, d := range r.crashes {
 		if d.upstream == e.Upstream && !d.at.Before(dispatched) {
 			return
 		}
 	}
-	m.revoke(now, r, e.Upstream)
-	r.deaths = append(r.deaths, death{upstream: e.Upstream, at: now})
-	if over := len(r.deaths) - Budget; over > 0 {
-		r.deaths = r.deaths[over:]
+	m.revokeRuns(now, r, e.Upstream)
+	r.crashes = append(r.crashes, crash{upstream: e.Upstream, at: now})
+	if over := len(r.crashes) - Budget; over > 0 {
+		r.crashes = r.crashes[over:]
 	}
-	r.strikes = min(r.strikes+1, Budget)
+	r.crashCount = min(r.crashCount+1, Budget)
 	r.serial++
-	r.struckAt = now
-	r.cleared = 0
+	r.lastCrash = now
+	r.clearedUntil = 0
 	m.publish(e.Fingerprint, r)
 }
 
-// revoke ends every claim on an upstream that died.
-func (m *Machine) revoke(now core.Instant, r *record, u core.UpstreamID) {
-	ended := slices.Clone(r.active)
-	r.active = slices.DeleteFunc(r.active, func(x run) bool { return x.upstream == u })
+// revokeRuns ends every run on an upstream that crashed.
+func (m *Machine) revokeRuns(now core.Instant, r *fingerprintRecord, u core.UpstreamID) {
+	ended := slices.Clone(r.runs)
+	r.runs = slices.DeleteFunc(r.runs, func(x run) bool { return x.upstream == u })
 	for _, x := range ended {
 		if x.upstream == u {
-			m.tell(now, x.entry, Message{Verdict: &VerdictMessage{ID: x.id, Revoked: true}})
+			m.send(now, x.entry, Message{Verdict: &VerdictMessage{ID: x.id, Revoked: true}})
 		}
 	}
 }
 
-// clear takes suspicion from a fingerprint that completed.
-func (m *Machine) clear(now core.Instant, f uint64, r *record) {
-	if r.strikes >= Budget {
+// clear resets the crash count of a fingerprint that completed, unless it is
+// blocked.
+func (m *Machine) clear(now core.Instant, f uint64, r *fingerprintRecord) {
+	if r.crashCount >= Budget {
 		return
 	}
-	r.cleared = now.Add(clearedTerm)
-	if r.strikes > 0 {
-		r.strikes = 0
-		r.deaths = nil
+	r.clearedUntil = now.Add(clearedTTL)
+	if r.crashCount > 0 {
+		r.crashCount = 0
+		r.crashes = nil
 		r.serial++
 		m.publish(f, r)
 	}
 }
 
-func (m *Machine) publish(f uint64, r *record) {
-	s := Strike{Fingerprint: f, Count: r.strikes, Serial: r.serial}
-	delete(m.learned, f) // what others published is older
+func (m *Machine) publish(f uint64, r *fingerprintRecord) {
+	s := Strike{Fingerprint: f, Count: r.crashCount, Serial: r.serial}
+	delete(m.learned, f) // older than this home's count
 	m.out.Publish = append(m.out.Publish, s)
 }
 
-// expire bounds what a home keeps. It looks at some fingerprints a tick, in
-// turn; those without strikes and claims go, sooner where there are too many.
-func (m *Machine) expire(now core.Instant) {
-	m.expireLanes(now)
-	n := min(len(m.aged), expireStep)
-	for _, f := range m.aged[:n] {
-		r := m.cases[f]
-		r.lapse(now)
-		idle := r.strikes == 0 && len(r.active) == 0
-		if idle && (len(m.cases) > maxCases || now.Sub(r.touched) >= clearedTerm) {
-			delete(m.cases, f)
+// expireRecords bounds a home's records. Each call checks the next few
+// fingerprints in turn; those without crashes and runs are deleted, sooner when
+// there are too many.
+func (m *Machine) expireRecords(now core.Instant) {
+	m.expireSlots(now)
+	n := min(len(m.expiryOrder), expiryBatch)
+	for _, f := range m.expiryOrder[:n] {
+		r := m.records[f]
+		r.expire(now)
+		idle := r.crashCount == 0 && len(r.runs) == 0
+		if idle && (len(m.records) > maxRecords || now.Sub(r.lastUsed) >= clearedTTL) {
+			delete(m.records, f)
 			continue
 		}
-		m.aged = append(m.aged, f)
+		m.expiryOrder = append(m.expiryOrder, f)
 	}
-	m.aged = slices.Delete(m.aged, 0, n)
+	m.expiryOrder = slices.Delete(m.expiryOrder, 0, n)
 }
--- /dev/null
+++ b/internal/core/dispatch/suspect/isolation.go
@@ -0,0 +1,89 @@
+package suspect
+
+import (
+	"slices"
+
+	"gentiancroft/internal/core"
+)
+
+// isolationSlot isolates suspects on one upstream: one runs, the others wait in
+// order of arrival. So a second crash identifies one suspect and never a request
+// that merely ran beside it.
+type isolationSlot struct {
+	running   ApartMessage
+	renewedAt core.Instant
+	waiting   []ApartMessage
+}
+
+// isolate sends an allowed run to the isolation host of its upstream. One that is
+// not a suspect may go to the upstreams in use instead.
+func (m *Machine) isolate(now core.Instant, x run, use []core.UpstreamID) {
+	host, ok := m.isolationHost(now, x.upstream)
+	if !ok {
+		return // the entry host refuses it after its wait
+	}
+	m.send(now, x.entry, Message{Verdict: &VerdictMessage{ID: x.id, Waiting: true, Use: use}})
+	m.send(now, host, Message{Apart: &ApartMessage{ID: x.id, Entry: x.entry, Upstream: x.upstream}})
+}
+
+// handleIsolate grants the slot of an upstream to a suspect, or queues it. A
+// repeated message from the running one renews it.
+func (m *Machine) handleIsolate(now core.Instant, a ApartMessage) {
+	slot := m.slots[a.Upstream]
+	if slot == nil {
+		slot = &isolationSlot{}
+		m.slots[a.Upstream] = slot
+		m.slotOrder = append(m.slotOrder, a.Upstream)
+	}
+	switch {
+	case slot.running.ID == "" || slot.running.ID == a.ID:
+		m.grantSlot(now, slot, a)
+	case slices.ContainsFunc(slot.waiting, func(w ApartMessage) bool { return w.ID == a.ID }):
+	case len(slot.waiting) < maxQueuedPerSlot:
+		slot.waiting = append(slot.waiting, a)
+	default:
+		m.send(now, a.Entry, Message{Verdict: &VerdictMessage{ID: a.ID, Struck: 1}})
+	}
+}
+
+func (m *Machine) grantSlot(now core.Instant, slot *isolationSlot, a ApartMessage) {
+	slot.running, slot.renewedAt = a, now
+	m.send(now, a.Entry, Message{Verdict: &VerdictMessage{ID: a.ID, Allowed: true, Suspect: true, Struck: 1}})
+}
+
+// handleFree ends a suspect's run or wait; the next one gets the slot.
+func (m *Machine) handleFree(now core.Instant, f FreeMessage) {
+	slot := m.slots[f.Upstream]
+	if slot == nil {
+		return
+	}
+	slot.waiting = slices.DeleteFunc(slot.waiting, func(w ApartMessage) bool { return w.ID == f.ID })
+	if slot.running.ID == f.ID {
+		m.grantNext(now, slot)
+	}
+}
+
+func (m *Machine) grantNext(now core.Instant, slot *isolationSlot) {
+	slot.running = ApartMessage{}
+	if len(slot.waiting) == 0 {
+		return
+	}
+	a := slot.waiting[0]
+	slot.waiting = slot.waiting[1:]
+	m.grantSlot(now, slot, a)
+}
+
+// expireSlots frees slots whose running suspect was not renewed in time.
+func (m *Machine) expireSlots(now core.Instant) {
+	m.slotOrder = slices.DeleteFunc(m.slotOrder, func(u core.UpstreamID) bool {
+		slot := m.slots[u]
+		if slot.running.ID != "" && now.Sub(slot.renewedAt) >= claimTTL {
+			m.grantNext(now, slot)
+		}
+		if slot.running.ID != "" {
+			return false
+		}
+		delete(m.slots, u)
+		return true
+	})
+}
--- a/internal/core/dispatch/suspect/learned.go
+++ b/internal/core/dispatch/suspect/learned.go
@@ -2,53 +2,56 @@
 
 import "gentiancroft/internal/core"
 
-// learnedStrike is a strike that another home published.
-type learnedStrike struct {
+// learnedCount is a crash count that another home published.
+type learnedCount struct {
 	count  int
 	serial uint64
 	until  core.Instant
 }
 
-// Learned takes strikes that were published by other hosts.
+// Learned applies crash counts that other hosts published. The higher serial wins.
 func (m *Machine) Learned(now core.Instant, strikes []Strike) Result {
 	m.begin(nil)
 	for _, s := range strikes {
-		m.learn(now, s)
-		if r := m.cases[s.Fingerprint]; r != nil && s.Serial > r.serial {
-			r.strikes, r.serial, r.struckAt = s.Count, s.Serial, now
+		m.mergeCount(now, s)
+		if r := m.records[s.Fingerprint]; r != nil && s.Serial > r.serial {
+			r.crashCount, r.serial, r.lastCrash = s.Count, s.Serial, now
 		}
 	}
 	return m.out
 }
 
-func (m *Machine) learn(now core.Instant, s Strike) {
+// mergeCount stores a published count unless a newer one is stored. Serial 0
+// always replaces the count and keeps the stored serial.
+func (m *Machine) mergeCount(now core.Instant, s Strike) {
 	old, known := m.learned[s.Fingerprint]
 	if known && s.Serial != 0 && s.Serial <= old.serial {
 		return
 	}
-	term := suspicionTerm
+	ttl := suspicionTTL
 	if s.Count >= Budget {
-		term = ConvictionTerm
+		ttl = ConvictionTerm
 	}
 	if !known {
-		m.heard = append(m.heard, s.Fingerprint)
+		m.learnedOrder = append(m.learnedOrder, s.Fingerprint)
 	}
-	m.learned[s.Fingerprint] = learnedStrike{count: s.Count, serial: max(s.Serial, old.serial), until: now.Add(term)}
-	for len(m.heard) > maxStrikes {
-		delete(m.learned, m.heard[0])
-		m.heard = m.heard[1:]
+	m.learned[s.Fingerprint] = learnedCount{count: s.Count, serial: max(s.Serial, old.serial), until: now.Add(ttl)}
+	for len(m.learnedOrder) > maxLearnedCounts {
+		delete(m.learned, m.learnedOrder[0])
+		m.learnedOrder = m.learnedOrder[1:]
 	}
 }
 
-// struck is how many strikes this host knows of a fingerprint.
-func (m *Machine) struck(now core.Instant, f uint64) int {
+// crashCountOf returns the crash count of a fingerprint as known at this host, from
+// its own record or from others.
+func (m *Machine) crashCountOf(now core.Instant, f uint64) int {
 	count := 0
 	if s, ok := m.learned[f]; ok && now.Before(s.until) {
 		count = s.count
 	}
-	if r := m.cases[f]; r != nil {
-		r.lapse(now)
-		count = max(count, r.strikes)
+	if r := m.records[f]; r != nil {
+		r.expire(now)
+		count = max(count, r.crashCount)
 	}
 	return count
 }
--- a/internal/core/dispatch/suspect/message.go
+++ b/internal/core/dispatch/suspect/message.go
@@ -6,11 +6,11 @@
 	"gentiancroft/internal/core"
 )
 
-// claimID names one claim of one request, so that what is left of an earlier
-// claim of the same request can't be taken for it.
+// claimID identifies one claim of one request, so that late messages about an
+// earlier claim of the same request are not applied to it.
 type claimID string
 
-// Message is what hosts tell each other; exactly one field is set.
+// Message is exchanged between hosts; exactly one field is set.
 type Message struct {
 	Claim   *ClaimMessage   `cbor:"1,keyasint,omitempty"`
 	Verdict *VerdictMessage `cbor:"2,keyasint,omitempty"`
@@ -19,14 +19,14 @@
 	Free    *FreeMessage    `cbor:"5,keyasint,omitempty"`
 }
 
-// ClaimMessage asks a fingerprint's home for leave to run.
+// ClaimMessage asks a fingerprint's home for permission to run.
 type ClaimMessage struct {
 	ID          claimID         `cbor:"1,keyasint"`
 	Fingerprint uint64          `cbor:"2,keyasint"`
 	Upstream    core.UpstreamID `cbor:"3,keyasint"`
-	Running     bool            `cbor:"4,keyasint,omitempty"` // it runs already: a renewal, or the home is new
+	Running     bool            `cbor:"4,keyasint,omitempty"` // it runs already: a renewal, or sent to a new home
 	Age         time.Duration   `cbor:"5,keyasint,omitempty"` // since the claim was made
-	Second      bool            `cbor:"6,keyasint,omitempty"` // the first home did not answer
+	Second      bool            `cbor:"6,keyasint,omitempty"` // sent to the second home: the first one did not answer
 }
 
 // VerdictMessage answers a claim.
@@ -34,29 +34,29 @@
 	ID      claimID           `cbor:"1,keyasint"`
 	Allowed bool              `cbor:"2,keyasint"`
 	Suspect bool              `cbor:"3,keyasint,omitempty"`
-	Struck  int               `cbor:"4,keyasint,omitempty"`
-	Use     []core.UpstreamID `cbor:"5,keyasint,omitempty"`
-	Waiting bool              `cbor:"6,keyasint,omitempty"` // a suspect in the queue of its upstream; the answer follows
-	Revoked bool              `cbor:"7,keyasint,omitempty"` // takes back what was allowed
+	Struck  int               `cbor:"4,keyasint,omitempty"` // crash count of the fingerprint
+	Use     []core.UpstreamID `cbor:"5,keyasint,omitempty"` // upstreams where a claim would be allowed
+	Waiting bool              `cbor:"6,keyasint,omitempty"` // queued for an isolation slot; the final answer follows
+	Revoked bool              `cbor:"7,keyasint,omitempty"` // the upstream crashed: revokes what was allowed
 }
 
 // ReleaseMessage ends a claim.
 type ReleaseMessage struct {
-	ID          claimID         `cbor:"1,keyasint"` // "": a death seen without a claim
+	ID          claimID         `cbor:"1,keyasint"` // "": a crash reported without a claim
 	Fingerprint uint64          `cbor:"2,keyasint"`
 	Upstream    core.UpstreamID `cbor:"3,keyasint"`
 	End         End             `cbor:"4,keyasint"`
 	Age         time.Duration   `cbor:"5,keyasint,omitempty"` // since the claim was made
 }
 
-// ApartMessage asks the host that keeps suspects apart on an upstream.
+// ApartMessage asks the isolation host of an upstream for its slot.
 type ApartMessage struct {
 	ID       claimID         `cbor:"1,keyasint"`
-	Entry    core.HostID     `cbor:"2,keyasint"` // who gets the verdict
+	Entry    core.HostID     `cbor:"2,keyasint"` // receives the verdict
 	Upstream core.UpstreamID `cbor:"3,keyasint"`
 }
 
-// FreeMessage ends an ApartMessage's hold, or its wait.
+// FreeMessage gives a slot back, or leaves its queue.
 type FreeMessage struct {
 	ID       claimID         `cbor:"1,keyasint"`
 	Upstream core.UpstreamID `cbor:"2,keyasint"`
--- a/internal/core/dispatch/suspect/suspect.go
+++ b/internal/core/dispatch/suspect/suspect.go
@@ -1,13 +1,17 @@
-// Package suspect bounds the upstreams that one crashing request can take.
+// Package suspect limits how many upstreams one crashing request can take down.
 //
-// Every request's fingerprint has a home host, the same for all entry hosts.
-// Before a dispatch the entry host claims (fingerprint, upstream) at the home,
-// in parallel with asking the upstream's owner. The home lets an unproven
-// fingerprint run on at most Budget distinct upstreams at a time, less those it
-// has already taken. A fingerprint that was running on an upstream which died
-// is a suspect; suspects run one at a time, and no two on one upstream. A
-// suspect that completes is cleared, one that takes a second upstream is
-// refused everywhere.
+// Every fingerprint of a request has a home host, chosen by rendezvous hashing,
+// so all entry hosts use the same one. Before a dispatch the entry host claims
+// (fingerprint, upstream) at the home, in parallel with the ticket request to the
+// upstream's owner. The home lets a fingerprint that has not completed yet run on
+// at most two distinct upstreams at a time, less those it has already crashed. A
+// fingerprint that was running on an upstream when it crashed is a suspect:
+// suspects run one at a time, and no two on one upstream. A suspect that
+// completes is cleared; one that crashes a second upstream is refused everywhere.
+//
+// Inputs are claims and releases of the local host, messages, the membership and
+// ticks. Sending, spreading the counts, dispatching and detecting crashes are
+// left to the caller.
 package suspect
 
 import (
@@ -18,33 +22,33 @@
 	"gentiancroft/internal/core"
 )
 
-// Budget is how many upstreams one crashing request may take from the fleet.
+// Budget is the number of upstreams that one crashing request may take down.
 const Budget = 2
 
 // Bounds on what one host keeps.
 const (
-	maxCases   = 16384 // fingerprints at their home
-	maxWaiting = 64    // suspects that wait for one upstream
-	maxStrikes = 8192  // strikes learned from others
-	expireStep = 256   // fingerprints looked at in one tick
+	maxRecords       = 16384 // fingerprints at their home
+	maxQueuedPerSlot = 64    // suspects that wait for one upstream
+	maxLearnedCounts = 8192  // crash counts published by others
+	expiryBatch      = 256   // fingerprints checked in one tick
 )
 
 // Times.
 const (
-	ConvictionTerm = 24 * time.Hour         // how long a fingerprint stays refused
-	suspicionTerm  = time.Hour              // how long one strike counts
-	clearedTerm    = 10 * time.Minute       // how long a completed run speaks for a fingerprint
-	claimTerm      = time.Minute            // a claim not renewed by then is forgotten
-	renewEvery     = 20 * time.Second       // a running request's claim is renewed
-	claimWait      = 250 * time.Millisecond // before the second home is asked
-	silentTerm     = 5 * time.Second        // a home that did not answer is passed over
-	apartWait      = 20 * time.Second       // how long a suspect waits for its turn
-	secondWait     = 250 * time.Millisecond // how long an unproven request waits for a second upstream
-	deathSlack     = time.Second            // between a death and the last report of it, beyond the claim's age
-	lingerTerm     = 3 * time.Second        // how long a cut request may yet be the cause of a death
-	sameDeath      = time.Minute            // an unclaimed report of the same upstream is of the same death
-	busyRetry      = time.Second
-	convictRetry   = 0 // asking again does not help
+	ConvictionTerm        = 24 * time.Hour         // how long a fingerprint stays refused
+	suspicionTTL          = time.Hour              // how long one crash counts
+	clearedTTL            = 10 * time.Minute       // how long a fingerprint counts as harmless after it completed
+	claimTTL              = time.Minute            // a claim that is not renewed expires
+	renewInterval         = 20 * time.Second       // between renewals of a running request's claim
+	claimTimeout          = 250 * time.Millisecond // before the second home is asked
+	unresponsiveTTL       = 5 * time.Second        // how long a home that did not answer is skipped
+	isolationTimeout      = 20 * time.Second       // how long a suspect waits for its slot
+	secondUpstreamTimeout = 250 * time.Millisecond // how long a non-suspect waits for a slot on a second upstream
+	crashReportSlack      = time.Second            // between a crash and its last report, beyond the claim's age
+	abortedClaimTTL       = 3 * time.Second        // how long an aborted request may still be the cause of a crash
+	unclaimedReportAge    = time.Minute            // reports without a claim within this time count as one crash of the upstream
+	busyRetryAfter        = time.Second
+	blockedRetryAfter     = 0 // none: a retry does not help
 )
 
 // Request is a request at its entry host that is about to be dispatched.
@@ -60,93 +64,97 @@
 // Ends of a dispatch.
 const (
 	EndOK      End = iota + 1 // completed: the fingerprint is cleared
-	EndDied                   // the upstream died while it ran
-	EndNotSent                // surely not dispatched
-	EndCut                    // cancelled or failed: proves nothing, and the upstream may yet die of it
+	EndDied                   // the upstream crashed while it ran
+	EndNotSent                // certainly not dispatched
+	EndCut                    // cancelled or failed: proves nothing, and it may still crash the upstream
 )
 
-// Strike says that a fingerprint was running on upstreams that died.
+// Strike is the published number of upstreams that crashed while a fingerprint ran
+// on them.
 type Strike struct {
 	Fingerprint uint64 `cbor:"1,keyasint"`
 	Count       int    `cbor:"2,keyasint"` // 0: cleared
-	Serial      uint64 `cbor:"3,keyasint"` // rises with each change of this fingerprint
+	Serial      uint64 `cbor:"3,keyasint"` // incremented with each change of this fingerprint
 }
 
-// Decision answers a claim. Exactly one comes for each, unless it was released
-// before; a second one, Revoked, may follow an Allowed one.
+// Decision answers a claim. Each claim gets exactly one, unless it is released
+// before; a revocation may follow one that was allowed.
 type Decision struct {
 	ID      core.RequestID
 	Allowed bool
-	Revoked bool              // the upstream died since: if not dispatched yet, refuse it or claim anew
-	Suspect bool              // run it apart: never in one batch with another suspect
-	Use     []core.UpstreamID // not allowed: upstreams where a claim would be
-	Refusal *core.Refusal     // not allowed
+	Revoked bool              // the upstream has crashed: if not dispatched yet, refuse it or claim again
+	Suspect bool              // run it isolated: never in one batch with another suspect
+	Use     []core.UpstreamID // if not allowed: upstreams where a claim would be
+	Refusal *core.Refusal     // if not allowed
 	Reason  string
 }
 
-// Result is what one event gave.
+// Result is the output of one event.
 type Result struct {
 	core.Output[Message]
 	Decisions []Decision
-	Publish   []Strike // to be spread to all hosts by fingerprint, the highest serial wins
+	Publish   []Strike // to be spread to all hosts by fingerprint; the highest serial wins
 }
 
-// Kinds of name whose rendezvous host is a home.
+// Kinds of rendezvous names: those of fingerprints, for their homes, and those of
+// upstreams, for their isolation hosts.
 const (
 	homeOfFingerprint uint8 = 101
 	homeOfUpstream    uint8 = 102
 )
 
-// claim is this host's own request, from Claim to Release.
+// claim is a request of this host, from its claim to its release.
 type claim struct {
-	id      claimID
-	req     Request
-	since   core.Instant
-	asked   []core.HostID // homes that may know of it
-	epoch   uint64        // in which the last of them was the home
-	tries   int
-	due     core.Instant // of the next try, or of the next renewal
-	decided bool
-	apart   bool              // runs as a suspect, or waits to
-	use     []core.UpstreamID // where it may run instead of waiting
-	cut     bool              // over for the request; kept until due
+	id           claimID
+	req          Request
+	createdAt    core.Instant
+	homes        []core.HostID // that may have a record of it
+	epoch        uint64        // of the machine when the last of them was chosen
+	attempts     int
+	due          core.Instant // next attempt or renewal; once aborted, its removal
+	decided      bool
+	isolated     bool              // runs as a suspect, or waits for its slot
+	alternatives []core.UpstreamID // where it may run instead of waiting
+	aborted      bool              // ended for the request; retained until due
 }
 
-// Machine decides for one host, as an entry host and as a home.
+// Machine decides for one host in three roles: entry host, home, and isolation
+// host of upstreams.
 type Machine struct {
-	self    core.HostID
-	rng     *core.Rand
-	hosts   []core.HostID                // the membership in force
-	epoch   uint64                       // rises when homes may have moved
-	silent  map[core.HostID]core.Instant // homes that did not answer, until when they are passed over
-	serial  uint64
-	claims  map[claimID]*claim
-	present map[core.RequestID]*claim // the claim of each request that is not over
-	order   []claimID                 // of claims, oldest first; may name ended ones
-	cases   map[uint64]*record
-	aged    []uint64 // of cases, in order of expiry checks
-	learned map[uint64]learnedStrike
-	heard   []uint64 // of learned, oldest first
-	lanes   map[core.UpstreamID]*lane
-	laned   []core.UpstreamID
-	out     Result
+	self         core.HostID
+	rng          *core.Rand
+	hosts        []core.HostID                // the current membership
+	epoch        uint64                       // incremented when homes may have moved
+	unresponsive map[core.HostID]core.Instant // homes that did not answer, and until when they are skipped
+	serial       uint64
+	claims       map[claimID]*claim
+	byRequest    map[core.RequestID]*claim // the claim of each request that has not ended
+	claimOrder   []claimID                 // oldest first; may contain ended claims
+	records      map[uint64]*fingerprintRecord
+	expiryOrder  []uint64 // keys of records, in order of expiry checks
+	learned      map[uint64]learnedCount
+	learnedOrder []uint64 // keys of learned, oldest first
+	slots        map[core.UpstreamID]*isolationSlot
+	slotOrder    []core.UpstreamID // keys of slots
+	out          Result
 }
 
-// New returns a machine that knows no fingerprints.
+// New returns a machine without claims and records.
 func New(self core.HostID, rng *core.Rand) *Machine {
 	return &Machine{
-		self:    self,
-		rng:     rng,
-		silent:  map[core.HostID]core.Instant{},
-		claims:  map[claimID]*claim{},
-		present: map[core.RequestID]*claim{},
-		cases:   map[uint64]*record{},
-		learned: map[uint64]learnedStrike{},
-		lanes:   map[core.UpstreamID]*lane{},
+		self:         self,
+		rng:          rng,
+		unresponsive: map[core.HostID]core.Instant{},
+		claims:       map[claimID]*claim{},
+		byRequest:    map[core.RequestID]*claim{},
+		records:      map[uint64]*fingerprintRecord{},
+		learned:      map[uint64]learnedCount{},
+		slots:        map[core.UpstreamID]*isolationSlot{},
 	}
 }
 
-// begin starts an event's result and reports whether the membership changed.
+// begin resets the result for a new event, applies the membership if own is not
+// nil, and reports whether it changed.
 func (m *Machine) begin(own core.Ownership) bool {
 	m.out = Result{}
 	if own == nil {
@@ -168,106 +176,108 @@
 	return true
 }
 
-// Claim asks for leave to dispatch a request.
+// Claim asks for permission to dispatch a request. An earlier claim of the same
+// request is aborted.
 func (m *Machine) Claim(now core.Instant, own core.Ownership, r Request) Result {
 	m.begin(own)
-	if m.struck(now, r.Fingerprint) >= Budget {
-		m.decide(Decision{ID: r.ID, Refusal: convicted(), Reason: "convicted"})
+	if m.crashCountOf(now, r.Fingerprint) >= Budget {
+		m.decide(Decision{ID: r.ID, Refusal: blockedRefusal(), Reason: "convicted"})
 		return m.out
 	}
-	if old := m.present[r.ID]; old != nil {
-		m.cut(now, old)
+	if old := m.byRequest[r.ID]; old != nil {
+		m.abortClaim(now, old)
 	}
 	m.serial++
-	c := &claim{id: claimID(string(r.ID) + "/" + strconv.FormatUint(m.serial, 36)), req: r, since: now}
+	c := &claim{id: claimID(string(r.ID) + "/" + strconv.FormatUint(m.serial, 36)), req: r, createdAt: now}
 	m.claims[c.id] = c
-	m.present[r.ID] = c
-	m.order = append(m.order, c.id)
-	m.ask(now, c)
+	m.byRequest[r.ID] = c
+	m.claimOrder = append(m.claimOrder, c.id)
+	m.sendClaim(now, c)
 	return m.out
 }
 
-// Release ends a claim, decided or not.
+// Release ends the claim of a request, decided or not. Without one it does
+// nothing.
 func (m *Machine) Release(now core.Instant, own core.Ownership, id core.RequestID, end End) Result {
 	m.begin(own)
-	c := m.present[id]
+	c := m.byRequest[id]
 	switch {
 	case c == nil:
 	case end == EndCut && c.decided:
-		m.cut(now, c)
+		m.abortClaim(now, c)
 	default:
-		m.end(now, c, end)
+		m.endClaim(now, c, end)
 	}
 	return m.out
 }
 
-// cut keeps a claim for as long as its upstream may yet die of it.
-func (m *Machine) cut(now core.Instant, c *claim) {
-	delete(m.present, c.req.ID)
-	c.cut = true
-	c.due = now.Add(lingerTerm)
+// abortClaim retains a claim for as long as it may still crash its upstream.
+func (m *Machine) abortClaim(now core.Instant, c *claim) {
+	delete(m.byRequest, c.req.ID)
+	c.aborted = true
+	c.due = now.Add(abortedClaimTTL)
 }
 
-// Died reports an upstream's death with the fingerprints that were running on
-// it, as far as this host knows beyond its own claims. Of its own, those that
-// were cut shortly before are reported here, the others by their Release.
+// Died reports an upstream's crash with the fingerprints that were running on it,
+// as far as this host knows beyond its own claims. Of its own, those aborted
+// shortly before are reported here, the others by their release.
 func (m *Machine) Died(now core.Instant, own core.Ownership, u core.UpstreamID, fingerprints []uint64) Result {
 	m.begin(own)
-	for _, id := range m.order {
-		if c := m.claims[id]; c != nil && c.cut && c.req.Upstream == u {
-			m.end(now, c, EndDied)
+	for _, id := range m.claimOrder {
+		if c := m.claims[id]; c != nil && c.aborted && c.req.Upstream == u {
+			m.endClaim(now, c, EndDied)
 		}
 	}
 	for _, f := range fingerprints {
 		if home, ok := m.home(now, f); ok {
-			m.tell(now, home, Message{Release: &ReleaseMessage{Fingerprint: f, Upstream: u, End: EndDied, Age: sameDeath}})
+			m.send(now, home, Message{Release: &ReleaseMessage{Fingerprint: f, Upstream: u, End: EndDied, Age: unclaimedReportAge}})
 		}
 	}
 	return m.out
 }
 
-// Peer takes a message from another host.
+// Peer applies a message from another host.
 func (m *Machine) Peer(now core.Instant, own core.Ownership, from core.HostID, msg Message) Result {
 	m.begin(own)
 	m.handle(now, from, msg)
 	return m.out
 }
 
-// Tick retries claims without an answer, renews those that run, tells a new
-// home of them, and forgets what is too old.
+// Tick retries claims without an answer, renews running ones, reports them to
+// homes that have moved, and expires old state.
 func (m *Machine) Tick(now core.Instant, own core.Ownership) Result {
 	moved := m.begin(own)
-	m.order = slices.DeleteFunc(m.order, func(id claimID) bool { return m.claims[id] == nil })
-	for _, id := range slices.Clone(m.order) {
+	m.claimOrder = slices.DeleteFunc(m.claimOrder, func(id claimID) bool { return m.claims[id] == nil })
+	for _, id := range slices.Clone(m.claimOrder) {
 		c := m.claims[id]
 		switch {
-		case c.cut && !now.Before(c.due):
-			m.end(now, c, EndCut)
-		case c.cut:
+		case c.aborted && !now.Before(c.due):
+			m.endClaim(now, c, EndCut)
+		case c.aborted:
 		case c.decided && (moved || !now.Before(c.due)):
 			m.renew(now, c)
 		case !c.decided && !now.Before(c.due):
-			m.ask(now, c)
+			m.sendClaim(now, c)
 		}
 	}
-	m.expire(now)
-	for h, until := range m.silent {
+	m.expireRecords(now)
+	for h, until := range m.unresponsive {
 		if !now.Before(until) {
 			m.epoch++
-			delete(m.silent, h)
+			delete(m.unresponsive, h)
 		}
 	}
 	return m.out
 }
 
-// Running is how many of this host's requests hold leave, wait for it, or were
-// cut just now.
+// Running returns the number of this host's claims: allowed, waiting, or aborted
+// within the last few seconds.
 func (m *Machine) Running() int { return len(m.claims) }
 
 func (m *Machine) decide(d Decision) { m.out.Decisions = append(m.out.Decisions, d) }
 
-// tell sends a message, or handles it here where this host is the addressee.
-func (m *Machine) tell(now core.Instant, to core.HostID, msg Message) {
+// send sends a message, or handles it here if this host is the receiver.
+func (m *Machine) send(now core.Instant, to core.HostID, msg Message) {
 	if to == m.self {
 		m.handle(now, m.self, msg)
 		return
@@ -275,21 +285,22 @@
 	m.out.Send(to, msg)
 }
 
-// home is the host that decides for a fingerprint.
+// home returns the host that decides for a fingerprint; false if there is none.
 func (m *Machine) home(now core.Instant, f uint64) (core.HostID, bool) {
-	return m.best(now, homeOfFingerprint, strconv.FormatUint(f, 16))
+	return m.bestHost(now, homeOfFingerprint, strconv.FormatUint(f, 16))
 }
 
-// keeper is the host that keeps suspects apart on an upstream.
-func (m *Machine) keeper(now core.Instant, u core.UpstreamID) (core.HostID, bool) {
-	return m.best(now, homeOfUpstream, string(u))
+// isolationHost returns the host that isolates suspects on an upstream.
+func (m *Machine) isolationHost(now core.Instant, u core.UpstreamID) (core.HostID, bool) {
+	return m.bestHost(now, homeOfUpstream, string(u))
 }
 
-// best is the host with the highest score for a name among those that answer.
-func (m *Machine) best(now core.Instant, kind uint8, name string) (core.HostID, bool) {
+// bestHost returns the host with the highest score for a name among those that
+// are not marked unresponsive.
+func (m *Machine) bestHost(now core.Instant, kind uint8, name string) (core.HostID, bool) {
 	best, top := core.HostID(""), uint64(0)
 	for _, h := range m.hosts {
-		if len(m.silent) > 0 && now.Before(m.silent[h]) {
+		if len(m.unresponsive) > 0 && now.Before(m.unresponsive[h]) {
 			continue
 		}
 		if s := core.Score(h, kind, name); best == "" || s > top {
@@ -299,6 +310,6 @@
 	return best, best != ""
 }
 
-func convicted() *core.Refusal {
-	return core.Refuse(core.CodeSuspect, convictRetry, "requests like this one have crashed "+strconv.Itoa(Budget)+" upstreams")
+func blockedRefusal() *core.Refusal {
+	return core.Refuse(core.CodeSuspect, blockedRetryAfter, "requests like this one have crashed "+strconv.Itoa(Budget)+" upstreams")
 }
--- a/internal/core/dispatch/suspect/suspect_test.go
+++ b/internal/core/dispatch/suspect/suspect_test.go
@@ -21,18 +21,18 @@
 	for i := range hosts {
 		f.claim(f.list[i].Host, poison, upstream(i))
 	}
-	f.settle()
-	is.Equal(f.deaths[poison], Budget)
-	for round := range 20 { // its callers send it again and again
+	f.deliverAll()
+	is.Equal(f.crashes[poison], Budget)
+	for round := range 20 { // the callers keep retrying it
 		f.tick(time.Second)
 		f.claim(f.list[round].Host, poison, upstream(100+round))
-		f.settle()
+		f.deliverAll()
 	}
-	is.Equal(f.deaths[poison], Budget)
-	is.Equal(f.strikes[len(f.strikes)-1].Count, Budget)
+	is.Equal(f.crashes[poison], Budget)
+	is.Equal(f.crashCounts[len(f.crashCounts)-1].Count, Budget)
 }
 
-func TestPoisonInAnyOrderTakesTwoUpstreams(t *testing.T) {
+func TestPoisonInAnyOrderCrashesAtMostTwoUpstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const poison = 9
 		f := newFleet(rapid.IntRange(1, 6).Draw(t, "hosts"))
@@ -43,44 +43,44 @@
 			case 0, 1:
 				f.claim(host, poison, upstream(rapid.IntRange(0, 9).Draw(t, "upstream")))
 			case 2, 3:
-				if n := len(f.net); n > 0 {
+				if n := len(f.inFlight); n > 0 {
 					f.deliver(rapid.IntRange(0, n-1).Draw(t, "packet"))
 				}
 			case 4:
-				if n := len(f.net); n > 0 {
-					f.net = append(f.net, f.net[rapid.IntRange(0, n-1).Draw(t, "doubled")])
+				if n := len(f.inFlight); n > 0 {
+					f.inFlight = append(f.inFlight, f.inFlight[rapid.IntRange(0, n-1).Draw(t, "doubled")])
 				}
 			case 5:
-				if n := len(f.noticed); n > 0 {
-					f.notice(rapid.IntRange(0, n-1).Draw(t, "death"))
+				if n := len(f.unreported); n > 0 {
+					f.reportCrash(rapid.IntRange(0, n-1).Draw(t, "death"))
 				}
 			case 6:
 				f.advance(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			}
 		}
-		f.settle()
-		if f.deaths[poison] > Budget {
-			t.Fatalf("lost %d upstreams", f.deaths[poison])
+		f.deliverAll()
+		if f.crashes[poison] > Budget {
+			t.Fatalf("the request crashed %d upstreams", f.crashes[poison])
 		}
 	})
 }
 
-// advance passes time while homes answer, a message and its answer in less than
-// claimWait, and a death is noticed before the upstream is up again.
+// advance passes time while homes answer: a message and its answer take less than
+// claimTimeout, and a crash is reported before the upstream is up again.
 func (f *fleet) advance(d time.Duration) {
-	const step = claimWait / 4
+	const step = claimTimeout / 4
 	for ; d > 0; d -= step {
 		f.tick(min(d, step))
-		for len(f.net) > 0 && f.now.Sub(f.net[0].at) >= step {
+		for len(f.inFlight) > 0 && f.now.Sub(f.inFlight[0].at) >= step {
 			f.deliver(0)
 		}
-		for len(f.noticed) > 0 && f.now.Sub(f.noticed[0].died) >= restart/2 {
-			f.notice(0)
+		for len(f.unreported) > 0 && f.now.Sub(f.unreported[0].crashedAt) >= restartTime/2 {
+			f.reportCrash(0)
 		}
 	}
 }
 
-func TestNeighboursAreClearedAndNotConvicted(t *testing.T) {
+func TestNeighboursAreClearedAndNotBlocked(t *testing.T) {
 	is := is.New(t)
 	const poison, neighbours = 1000, 16
 	f := newFleet(6)
@@ -88,48 +88,48 @@
 	for i := range neighbours {
 		f.claim(f.list[i%6].Host, uint64(i), upstream(0))
 	}
-	f.settle()
+	f.deliverAll()
 	f.claim(f.list[0].Host, poison, upstream(0))
-	f.settle()
-	is.Equal(len(f.running), 0) // all died with it
-	// The neighbours are tried again on two upstreams, and the poison with them.
+	f.deliverAll()
+	is.Equal(len(f.running), 0) // all were lost in the crash
+	// The neighbours are retried on two upstreams, and the poison with them.
 	for i := range neighbours {
 		f.claim(f.list[i%6].Host, uint64(i), upstream(1+i%2))
 	}
 	f.claim(f.list[0].Host, poison, upstream(1))
-	f.settle()
+	f.deliverAll()
 	turns := 0
 	for ; len(f.running) > 0; turns++ {
 		f.finish(0)
 		f.tick(100 * time.Millisecond)
-		f.settle()
+		f.deliverAll()
 	}
-	is.Equal(f.deaths[poison], Budget)
-	is.Equal(turns, neighbours) // each ran once more, none was lost with the second death
+	is.Equal(f.crashes[poison], Budget)
+	is.Equal(turns, neighbours) // each ran once more, none was lost in the second crash
 	is.Equal(len(f.refused), 0) // and none was refused
 	for i := range neighbours { // cleared: they may run anywhere, together
 		f.claim(f.list[0].Host, uint64(i), upstream(3))
 		f.claim(f.list[1].Host, uint64(i), upstream(4))
 		f.claim(f.list[2].Host, uint64(i), upstream(5))
 	}
-	f.settle()
+	f.deliverAll()
 	is.Equal(len(f.running), 3*neighbours)
 }
 
-func TestManyReportsOfOneDeathCountOnce(t *testing.T) {
+func TestManyReportsOfOneCrashCountOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(5)
 	const fp = 3
 	for i := range 5 {
 		f.claim(f.list[i].Host, fp, upstream(0))
 	}
-	f.settle()
-	f.noticed, f.running = f.running, nil // an innocent upstream death
-	f.notice(0)
-	f.tick(30 * time.Second) // the other hosts notice much later, and renew before
-	f.settle()
+	f.deliverAll()
+	f.unreported, f.running = f.running, nil // a crash that the request did not cause
+	f.reportCrash(0)
+	f.tick(30 * time.Second) // the other hosts report much later, and renew before
+	f.deliverAll()
 	home := f.machines[f.home(fp)]
-	is.Equal(home.cases[fp].strikes, 1)
+	is.Equal(home.records[fp].crashCount, 1)
 }
 
 func (f *fleet) home(fp uint64) core.HostID {
@@ -140,23 +140,23 @@
 	return home
 }
 
-func TestUnprovenRequestMayUseTwoUpstreamsAndIsTold(t *testing.T) {
+func TestUnprovenRequestMayUseTwoUpstreamsAndGetsAlternatives(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
 	f.claim("h0", 5, upstream(0))
 	f.claim("h1", 5, upstream(1))
-	f.settle()
+	f.deliverAll()
 	id := f.claim("h2", 5, upstream(2))
-	f.settle()
+	f.deliverAll()
 	is.Equal(f.refused[id], core.CodeOverloaded)
 	is.Equal(f.use[id], []core.UpstreamID{upstream(0), upstream(1)})
 	f.claim("h2", 5, upstream(1))
-	f.settle()
+	f.deliverAll()
 	is.Equal(len(f.running), 3)
-	f.finish(0) // one completion speaks for all
-	f.settle()
+	f.finish(0) // one completion clears the fingerprint
+	f.deliverAll()
 	f.claim("h3", 5, upstream(3))
-	f.settle()
+	f.deliverAll()
 	is.Equal(len(f.running), 3)
 }
 
@@ -166,30 +166,30 @@
 	const poison = 11
 	f.poison[poison] = true
 	f.claim("h0", poison, upstream(0))
-	f.settle()
-	is.Equal(f.deaths[poison], 1)
-	for _, m := range f.machines { // the strike has spread
-		m.Learned(f.now, f.strikes)
+	f.deliverAll()
+	is.Equal(f.crashes[poison], 1)
+	for _, m := range f.machines { // the crash count has spread
+		m.Learned(f.now, f.crashCounts)
 	}
-	f.lose(f.home(poison))
+	f.removeHost(f.home(poison))
 	f.tick(time.Second)
 	entry := f.list[0].Host
 	f.claim(entry, poison, upstream(1))
-	f.settle()
-	is.Equal(f.deaths[poison], Budget) // the new home knew of the first
+	f.deliverAll()
+	is.Equal(f.crashes[poison], Budget) // the new home has the first one's count
 	id := f.claim(f.list[1].Host, poison, upstream(2))
-	f.settle()
-	is.Equal(f.deaths[poison], Budget)
+	f.deliverAll()
+	is.Equal(f.crashes[poison], Budget)
 	is.Equal(f.refused[id], core.CodeSuspect)
 }
 
-func TestSilentHomeTakesOneMore(t *testing.T) {
+func TestUnresponsiveHomeStaysWithinBudget(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8)
 	const poison = 12
 	f.poison[poison] = true
 	dead := f.home(poison)
-	delete(f.machines, dead) // lost, but its lease still stands
+	delete(f.machines, dead) // lost, but its lease has not expired
 	f.list = append([]core.Member(nil), f.list...)
 	var live []core.HostID
 	for _, x := range f.list {
@@ -200,15 +200,15 @@
 	for i, h := range live {
 		f.claim(h, poison, upstream(i))
 	}
-	f.settle()
-	is.Equal(f.deaths[poison], 0) // all wait for the silent home
-	f.now = f.now.Add(claimWait)
+	f.deliverAll()
+	is.Equal(f.crashes[poison], 0) // all wait for the unresponsive home
+	f.now = f.now.Add(claimTimeout)
 	for _, h := range live {
-		f.take(h, f.machines[h].Tick(f.now, f.own(h)))
+		f.apply(h, f.machines[h].Tick(f.now, f.own(h)))
 	}
-	f.settle()
-	is.True(f.deaths[poison] <= Budget)
-	is.True(f.deaths[poison] >= 1)
+	f.deliverAll()
+	is.True(f.crashes[poison] <= Budget)
+	is.True(f.crashes[poison] >= 1)
 }
 
 func TestNoHomeAnswers(t *testing.T) {
@@ -216,38 +216,38 @@
 	f := newFleet(9)
 	f.claim("h0", 21, upstream(0))
 	for range 4 {
-		f.net = nil // cut off
-		f.now = f.now.Add(claimWait)
-		f.take("h0", f.machines["h0"].Tick(f.now, f.own("h0")))
+		f.inFlight = nil // cut off
+		f.now = f.now.Add(claimTimeout)
+		f.apply("h0", f.machines["h0"].Tick(f.now, f.own("h0")))
 	}
-	is.Equal(len(f.running), 1) // serving goes on for what is not suspected
+	is.Equal(len(f.running), 1) // requests that are not suspected are still served
 	f.machines["h0"].Learned(f.now, []Strike{{Fingerprint: 22, Count: 1, Serial: 1}})
 	id := f.claim("h0", 22, upstream(0))
 	for range 4 {
-		f.net = nil
-		f.now = f.now.Add(claimWait)
-		f.take("h0", f.machines["h0"].Tick(f.now, f.own("h0")))
+		f.inFlight = nil
+		f.now = f.now.Add(claimTimeout)
+		f.apply("h0", f.machines["h0"].Tick(f.now, f.own("h0")))
 	}
 	is.Equal(f.refused[id], core.CodeSuspect)
 }
 
-func TestDeathJustAfterTheCallerLeft(t *testing.T) {
+func TestCrashJustAfterTheCallerLeft(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
 	f.claim("h0", 31, upstream(0))
-	f.settle()
-	f.take("h0", f.machines["h0"].Release(f.now, f.own("h0"), f.running[0].req.ID, EndCut))
+	f.deliverAll()
+	f.apply("h0", f.machines["h0"].Release(f.now, f.own("h0"), f.running[0].req.ID, EndCut))
 	f.tick(time.Second)
-	f.take("h0", f.machines["h0"].Died(f.now, f.own("h0"), upstream(0), nil))
-	f.settle()
-	is.Equal(f.machines[f.home(31)].cases[31].strikes, 1)
+	f.apply("h0", f.machines["h0"].Died(f.now, f.own("h0"), upstream(0), nil))
+	f.deliverAll()
+	is.Equal(f.machines[f.home(31)].records[31].crashCount, 1)
 	f.claim("h0", 32, upstream(1))
-	f.settle()
-	f.take("h0", f.machines["h0"].Release(f.now, f.own("h0"), f.running[1].req.ID, EndCut))
-	f.tick(lingerTerm)
-	f.settle()
+	f.deliverAll()
+	f.apply("h0", f.machines["h0"].Release(f.now, f.own("h0"), f.running[1].req.ID, EndCut))
+	f.tick(abortedClaimTTL)
+	f.deliverAll()
 	is.Equal(f.machines["h0"].Running(), 0)
-	is.Equal(len(f.machines[f.home(32)].cases[32].active), 0)
+	is.Equal(len(f.machines[f.home(32)].records[32].runs), 0)
 }
 
 func TestRequestThatMovesToAnotherUpstream(t *testing.T) {
@@ -255,42 +255,42 @@
 	f := newFleet(3)
 	m := f.machines["h0"]
 	r := Request{ID: "r", Fingerprint: 41, Upstream: upstream(0)}
-	f.take("h0", m.Claim(f.now, f.own("h0"), r))
-	f.settle()
-	f.take("h0", m.Release(f.now, f.own("h0"), "r", EndCut)) // failed, and tried elsewhere
+	f.apply("h0", m.Claim(f.now, f.own("h0"), r))
+	f.deliverAll()
+	f.apply("h0", m.Release(f.now, f.own("h0"), "r", EndCut)) // failed, and retried elsewhere
 	r.Upstream = upstream(1)
-	f.take("h0", m.Claim(f.now, f.own("h0"), r))
-	f.settle()
+	f.apply("h0", m.Claim(f.now, f.own("h0"), r))
+	f.deliverAll()
 	is.Equal(len(f.running), 2)
-	is.Equal(len(f.machines[f.home(41)].cases[41].upstreams()), 2) // the first may yet die of it
-	f.tick(lingerTerm)
-	f.settle()
-	is.Equal(f.machines[f.home(41)].cases[41].upstreams(), []core.UpstreamID{upstream(1)})
+	is.Equal(len(f.machines[f.home(41)].records[41].upstreams()), 2) // the first may still crash
+	f.tick(abortedClaimTTL)
+	f.deliverAll()
+	is.Equal(f.machines[f.home(41)].records[41].upstreams(), []core.UpstreamID{upstream(1)})
 }
 
 func TestUnprovenRequestDoesNotWaitLongForASecondUpstream(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
-	for fp := range uint64(2) { // both are unproven, and both want u1 as their second
+	for fp := range uint64(2) { // neither has completed, and both need u1 as their second
 		f.claim("h0", 50+fp, upstream(0))
-		f.settle()
+		f.deliverAll()
 		f.claim("h1", 50+fp, upstream(1))
-		f.settle()
+		f.deliverAll()
 	}
-	is.Equal(len(f.running), 3) // the second one waits for the keeper of u1
-	f.tick(secondWait)
-	f.settle()
+	is.Equal(len(f.running), 3) // the second one waits for the isolation slot of u1
+	f.tick(secondUpstreamTimeout)
+	f.deliverAll()
 	is.Equal(len(f.refused), 1)
 	for id, use := range f.use {
 		is.Equal(f.refused[id], core.CodeOverloaded)
-		is.Equal(use, []core.UpstreamID{upstream(0)}) // it goes where the same request runs
+		is.Equal(use, []core.UpstreamID{upstream(0)}) // where the same request already runs
 	}
 }
 
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
-	for i := range 3 * maxCases {
+	for i := range 3 * maxRecords {
 		f.claim("h0", uint64(i), upstream(i%10))
 		f.finish(0)
 		if i%100 == 0 {
@@ -301,7 +301,7 @@
 		f.tick(100 * time.Millisecond)
 	}
 	m := f.machines["h0"]
-	is.True(len(m.cases) <= maxCases)
-	is.Equal(len(m.cases), len(m.aged))
+	is.True(len(m.records) <= maxRecords)
+	is.Equal(len(m.records), len(m.expiryOrder))
 	is.Equal(len(m.claims), 0)
 }
