--- a/internal/core/dispatch/once/bench_test.go
+++ b/internal/core/dispatch/once/bench_test.go
@@ -7,8 +7,8 @@
 	"gentiancroft/internal/core"
 )
 
-// BenchmarkRequest is a request from Begin to its recorded outcome, without the
-// object API.
+// BenchmarkRequest measures a request from Begin to its recorded outcome, without
+// the object API.
 func BenchmarkRequest(b *testing.B) {
 	now := core.Instant(time.Hour)
 	m := New("a", core.NewRand(1))
--- /dev/null
+++ b/internal/core/dispatch/once/expiry_test.go
@@ -0,0 +1,62 @@
+package once
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"gentiancroft/internal/core"
+	"gentiancroft/internal/standin/platform"
+)
+
+type soleMember struct{ core.Ownership }
+
+func (soleMember) Self() core.HostID      { return "a" }
+func (soleMember) Members() []core.Member { return []core.Member{{Host: "a"}} }
+
+// advanceAsCollector passes time with the host as the collector.
+func (s *script) advanceAsCollector(d time.Duration) {
+	const step = 10 * time.Second
+	for ; d > 0; d -= step {
+		s.now = s.now.Add(step)
+		s.carryOut(s.m.Tick(s.now, soleMember{}))
+	}
+}
+
+func TestRecordsExpireAfterTheRetentionAndNotBefore(t *testing.T) {
+	is := is.New(t)
+	store := platform.NewStore()
+	a := newScript(store, "a")
+	a.advanceAsCollector(time.Minute)
+	a.begin("1", 7)
+	a.finish("1", core.RanYes)
+	a.advanceAsCollector(Retention*EpochTerm - 2*time.Minute)
+	is.Equal(a.begin("2", 7).Kind, Replay)
+	a.advanceAsCollector(4 * EpochTerm)
+	is.Equal(a.begin("3", 7).Kind, Run)
+}
+
+func TestNewCollectorObservesEpochsAgainAndKeepsThem(t *testing.T) {
+	is := is.New(t)
+	store := platform.NewStore()
+	a := newScript(store, "a")
+	a.advanceAsCollector(time.Minute)
+	a.begin("1", 7)
+	a.finish("1", core.RanYes)
+	for range Retention + 6 { // a new host collects every 100 minutes
+		a = newScript(store, "a")
+		a.advanceAsCollector(100 * time.Minute)
+	}
+	is.Equal(a.begin("2", 7).Kind, Run)
+}
+
+func TestCollectorCallsAreBounded(t *testing.T) {
+	is := is.New(t)
+	store := platform.NewStore()
+	a := newScript(store, "a")
+	a.advanceAsCollector((Retention + 2) * EpochTerm)
+	before := store.Total()
+	a.advanceAsCollector(EpochTerm)
+	is.True(store.Total()-before <= bucketCount+2) // a list for each bucket, and the epochs
+}
--- a/internal/core/dispatch/once/once.go
+++ b/internal/core/dispatch/once/once.go
@@ -1,10 +1,14 @@
 // Package once runs a non-idempotent request at most once in the whole fleet.
 //
-// A request is recorded in the object API under its workspace and idempotency
-// key by a conditional create before it is dispatched, and only the Begin whose
-// token stands in the record may dispatch. Whatever is in doubt counts against
-// running: a lost answer is read back, a record of an unknown fate stands for
-// "may have run" until it expires.
+// Before a request is dispatched, it is recorded in the object API under its
+// workspace and idempotency key by a conditional create. Only the request whose
+// token is in the record may be dispatched. Unknown results count as "may have
+// run": a create without an answer is read back, and a record without an outcome
+// blocks its key until the record expires.
+//
+// Inputs are requests, their outcomes, results of object calls, the membership
+// and ticks. Making the calls, dispatching and answering the caller are left to
+// the caller of this package.
 package once
 
 import (
@@ -18,20 +22,20 @@
 // Bounds of one host's machine.
 const (
 	MaxKeyBytes     = 256       // of an idempotency key
-	MaxOutcomeBytes = 256 << 10 // of an answer that is kept for replay
-	maxPendingBytes = 8 << 20   // of answers that wait to be recorded
-	maxAttempts     = 3         // calls before a Begin is refused
-	maxCleanups     = 4096      // records that a refused Begin may have left
+	MaxOutcomeBytes = 256 << 10 // of a response that is kept for replay
+	maxPendingBytes = 8 << 20   // of responses that wait to be recorded
+	maxAttempts     = 3         // creates and as many reads before a request is refused
+	maxCleanups     = 4096      // records that refused requests may have left
 )
 
-// Times.
+// Durations.
 const (
-	firstBackoff  = 50 * time.Millisecond
-	maxBackoff    = 30 * time.Second
-	callTerm      = 5 * time.Second  // a call without an end counts as unknown
-	giveUpAfter   = 30 * time.Minute // an outcome that can't be recorded is dropped
-	runningRetry  = 2 * time.Second  // when to ask again about a first try that is running
-	storeDownHint = 5 * time.Second
+	firstBackoff          = 50 * time.Millisecond
+	maxBackoff            = 30 * time.Second
+	callTimeout           = 5 * time.Second  // a call without a result by then has an unknown one
+	outcomeTimeout        = 30 * time.Minute // an outcome that can't be recorded by then is dropped
+	runningRetryAfter     = 2 * time.Second  // when to retry while the first attempt is running
+	unavailableRetryAfter = 5 * time.Second
 )
 
 // Request is a non-idempotent request at its entry host.
@@ -42,7 +46,7 @@
 	Body      uint64 // hash of the body
 }
 
-// Kind is what is decided for a request.
+// Kind is the kind of a decision.
 type Kind uint8
 
 // Kinds of decision.
@@ -60,21 +64,21 @@
 	Refusal *core.Refusal
 }
 
-// Result is what one event gave.
+// Result is the output of one event.
 type Result struct {
 	Calls     []core.ObjectCall
 	Decisions []Decision
 }
 
-// step is where an entry stands. Its names are those of spec/once.
+// step is the state of an entry. Its names are those of spec/once.
 type step uint8
 
 const (
-	stepCreate  step = iota + 1 // the conditional create is out
+	stepCreate  step = iota + 1 // the conditional create is in flight
 	stepRead                    // the record is being read back
-	stepRun                     // dispatched, no call out
+	stepRun                     // dispatched, no call in flight
 	stepRecord                  // the outcome is being recorded
-	stepRelease                 // the record, which did not run, is being deleted
+	stepRelease                 // the record of a request that did not run is being deleted
 	stepCleanup                 // refused, but the create may have left a record
 )
 
@@ -84,31 +88,31 @@
 	key       string
 	token     string
 	step      step
-	version   uint64 // of the record, once it is known to be ours
+	version   uint64 // of the record, once it is known to be this entry's
 	attempts  int
 	cancelled bool
 	dropped   bool
 	outcome   record
-	tag       uint64       // of the call that is out; 0: none
-	due       core.Instant // of the next try, or of the end of the wait for tag
+	tag       uint64       // of the call in flight; 0: none
+	due       core.Instant // next attempt, or timeout of the call in flight
 	backoff   time.Duration
-	giveUp    core.Instant
+	deadline  core.Instant // when recording or cleanup is abandoned; 0: none
 }
 
 // Machine decides for the non-idempotent requests of one host.
 type Machine struct {
-	self    core.HostID
-	rng     *core.Rand
-	tags    uint64
-	serial  uint64
-	byTag   map[uint64]*entry
-	byID    map[core.RequestID]*entry
-	entries []*entry // in order of Begin; dropped ones until the next tick
-	open    int      // entries that are not dropped
-	cleanup int      // of these, those in stepCleanup
-	pending int      // bytes of outcomes that wait
-	sweeper sweeper
-	out     Result
+	self      core.HostID
+	rng       *core.Rand
+	tags      uint64
+	serial    uint64
+	byTag     map[uint64]*entry
+	byID      map[core.RequestID]*entry
+	entries   []*entry // in order of Begin; dropped ones stay until the next tick
+	open      int      // entries that are not dropped
+	cleanup   int      // open entries in stepCleanup
+	pending   int      // bytes of outcomes that wait to be recorded
+	collector collectorState
+	out       Result
 }
 
 // New returns a machine without requests.
@@ -121,11 +125,11 @@
 	}
 }
 
-// Pending is how many requests of this host still need the object API. A
-// leaving host waits for 0, within its drain time.
+// Pending returns the number of this host's requests that still need the object
+// API. A leaving host waits until it is 0, within its drain time.
 func (m *Machine) Pending() int { return m.open - m.cleanup }
 
-// Begin records a request. Its decision comes with this result or a later one.
+// Begin records a request. Its decision is in this result or a later one.
 func (m *Machine) Begin(now core.Instant, r Request) Result {
 	m.out = Result{}
 	switch {
@@ -150,8 +154,8 @@
 	return m.out
 }
 
-// Finish tells how a request with a Run decision ended. With RanNo the record
-// is released, so that a repeat may run.
+// Finish records how a dispatched request ended. If it did not run, the record is
+// deleted, so that a retry may run.
 func (m *Machine) Finish(now core.Instant, id core.RequestID, o core.Outcome, ran core.Ran) Result {
 	m.out = Result{}
 	e := m.byID[id]
@@ -159,14 +163,14 @@
 		return m.out
 	}
 	delete(m.byID, id)
-	e.giveUp = now.Add(giveUpAfter)
+	e.deadline = now.Add(outcomeTimeout)
 	e.backoff = firstBackoff
 	switch ran {
 	case core.RanNo:
 		e.step = stepRelease
 	case core.RanYes:
 		e.step = stepRecord
-		e.outcome = record{Token: e.token, Body: e.req.Body, Phase: phaseDone, Outcome: m.kept(o)}
+		e.outcome = record{Token: e.token, Body: e.req.Body, Phase: phaseDone, Outcome: m.replayable(o)}
 	default:
 		e.step = stepRecord
 		e.outcome = record{Token: e.token, Body: e.req.Body, Phase: phaseUnknown}
@@ -175,8 +179,9 @@
 	return m.out
 }
 
-// Forget says that the caller of a request is gone. Before the Run decision the
-// request never runs and its record is released. After it, Finish is still due.
+// Forget cancels a request whose caller is gone. Before the Run decision the
+// request never runs and its record is deleted. After it, Finish is still
+// required.
 func (m *Machine) Forget(now core.Instant, id core.RequestID) Result {
 	m.out = Result{}
 	e := m.byID[id]
@@ -188,7 +193,8 @@
 	return m.out
 }
 
-// Tick retries what is due. own says who sweeps expired records; nil: nobody here.
+// Tick retries what is due. own decides which host deletes expired records; with
+// nil, this one does not.
 func (m *Machine) Tick(now core.Instant, own core.Ownership) Result {
 	m.out = Result{}
 	m.entries = slices.DeleteFunc(m.entries, func(e *entry) bool { return e.dropped })
@@ -197,29 +203,29 @@
 			continue
 		}
 		if e.tag != 0 {
-			// The carrier lost the call: its end counts as unknown.
-			m.ended(now, e, core.ObjectResult{Tag: e.tag, Status: core.ObjectUnknown})
+			// No result came within the timeout: it counts as unknown.
+			m.handleResult(now, e, core.ObjectResult{Tag: e.tag, Status: core.ObjectUnknown})
 			continue
 		}
 		m.proceed(now, e)
 	}
-	m.sweep(now, own)
+	m.collect(now, own)
 	return m.out
 }
 
-// Object takes the end of an object call.
+// Object applies the result of an object call.
 func (m *Machine) Object(now core.Instant, r core.ObjectResult) Result {
 	m.out = Result{}
 	if e := m.byTag[r.Tag]; e != nil {
-		m.ended(now, e, r)
+		m.handleResult(now, e, r)
 	} else {
-		m.swept(now, r)
+		m.handleCollectorResult(now, r)
 	}
 	return m.out
 }
 
-// kept is the answer as it is recorded: without a body that is over a bound.
-func (m *Machine) kept(o core.Outcome) *core.Outcome {
+// replayable returns the response to record, or nil if its body exceeds a bound.
+func (m *Machine) replayable(o core.Outcome) *core.Outcome {
 	if len(o.Body) > MaxOutcomeBytes || m.pending+len(o.Body) > maxPendingBytes {
 		return nil
 	}
@@ -231,7 +237,7 @@
 	m.out.Decisions = append(m.out.Decisions, Decision{ID: id, Kind: Refuse, Refusal: r})
 }
 
-// nextTag numbers calls; 0 is no tag.
+// nextTag returns the tag of the next call; 0 is no tag.
 func (m *Machine) nextTag() uint64 {
 	m.tags++
 	return m.tags
@@ -242,7 +248,7 @@
 	c.Tag = m.nextTag()
 	c.Key = e.key
 	e.tag = c.Tag
-	e.due = now.Add(callTerm)
+	e.due = now.Add(callTimeout)
 	m.byTag[c.Tag] = e
 	m.out.Calls = append(m.out.Calls, c)
 }
@@ -261,8 +267,8 @@
 	}
 }
 
-// later puts an entry's next try off.
-func (m *Machine) later(now core.Instant, e *entry) {
+// scheduleRetry sets an entry's next attempt after a jittered exponential backoff.
+func (m *Machine) scheduleRetry(now core.Instant, e *entry) {
 	e.due = now.Add(time.Duration(m.rng.Jitter(int64(e.backoff))))
 	e.backoff = min(2*e.backoff, maxBackoff)
 }
--- a/internal/core/dispatch/once/once_test.go
+++ b/internal/core/dispatch/once/once_test.go
@@ -22,7 +22,7 @@
 
 const start = core.Instant(time.Hour)
 
-// script drives one machine against a store and keeps its decisions.
+// script runs one machine against a store and collects its decisions.
 type script struct {
 	now   core.Instant
 	m     *Machine
@@ -35,8 +35,8 @@
 	return &script{now: start, m: New(host, core.NewRand(1)), store: store, last: map[core.RequestID]Decision{}}
 }
 
-// do carries out a result's calls and theirs, until none is left.
-func (s *script) do(r Result) {
+// carryOut performs a result's calls and those that follow, until none is left.
+func (s *script) carryOut(r Result) {
 	for _, d := range r.Decisions {
 		s.last[d.ID] = d
 		if d.Kind == Run {
@@ -44,24 +44,24 @@
 		}
 	}
 	for _, c := range r.Calls {
-		s.do(s.m.Object(s.now, s.store.Do(c)))
+		s.carryOut(s.m.Object(s.now, s.store.Do(c)))
 	}
 }
 
 func (s *script) begin(id core.RequestID, body uint64) Decision {
-	s.do(s.m.Begin(s.now, Request{ID: id, Workspace: "w", Key: "k", Body: body}))
+	s.carryOut(s.m.Begin(s.now, Request{ID: id, Workspace: "w", Key: "k", Body: body}))
 	return s.last[id]
 }
 
 func (s *script) finish(id core.RequestID, ran core.Ran) {
-	s.do(s.m.Finish(s.now, id, core.Outcome{Status: 201, Body: []byte("booked")}, ran))
+	s.carryOut(s.m.Finish(s.now, id, core.Outcome{Status: 201, Body: []byte("booked")}, ran))
 }
 
-func (s *script) pass(d time.Duration) {
+func (s *script) advance(d time.Duration) {
 	const step = 500 * time.Millisecond
 	for ; d > 0; d -= step {
 		s.now = s.now.Add(step)
-		s.do(s.m.Tick(s.now, nil))
+		s.carryOut(s.m.Tick(s.now, nil))
 	}
 }
 
@@ -72,7 +72,7 @@
 	is.Equal(a.begin("1", 7).Kind, Run)
 	is.Equal(store.Total(), 1) // one call before the dispatch
 
-	early := b.begin("2", 7) // the first try is running
+	early := b.begin("2", 7) // the first attempt is running
 	is.Equal(early.Refusal.Code, core.CodeOutcomeUnknown)
 	is.Equal(early.Refusal.Ran, core.RanUnknown)
 	is.True(early.Refusal.RetryAfter > 0)
@@ -104,10 +104,10 @@
 	store := platform.NewStore()
 	a := newScript(store, "a")
 	store.DropAnswers(1)
-	is.Equal(a.begin("1", 7).Kind, Run) // read back: the record is ours
+	is.Equal(a.begin("1", 7).Kind, Run) // read back: the record has its token
 	store.DropAnswers(1)
 	a.finish("1", core.RanYes)
-	a.pass(time.Second)
+	a.advance(time.Second)
 	is.Equal(a.m.Pending(), 0)
 	is.Equal(newScript(store, "b").begin("2", 7).Kind, Replay)
 }
@@ -134,10 +134,10 @@
 	store.SetDown(true)
 	a.finish("1", core.RanYes)
 	before := store.Total()
-	a.pass(10 * time.Minute)
+	a.advance(10 * time.Minute)
 	is.True(store.Total()-before < 60) // backoff
 	store.SetDown(false)
-	a.pass(time.Minute)
+	a.advance(time.Minute)
 	is.Equal(newScript(store, "b").begin("2", 7).Kind, Replay)
 }
 
@@ -149,14 +149,14 @@
 	store.DropAnswers(1) // the delete takes effect, its answer is lost
 	a.finish("1", core.RanNo)
 	is.Equal(b.begin("2", 7).Kind, Run)
-	a.pass(time.Minute) // the delete is tried again, and must not take b's record
+	a.advance(time.Minute) // the delete is retried and must not remove b's record
 	is.Equal(a.begin("3", 7).Refusal.Ran, core.RanUnknown)
 }
 
 func TestCrashBetweenRecordAndOutcome(t *testing.T) {
 	is := is.New(t)
 	store := platform.NewStore()
-	newScript(store, "a").begin("1", 7) // and the host is gone
+	newScript(store, "a").begin("1", 7) // and the host crashes
 	d := newScript(store, "b").begin("2", 7)
 	is.Equal(d.Refusal.Code, core.CodeOutcomeUnknown)
 	is.Equal(d.Refusal.Ran, core.RanUnknown)
@@ -167,10 +167,10 @@
 	store := platform.NewStore()
 	a := newScript(store, "a")
 	r := a.m.Begin(a.now, Request{ID: "1", Workspace: "w", Key: "k", Body: 7})
-	a.do(a.m.Forget(a.now, "1"))
-	a.do(r) // the create's answer comes after the caller left
+	a.carryOut(a.m.Forget(a.now, "1"))
+	a.carryOut(r) // the create's result arrives after the caller has gone
 	is.Equal(a.runs, 0)
-	is.Equal(newScript(store, "b").begin("2", 7).Kind, Run) // and left nothing behind
+	is.Equal(newScript(store, "b").begin("2", 7).Kind, Run) // no record was left
 }
 
 func TestLargeOutcomeIsNotKept(t *testing.T) {
@@ -178,42 +178,42 @@
 	store := platform.NewStore()
 	a := newScript(store, "a")
 	a.begin("1", 7)
-	a.do(a.m.Finish(a.now, "1", core.Outcome{Status: 200, Body: make([]byte, MaxOutcomeBytes+1)}, core.RanYes))
+	a.carryOut(a.m.Finish(a.now, "1", core.Outcome{Status: 200, Body: make([]byte, MaxOutcomeBytes+1)}, core.RanYes))
 	d := a.begin("2", 7)
 	is.Equal(d.Refusal.Ran, core.RanYes)
 }
 
 // attempt is one Begin of the property test.
 type attempt struct {
-	host    int
-	id      core.RequestID
-	life    int
-	running bool
+	host        int
+	id          core.RequestID
+	incarnation int
+	running     bool
 }
 
-// world is a few hosts whose calls and answers are delayed, lost and reordered.
+// world is a set of hosts whose calls and results are delayed, lost and reordered.
 type world struct {
-	now      core.Instant
-	store    *platform.Store
-	machines []*Machine
-	lives    []int
-	calls    []flying
-	results  []flying
-	attempts map[core.RequestID]*attempt
-	order    []*attempt
-	mayRan   int // dispatches that are not surely over without having run
-	serial   int
+	now          core.Instant
+	store        *platform.Store
+	machines     []*Machine
+	incarnations []int
+	calls        []inFlightCall
+	results      []inFlightCall
+	attempts     map[core.RequestID]*attempt
+	order        []*attempt
+	mayRan       int // dispatches that did not certainly end without having run
+	serial       int
 }
 
-type flying struct {
-	host, life int
-	call       core.ObjectCall
-	result     core.ObjectResult
+type inFlightCall struct {
+	host, incarnation int
+	call              core.ObjectCall
+	result            core.ObjectResult
 }
 
-func (w *world) take(t *rapid.T, host int, r Result) {
+func (w *world) apply(t *rapid.T, host int, r Result) {
 	for _, c := range r.Calls {
-		w.calls = append(w.calls, flying{host: host, life: w.lives[host], call: c})
+		w.calls = append(w.calls, inFlightCall{host: host, incarnation: w.incarnations[host], call: c})
 	}
 	for _, d := range r.Decisions {
 		a := w.attempts[d.ID]
@@ -237,10 +237,10 @@
 	switch rapid.IntRange(0, 9).Draw(t, "step") {
 	case 0, 1:
 		w.serial++
-		a := &attempt{host: host, life: w.lives[host], id: core.RequestID(rune('a' + w.serial))}
+		a := &attempt{host: host, incarnation: w.incarnations[host], id: core.RequestID(rune('a' + w.serial))}
 		w.attempts[a.id] = a
 		w.order = append(w.order, a)
-		w.take(t, host, w.machines[host].Begin(w.now, Request{ID: a.id, Workspace: "w", Key: "k", Body: 1}))
+		w.apply(t, host, w.machines[host].Begin(w.now, Request{ID: a.id, Workspace: "w", Key: "k", Body: 1}))
 	case 2, 3, 4: // a call reaches the store
 		if n := len(w.calls); n > 0 {
 			i := rapid.IntRange(0, n-1).Draw(t, "call")
@@ -249,27 +249,27 @@
 			f.result = w.store.Do(f.call)
 			w.results = append(w.results, f)
 		}
-	case 5, 6: // an answer arrives, or is lost
+	case 5, 6: // a result arrives, or is lost
 		if n := len(w.results); n > 0 {
 			i := rapid.IntRange(0, n-1).Draw(t, "result")
 			f := w.results[i]
 			w.results = append(w.results[:i], w.results[i+1:]...)
-			if f.life != w.lives[f.host] {
+			if f.incarnation != w.incarnations[f.host] {
 				return
 			}
 			if rapid.Bool().Draw(t, "lost") {
 				f.result = core.ObjectResult{Tag: f.result.Tag, Status: core.ObjectUnknown}
 			}
-			w.take(t, f.host, w.machines[f.host].Object(w.now, f.result))
+			w.apply(t, f.host, w.machines[f.host].Object(w.now, f.result))
 		}
-	case 7: // a dispatch ends, or its caller leaves
+	case 7: // a dispatch ends, or its caller is gone
 		for _, a := range w.order {
-			if a.life != w.lives[a.host] {
+			if a.incarnation != w.incarnations[a.host] {
 				continue
 			}
 			if !a.running {
 				if rapid.Bool().Draw(t, "forget") {
-					w.take(t, a.host, w.machines[a.host].Forget(w.now, a.id))
+					w.apply(t, a.host, w.machines[a.host].Forget(w.now, a.id))
 				}
 				continue
 			}
@@ -278,14 +278,14 @@
 			if ran == core.RanNo {
 				w.mayRan--
 			}
-			w.take(t, a.host, w.machines[a.host].Finish(w.now, a.id, core.Outcome{Status: 200}, ran))
+			w.apply(t, a.host, w.machines[a.host].Finish(w.now, a.id, core.Outcome{Status: 200}, ran))
 		}
 	case 8: // a host is replaced
-		w.lives[host]++
-		w.machines[host] = New(core.HostID(rune('A'+host*10+w.lives[host])), core.NewRand(uint64(w.serial)))
+		w.incarnations[host]++
+		w.machines[host] = New(core.HostID(rune('A'+host*10+w.incarnations[host])), core.NewRand(uint64(w.serial)))
 	case 9:
 		w.now = w.now.Add(time.Duration(rapid.IntRange(1, 8000).Draw(t, "ms")) * time.Millisecond)
-		w.take(t, host, w.machines[host].Tick(w.now, nil))
+		w.apply(t, host, w.machines[host].Tick(w.now, nil))
 	}
 }
 
@@ -294,7 +294,7 @@
 		w := &world{now: start, store: platform.NewStore(), attempts: map[core.RequestID]*attempt{}}
 		for i := range 3 {
 			w.machines = append(w.machines, New(core.HostID(rune('A'+i*10)), core.NewRand(uint64(i))))
-			w.lives = append(w.lives, 0)
+			w.incarnations = append(w.incarnations, 0)
 		}
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
 			if rapid.IntRange(0, 19).Draw(t, "outage") == 0 {
--- a/internal/core/dispatch/once/record.go
+++ b/internal/core/dispatch/once/record.go
@@ -14,27 +14,26 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("once")
 
-// Prefix is where records are kept in the object API. A record's key is
-// Prefix, its bucket in two hex digits, "/" and the hash of workspace and
-// idempotency key.
+// Prefix is the object key prefix of records. A record's key is Prefix, its bucket
+// in two hex digits, "/" and the hash of workspace and idempotency key.
 const Prefix = "once/record/"
 
-// phase tells how far a recorded request has come.
+// phase is the progress of a recorded request.
 type phase uint8
 
 // Phases of a record. A released record is deleted.
 const (
 	phaseRunning phase = iota + 1 // may have been dispatched
-	phaseDone                     // ran; Outcome is its answer
-	phaseUnknown                  // over, and nobody knows whether it ran
+	phaseDone                     // ran; Outcome is its response
+	phaseUnknown                  // ended; whether it ran is unknown
 )
 
-// record is what the object API keeps of a non-idempotent request.
+// record is the stored state of a non-idempotent request.
 type record struct {
-	Token   string        `cbor:"1,keyasint"` // the Begin that made it
+	Token   string        `cbor:"1,keyasint"` // of the entry that created it
 	Body    uint64        `cbor:"2,keyasint"` // hash of the request's body
 	Phase   phase         `cbor:"3,keyasint"`
-	Outcome *core.Outcome `cbor:"4,keyasint,omitempty"` // nil where it was too large to keep
+	Outcome *core.Outcome `cbor:"4,keyasint,omitempty"` // nil if it was too large to keep
 }
 
 func (r record) encode() []byte {
@@ -53,8 +52,9 @@
 	return r, nil
 }
 
-// recordKey names the record of a workspace's idempotency key. Both are hashed
-// with their lengths, so that no two pairs share a key and any bytes may be used.
+// recordKey returns the object key of a workspace's idempotency key. Both are
+// hashed, the workspace with its length, so that no two pairs share a key and any
+// bytes may be used.
 func recordKey(ws core.WorkspaceID, key string) string {
 	h := sha256.New()
 	h.Write([]byte(strconv.Itoa(len(ws)) + ":" + string(ws)))
--- a/internal/core/dispatch/once/steps.go
+++ b/internal/core/dispatch/once/steps.go
@@ -12,15 +12,15 @@
 	m.call(now, e, core.ObjectCall{Op: core.ObjectCreate, Value: r.encode()})
 }
 
-// read fetches the record that stands under the key.
+// read fetches the record under the entry's key.
 func (m *Machine) read(now core.Instant, e *entry) {
 	e.attempts++
 	m.call(now, e, core.ObjectCall{Op: core.ObjectGet})
 }
 
-// proceed sends the call that an entry's step asks for.
+// proceed sends the call of an entry's step, or drops the entry after its deadline.
 func (m *Machine) proceed(now core.Instant, e *entry) {
-	if e.giveUp != 0 && !now.Before(e.giveUp) {
+	if e.deadline != 0 && !now.Before(e.deadline) {
 		m.drop(e) // the record expires as "may have run"
 		return
 	}
@@ -32,36 +32,36 @@
 	case stepRecord:
 		m.call(now, e, core.ObjectCall{Op: core.ObjectUpdate, Value: e.outcome.encode(), IfVersion: e.version})
 	case stepRelease:
-		// Invariant: the version is that of this entry's own record, so that a
-		// late or doubled delete can't take the record of a repeat.
+		// Invariant: the version is that of this entry's own record, so that a late or
+		// duplicate delete can't remove the record of a retry.
 		m.call(now, e, core.ObjectCall{Op: core.ObjectDelete, IfVersion: e.version})
 	}
 }
 
-// ended takes the end of the call that an entry waited for.
-func (m *Machine) ended(now core.Instant, e *entry, r core.ObjectResult) {
+// handleResult applies the result of an entry's call.
+func (m *Machine) handleResult(now core.Instant, e *entry, r core.ObjectResult) {
 	delete(m.byTag, e.tag)
 	e.tag = 0
 	switch e.step {
 	case stepCreate:
-		m.created(now, e, r)
+		m.handleCreate(now, e, r)
 	case stepRead:
-		m.readBack(now, e, r)
+		m.handleRead(now, e, r)
 	case stepCleanup:
-		m.cleaned(now, e, r)
+		m.handleCleanupRead(now, e, r)
 	case stepRecord, stepRelease:
-		m.settled(now, e, r)
+		m.handleFinalWrite(now, e, r)
 	}
 }
 
-// created takes the end of the conditional create.
-func (m *Machine) created(now core.Instant, e *entry, r core.ObjectResult) {
+// handleCreate applies the result of the conditional create.
+func (m *Machine) handleCreate(now core.Instant, e *entry, r core.ObjectResult) {
 	switch r.Status {
 	case core.ObjectOK:
-		m.mine(now, e, r.Object.Version)
+		m.confirmOwn(now, e, r.Object.Version)
 	case core.ObjectConflict:
 		if len(r.Object.Value) > 0 {
-			m.judge(now, e, r.Object)
+			m.compareRecord(now, e, r.Object)
 			return
 		}
 		e.step = stepRead
@@ -69,10 +69,10 @@
 	case core.ObjectUnavailable:
 		if e.attempts > 1 {
 			// An earlier create of this entry may still take effect.
-			m.giveUpBegin(now, e)
+			m.abandonBegin(now, e)
 			return
 		}
-		m.storeDown(e)
+		m.refuseUnavailable(e)
 		m.drop(e)
 	default:
 		// Invariant: an unanswered create counts as written until read back.
@@ -81,43 +81,44 @@
 	}
 }
 
-// readBack takes the record that stands under the key.
-func (m *Machine) readBack(now core.Instant, e *entry, r core.ObjectResult) {
+// handleRead applies the result of reading the record under the key.
+func (m *Machine) handleRead(now core.Instant, e *entry, r core.ObjectResult) {
 	switch r.Status {
 	case core.ObjectOK:
-		m.judge(now, e, r.Object)
+		m.compareRecord(now, e, r.Object)
 	case core.ObjectNotFound:
-		// The create did not take effect yet, or the read is old. Creating again
+		// The create did not take effect yet, or the read is stale. Creating again
 		// under the same token is safe: at most one of the two takes effect.
-		if m.spent(now, e) {
+		if m.refuseIfExhausted(now, e) {
 			return
 		}
 		e.step = stepCreate
-		m.later(now, e)
+		m.scheduleRetry(now, e)
 	default:
-		if m.spent(now, e) {
+		if m.refuseIfExhausted(now, e) {
 			return
 		}
-		m.later(now, e)
+		m.scheduleRetry(now, e)
 	}
 }
 
-// spent refuses a Begin that has used up its calls.
-func (m *Machine) spent(now core.Instant, e *entry) bool {
+// refuseIfExhausted refuses a request that has used up its calls, and reports
+// whether it did.
+func (m *Machine) refuseIfExhausted(now core.Instant, e *entry) bool {
 	if e.attempts < 2*maxAttempts {
 		return false
 	}
-	m.giveUpBegin(now, e)
+	m.abandonBegin(now, e)
 	return true
 }
 
-// mine is reached once the record is known to carry this entry's token.
-func (m *Machine) mine(now core.Instant, e *entry, version uint64) {
+// confirmOwn proceeds once the record is known to carry this entry's token.
+func (m *Machine) confirmOwn(now core.Instant, e *entry, version uint64) {
 	e.version = version
 	if e.cancelled {
-		// Never dispatched and never will be: releasing is safe.
+		// Never dispatched and never will be: deleting the record is safe.
 		e.step = stepRelease
-		e.giveUp = now.Add(giveUpAfter)
+		e.deadline = now.Add(outcomeTimeout)
 		m.proceed(now, e)
 		return
 	}
@@ -125,21 +126,23 @@
 	m.out.Decisions = append(m.out.Decisions, Decision{ID: e.req.ID, Kind: Run})
 }
 
-// judge compares the record that stands with this entry.
-func (m *Machine) judge(now core.Instant, e *entry, o core.Object) {
+// compareRecord decides an entry by the record found under its key: only a running
+// one with its own token lets it run.
+func (m *Machine) compareRecord(now core.Instant, e *entry, o core.Object) {
 	r, err := decodeRecord(o.Value)
 	if err == nil && r.Token == e.token && r.Phase == phaseRunning {
-		m.mine(now, e, o.Version)
+		m.confirmOwn(now, e, o.Version)
 		return
 	}
 	if !e.cancelled {
-		m.out.Decisions = append(m.out.Decisions, verdict(e.req, r, err))
+		m.out.Decisions = append(m.out.Decisions, decisionFor(e.req, r, err))
 	}
 	m.drop(e)
 }
 
-// verdict is the answer to a request whose key another request holds.
-func verdict(q Request, r record, err error) Decision {
+// decisionFor returns the decision for a request whose key has another entry's
+// record; err is from decoding it.
+func decisionFor(q Request, r record, err error) Decision {
 	d := Decision{ID: q.ID, Kind: Refuse}
 	switch {
 	case err != nil:
@@ -151,23 +154,23 @@
 	case r.Phase == phaseDone:
 		d.Refusal = &core.Refusal{Code: core.CodeOutcomeUnknown, Message: "the request ran; its answer was not kept", Ran: core.RanYes}
 	case r.Phase == phaseRunning:
-		d.Refusal = &core.Refusal{Code: core.CodeOutcomeUnknown, Message: "the first try of this request has no outcome yet", Ran: core.RanUnknown, RetryAfter: runningRetry}
+		d.Refusal = &core.Refusal{Code: core.CodeOutcomeUnknown, Message: "the first try of this request has no outcome yet", Ran: core.RanUnknown, RetryAfter: runningRetryAfter}
 	default:
 		d.Refusal = &core.Refusal{Code: core.CodeOutcomeUnknown, Message: "the first try of this request may have run", Ran: core.RanUnknown}
 	}
 	return d
 }
 
-func (m *Machine) storeDown(e *entry) {
+func (m *Machine) refuseUnavailable(e *entry) {
 	if !e.cancelled {
-		m.refuse(e.req.ID, core.Refuse(core.CodeStoreUnavailable, storeDownHint, "the request could not be recorded"))
+		m.refuse(e.req.ID, core.Refuse(core.CodeStoreUnavailable, unavailableRetryAfter, "the request could not be recorded"))
 	}
 }
 
-// giveUpBegin refuses a request whose create may yet take effect. It never
-// runs, so that whatever record it left may be deleted.
-func (m *Machine) giveUpBegin(now core.Instant, e *entry) {
-	m.storeDown(e)
+// abandonBegin refuses a request whose create may still take effect. It never
+// runs, so any record that it left may be deleted.
+func (m *Machine) abandonBegin(now core.Instant, e *entry) {
+	m.refuseUnavailable(e)
 	delete(m.byID, e.req.ID)
 	if m.cleanup >= maxCleanups {
 		m.drop(e)
@@ -175,12 +178,13 @@
 	}
 	e.step = stepCleanup
 	m.cleanup++
-	e.giveUp = now.Add(giveUpAfter)
-	m.later(now, e)
+	e.deadline = now.Add(outcomeTimeout)
+	m.scheduleRetry(now, e)
 }
 
-// cleaned takes the read of what a refused Begin may have left.
-func (m *Machine) cleaned(now core.Instant, e *entry, r core.ObjectResult) {
+// handleCleanupRead applies the read of a record that a refused request may have
+// left.
+func (m *Machine) handleCleanupRead(now core.Instant, e *entry, r core.ObjectResult) {
 	switch r.Status {
 	case core.ObjectOK:
 		left, err := decodeRecord(r.Object.Value)
@@ -195,18 +199,18 @@
 	case core.ObjectNotFound:
 		m.drop(e)
 	default:
-		m.later(now, e)
+		m.scheduleRetry(now, e)
 	}
 }
 
-// settled takes the end of recording an outcome or releasing a record.
-func (m *Machine) settled(now core.Instant, e *entry, r core.ObjectResult) {
+// handleFinalWrite applies the result of recording an outcome or deleting a record.
+func (m *Machine) handleFinalWrite(now core.Instant, e *entry, r core.ObjectResult) {
 	switch r.Status {
 	case core.ObjectOK, core.ObjectNotFound, core.ObjectConflict:
-		// A conflict is the trace of an earlier try of the same step, whose
-		// answer was lost, or of expiry: nobody else writes this record.
+		// A conflict comes from an earlier attempt of the same step whose result
+		// was lost, or from expiry: no other entry writes this record.
 		m.drop(e)
 	default:
-		m.later(now, e)
+		m.scheduleRetry(now, e)
 	}
 }
