--- a/internal/core/admission/backlog.go
+++ b/internal/core/admission/backlog.go
@@ -14,10 +14,10 @@
 	weight    int
 	queued    core.Tokens
 	count     int
-	index     int
+	index     int // in the heap
 }
 
-// overShare reports whether a has more waiting for its weight than b.
+// overShare reports whether a has more waiting tokens for its weight than b.
 func overShare(a, b *backlog) bool {
 	ah, al := bits.Mul64(uint64(a.queued), uint64(b.weight))
 	bh, bl := bits.Mul64(uint64(b.queued), uint64(a.weight))
@@ -30,25 +30,25 @@
 	return a.workspace < b.workspace
 }
 
-// backlogs is a heap with the workspace furthest over its share first.
-type backlogs []*backlog
+// backlogHeap is a heap with the workspace furthest over its share first.
+type backlogHeap []*backlog
 
-func (h backlogs) Len() int           { return len(h) }
-func (h backlogs) Less(i, j int) bool { return overShare(h[i], h[j]) }
-func (h backlogs) Swap(i, j int) {
+func (h backlogHeap) Len() int           { return len(h) }
+func (h backlogHeap) Less(i, j int) bool { return overShare(h[i], h[j]) }
+func (h backlogHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (h *backlogs) Push(x any) {
+func (h *backlogHeap) Push(x any) {
 	b := x.(*backlog)
 	b.index = len(*h)
 	*h = append(*h, b)
 }
 
 // Pop implements heap.Interface.
-func (h *backlogs) Pop() any {
+func (h *backlogHeap) Pop() any {
 	old := *h
 	b := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -57,69 +57,69 @@
 }
 
 func (q *Queue) addBacklog(e *entry) {
-	b := q.owners[e.Workspace]
+	b := q.byWorkspace[e.Workspace]
 	if b == nil {
 		b = &backlog{workspace: e.Workspace, weight: e.Weight}
-		q.owners[e.Workspace] = b
-		q.weights += int64(b.weight)
-		heap.Push(&q.backlog, b)
+		q.byWorkspace[e.Workspace] = b
+		q.totalWeight += int64(b.weight)
+		heap.Push(&q.byOverShare, b)
 	}
-	q.weights += int64(e.Weight) - int64(b.weight)
+	q.totalWeight += int64(e.Weight) - int64(b.weight)
 	b.weight = e.Weight
 	b.queued += e.Cost
 	b.count++
-	e.owner = b
-	heap.Fix(&q.backlog, b.index)
+	e.backlog = b
+	heap.Fix(&q.byOverShare, b.index)
 }
 
 func (q *Queue) dropBacklog(e *entry) {
-	b := e.owner
+	b := e.backlog
 	b.queued -= e.Cost
 	b.count--
 	if b.count > 0 {
-		heap.Fix(&q.backlog, b.index)
+		heap.Fix(&q.byOverShare, b.index)
 		return
 	}
-	heap.Remove(&q.backlog, b.index)
-	q.weights -= int64(b.weight)
-	delete(q.owners, b.workspace)
+	heap.Remove(&q.byOverShare, b.index)
+	q.totalWeight -= int64(b.weight)
+	delete(q.byWorkspace, b.workspace)
 }
 
 // shedOne removes the newest item of the least urgent class of the workspace
 // furthest over its share.
 func (q *Queue) shedOne() Item {
-	ws := q.backlog[0].workspace
+	ws := q.byOverShare[0].workspace
 	for c := core.Classes - 1; ; c-- {
 		if f := q.levels[c].flows[ws]; f != nil && f.count > 0 {
-			return q.take(f.newest())
+			return q.removeEntry(f.newest())
 		}
 	}
 }
 
-// expiries is a heap of entries with a deadline, the earliest first.
-type expiries []*entry
+// deadlineHeap is a heap of entries with a deadline, the earliest first.
+type deadlineHeap []*entry
 
-func (h expiries) Len() int { return len(h) }
-func (h expiries) Less(i, j int) bool {
+func (h deadlineHeap) Len() int { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool {
 	if h[i].Deadline != h[j].Deadline {
 		return h[i].Deadline < h[j].Deadline
 	}
 	return h[i].seq < h[j].seq
 }
-func (h expiries) Swap(i, j int) {
+func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].expiry, h[j].expiry = i, j
 }
 
 // Push implements heap.Interface.
-func (h *expiries) Push(x any) {
+func (h *deadlineHeap) Push(x any) {
 	e := x.(*entry)
 	e.expiry = len(*h)
 	*h = append(*h, e)
 }
 
 // Pop implements heap.Interface.
-func (h *expiries) Pop() any {
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -128,22 +128,22 @@
 	return e
 }
 
-// drain estimates how many tokens a second leave the queue.
-type drain struct {
+// drainMeter estimates how many tokens per second leave the queue.
+type drainMeter struct {
 	since  core.Instant
 	tokens core.Tokens // popped since then
-	rate   core.Tokens // a second, over the last whole window
+	rate   core.Tokens // per second, over the last complete window
 }
 
-// drainWindow is the span over which the drain is measured.
+// drainWindow is the minimum time over which the drain rate is measured.
 const drainWindow = 2 * time.Second
 
-func (d *drain) popped(now core.Instant, cost core.Tokens) {
-	d.roll(now)
+func (d *drainMeter) record(now core.Instant, cost core.Tokens) {
+	d.rollWindow(now)
 	d.tokens += cost
 }
 
-func (d *drain) roll(now core.Instant) {
+func (d *drainMeter) rollWindow(now core.Instant) {
 	span := now.Sub(d.since)
 	if span < drainWindow {
 		return
@@ -152,12 +152,13 @@
 	d.since, d.tokens = now, 0
 }
 
-// timeFor is how long queued tokens of a workspace take at its weight's share.
-func (d *drain) timeFor(now core.Instant, queued core.Tokens, weights, weight int64) time.Duration {
-	d.roll(now)
+// timeToDrain returns how long the queued tokens of a workspace take at its
+// weight's share; drainWindow if the rate is not known yet, one hour at most.
+func (d *drainMeter) timeToDrain(now core.Instant, queued core.Tokens, totalWeight, weight int64) time.Duration {
+	d.rollWindow(now)
 	if d.rate <= 0 {
 		return drainWindow
 	}
-	seconds := float64(queued) / float64(d.rate) * float64(weights) / float64(max(1, weight))
+	seconds := float64(queued) / float64(d.rate) * float64(totalWeight) / float64(max(1, weight))
 	return time.Duration(min(seconds, 3600) * float64(time.Second))
 }
--- a/internal/core/admission/bench_test.go
+++ b/internal/core/admission/bench_test.go
@@ -7,8 +7,8 @@
 	"gentiancroft/internal/core"
 )
 
-// A decision's cost with more workspaces waiting, and with workspaces and
-// adapters that were served before and are idle now.
+// BenchmarkPushAndPop measures a push and a pop by the number of waiting workspaces
+// and of idle ones that were served before.
 func BenchmarkPushAndPop(b *testing.B) {
 	for _, c := range []struct{ waiting, idle int }{{10, 0}, {100, 0}, {400, 0}, {10, 1000}, {10, 10_000}} {
 		b.Run(fmt.Sprintf("waiting=%d/idle=%d", c.waiting, c.idle), func(b *testing.B) {
--- a/internal/core/admission/doc.go
+++ b/internal/core/admission/doc.go
@@ -1,10 +1,12 @@
-// Package admission decides which waiting request goes next and which one is
+// Package admission decides which waiting request runs next and which one is
 // refused when too many wait.
 //
-// A Queue stands before one or more upstreams at their owner, so it sees the
-// requests of all entry hosts: a workspace gains nothing by spreading over
-// them. Capacity is shared in tokens, by weight, over the workspaces that
-// wait (start-time fair queueing), one virtual clock a priority class.
+// A Queue belongs to one or more upstreams and lives at their owner, so it gets
+// the requests of all entry hosts: a workspace gains nothing by spreading over
+// them. Capacity is shared in tokens, by weight, among the workspaces that wait
+// (start-time fair queueing), with one virtual clock per priority class.
 //
-// The package is pure: see package core.
+// Inputs are the items, the time and which adapters are ready. Dispatching, and
+// answering refused requests, are left to the caller. The package is pure: see
+// package core.
 package admission
--- a/internal/core/admission/level.go
+++ b/internal/core/admission/level.go
@@ -8,61 +8,61 @@
 	"gentiancroft/internal/core"
 )
 
-// virtual is a virtual time: tokens a unit of weight, scaled by virtualUnit.
-type virtual int64
+// virtualTime is in tokens per unit of weight, times virtualPerToken.
+type virtualTime int64
 
-// virtualUnit is how many units of virtual time one token at weight 1 takes.
-const virtualUnit = 1 << 16
+// virtualPerToken is the virtual time that one token takes at weight 1.
+const virtualPerToken = 1 << 16
 
-// level is the fair queue of one priority class. Its cost follows the
-// workspaces that wait or were served lately, never the idle ones.
+// level is the fair queue of one priority class. Its cost depends on the
+// workspaces that wait or were served recently, not on idle ones.
 type level struct {
-	now     virtual
-	credit  virtual // how far a flow that used less than its share may lie behind
-	active  []*flow // with waiting items, sorted by tag, then workspace
-	flows   map[core.WorkspaceID]*flow
-	settled []*flow // idle with a tag ahead of the floor, sorted likewise
-	order   *list.List
-	where   map[*entry]*list.Element
+	vtime     virtualTime
+	credit    virtualTime // how far behind vtime a flow that used less than its share may be
+	active    []*flow     // with waiting items, sorted by start tag, then workspace
+	flows     map[core.WorkspaceID]*flow
+	idle      []*flow                  // without waiting items, start tag ahead of the floor; sorted likewise
+	arrivals  *list.List               // entries that compete in their own class, by time of enqueueing
+	positions map[*entry]*list.Element // in arrivals
 }
 
-// flow is one workspace's part of a level.
+// flow is one workspace's items in a level.
 type flow struct {
 	workspace core.WorkspaceID
-	tag       virtual // virtual start of its next item
+	startTag  virtualTime // virtual start of its next item
 	weight    int
-	lanes     []*lane // of its waiting adapters
+	queues    []*adapterQueue // of adapters with waiting items
 	count     int
 }
 
-// lane holds one workspace's items for one adapter in order of arrival.
-type lane struct {
+// adapterQueue holds one workspace's items for one adapter in order of arrival.
+type adapterQueue struct {
 	adapter core.AdapterRef
 	entries []*entry
 }
 
 func newLevel() level {
 	return level{
-		flows: make(map[core.WorkspaceID]*flow),
-		order: list.New(),
-		where: make(map[*entry]*list.Element),
+		flows:     make(map[core.WorkspaceID]*flow),
+		arrivals:  list.New(),
+		positions: make(map[*entry]*list.Element),
 	}
 }
 
-func byTag(a, b *flow) int {
-	if c := cmp.Compare(a.tag, b.tag); c != 0 {
+func byStartTag(a, b *flow) int {
+	if c := cmp.Compare(a.startTag, b.startTag); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.workspace, b.workspace)
 }
 
 func insertSorted(s []*flow, f *flow) []*flow {
-	i, _ := slices.BinarySearchFunc(s, f, byTag)
+	i, _ := slices.BinarySearchFunc(s, f, byStartTag)
 	return slices.Insert(s, i, f)
 }
 
 func removeSorted(s []*flow, f *flow) []*flow {
-	i, ok := slices.BinarySearchFunc(s, f, byTag)
+	i, ok := slices.BinarySearchFunc(s, f, byStartTag)
 	if !ok {
 		return s
 	}
@@ -73,39 +73,40 @@
 	f := l.flows[e.Workspace]
 	switch {
 	case f == nil:
-		f = &flow{workspace: e.Workspace, tag: l.floor()}
+		f = &flow{workspace: e.Workspace, startTag: l.floor()}
 		l.flows[e.Workspace] = f
 		l.active = insertSorted(l.active, f)
 	case f.count == 0:
-		l.settled = removeSorted(l.settled, f)
-		f.tag = max(f.tag, l.floor())
+		l.idle = removeSorted(l.idle, f)
+		f.startTag = max(f.startTag, l.floor())
 		l.active = insertSorted(l.active, f)
 	}
 	f.weight = e.Weight
 	f.count++
 	e.flow = f
-	e.lane = f.lane(e.Adapter)
-	e.lane.insert(e)
+	e.queue = f.queueFor(e.Adapter)
+	e.queue.insert(e)
 	if e.level == e.Class {
-		l.where[e] = l.enlist(e)
+		l.positions[e] = l.insertByArrival(e)
 	}
 }
 
-// enlist keeps the items that have not aged in order of enqueueing.
-func (l *level) enlist(e *entry) *list.Element {
-	at := l.order.Back()
+// insertByArrival adds an entry to the arrivals, in order of enqueueing.
+func (l *level) insertByArrival(e *entry) *list.Element {
+	at := l.arrivals.Back()
 	for at != nil && at.Value.(*entry).Enqueued > e.Enqueued {
 		at = at.Prev()
 	}
 	if at == nil {
-		return l.order.PushFront(e)
+		return l.arrivals.PushFront(e)
 	}
-	return l.order.InsertAfter(e, at)
+	return l.arrivals.InsertAfter(e, at)
 }
 
-// oldest is the item that waits longest among those that have not aged.
+// oldest returns the entry that has waited longest among those that have not aged;
+// nil if there is none.
 func (l *level) oldest() *entry {
-	if at := l.order.Front(); at != nil {
+	if at := l.arrivals.Front(); at != nil {
 		return at.Value.(*entry)
 	}
 	return nil
@@ -113,120 +114,124 @@
 
 func (l *level) remove(e *entry) {
 	f := e.flow
-	if at := l.where[e]; at != nil {
-		l.order.Remove(at)
-		delete(l.where, e)
+	if at := l.positions[e]; at != nil {
+		l.arrivals.Remove(at)
+		delete(l.positions, e)
 	}
-	e.lane.remove(e)
-	if len(e.lane.entries) == 0 {
-		f.lanes = slices.Delete(f.lanes, slices.Index(f.lanes, e.lane), slices.Index(f.lanes, e.lane)+1)
+	e.queue.remove(e)
+	if len(e.queue.entries) == 0 {
+		f.queues = slices.Delete(f.queues, slices.Index(f.queues, e.queue), slices.Index(f.queues, e.queue)+1)
 	}
 	if f.count--; f.count > 0 {
 		return
 	}
 	l.active = removeSorted(l.active, f)
-	l.settled = insertSorted(l.settled, f)
-	l.forget()
+	l.idle = insertSorted(l.idle, f)
+	l.dropIdle()
 }
 
-// floor is the earliest tag a flow may have: who used less than its share may
-// catch up by the credit, no more.
-func (l *level) floor() virtual { return l.now - l.credit }
+// floor returns the earliest start tag that a flow may have: one that used less
+// than its share may catch up by the credit and no more.
+func (l *level) floor() virtualTime { return l.vtime - l.credit }
 
-// forget drops the idle flows that virtual time has caught up with.
-func (l *level) forget() {
-	if len(l.active) == 0 && len(l.settled) > 0 {
-		l.now = max(l.now, l.settled[len(l.settled)-1].tag)
+// dropIdle removes the idle flows whose start tag is not ahead of the floor. If no
+// flow is active, virtual time first advances to the last idle start tag.
+func (l *level) dropIdle() {
+	if len(l.active) == 0 && len(l.idle) > 0 {
+		l.vtime = max(l.vtime, l.idle[len(l.idle)-1].startTag)
 	}
 	n := 0
-	for n < len(l.settled) && l.settled[n].tag <= l.floor() {
-		delete(l.flows, l.settled[n].workspace)
+	for n < len(l.idle) && l.idle[n].startTag <= l.floor() {
+		delete(l.flows, l.idle[n].workspace)
 		n++
 	}
-	l.settled = slices.Delete(l.settled, 0, n)
+	l.idle = slices.Delete(l.idle, 0, n)
 }
 
-// next is the first item by virtual time whose adapter is ready, with within
-// only of flows that stay behind virtual time with it.
-func (l *level) next(within bool, ready func(core.AdapterRef) bool) (*entry, bool) {
+// next returns the first item by virtual time whose adapter is ready. With underShare,
+// it skips flows that the item would move ahead of virtual time.
+func (l *level) next(underShare bool, ready func(core.AdapterRef) bool) (*entry, bool) {
 	for _, f := range l.active {
-		if within && f.tag >= l.now {
+		if underShare && f.startTag >= l.vtime {
 			break
 		}
 		e := f.first(ready)
-		if e != nil && (!within || f.tag+span(e.Cost, e.Weight) <= l.now) {
+		if e != nil && (!underShare || f.startTag+virtualCost(e.Cost, e.Weight) <= l.vtime) {
 			return e, true
 		}
 	}
 	return nil, false
 }
 
-// charge moves a flow's tag on by the cost of the item that starts now.
+// charge advances a flow's start tag by the cost of the item that starts now.
 func (l *level) charge(f *flow, cost core.Tokens, weight int) {
 	l.active = removeSorted(l.active, f)
-	l.now = max(l.now, f.tag)
-	f.tag += span(cost, weight)
+	l.vtime = max(l.vtime, f.startTag)
+	f.startTag += virtualCost(cost, weight)
 	l.active = insertSorted(l.active, f)
 }
 
-// correct moves a workspace's tag by a difference to what was charged.
+// correct moves a workspace's start tag by the difference between tokens used and
+// charged.
 func (l *level) correct(ws core.WorkspaceID, diff core.Tokens) {
 	f := l.flows[ws]
 	if f == nil {
 		if diff <= 0 {
-			return // it owes nothing any more
+			return // already at the floor: a refund changes nothing
 		}
-		f = &flow{workspace: ws, tag: l.floor(), weight: 1}
+		f = &flow{workspace: ws, startTag: l.floor(), weight: 1}
 		l.flows[ws] = f
-		l.settled = insertSorted(l.settled, f)
+		l.idle = insertSorted(l.idle, f)
 	}
 	if f.count > 0 {
 		l.active = removeSorted(l.active, f)
-		f.tag = max(f.tag+span(diff, f.weight), l.floor())
+		f.startTag = max(f.startTag+virtualCost(diff, f.weight), l.floor())
 		l.active = insertSorted(l.active, f)
 		return
 	}
-	l.settled = removeSorted(l.settled, f)
-	f.tag = max(f.tag+span(diff, f.weight), l.floor())
-	l.settled = insertSorted(l.settled, f)
-	l.forget()
+	l.idle = removeSorted(l.idle, f)
+	f.startTag = max(f.startTag+virtualCost(diff, f.weight), l.floor())
+	l.idle = insertSorted(l.idle, f)
+	l.dropIdle()
 }
 
-func span(cost core.Tokens, weight int) virtual {
-	return virtual(int64(cost) * virtualUnit / int64(max(weight, 1)))
+// virtualCost returns the virtual time that a cost takes at a weight.
+func virtualCost(cost core.Tokens, weight int) virtualTime {
+	return virtualTime(int64(cost) * virtualPerToken / int64(max(weight, 1)))
 }
 
-func (f *flow) lane(a core.AdapterRef) *lane {
-	for _, l := range f.lanes {
-		if l.adapter == a {
-			return l
+// queueFor returns the flow's queue for an adapter, creating it if needed.
+func (f *flow) queueFor(a core.AdapterRef) *adapterQueue {
+	for _, q := range f.queues {
+		if q.adapter == a {
+			return q
 		}
 	}
-	l := &lane{adapter: a}
-	f.lanes = append(f.lanes, l)
-	return l
+	q := &adapterQueue{adapter: a}
+	f.queues = append(f.queues, q)
+	return q
 }
 
-// first is the flow's earliest item whose adapter is ready.
+// first returns the flow's earliest item whose adapter is ready, or nil.
 func (f *flow) first(ready func(core.AdapterRef) bool) *entry {
 	var best *entry
-	for _, l := range f.lanes {
-		head := l.entries[0]
+	for _, q := range f.queues {
+		head := q.entries[0]
 		if best != nil && best.seq < head.seq {
 			continue
 		}
-		if ready(l.adapter) {
+		if ready(q.adapter) {
 			best = head
 		}
 	}
 	return best
 }
 
-// newest is the flow's latest item.
+// newest returns the flow's latest item.
 func (f *flow) newest() *entry {
 	var best *entry
-	for _, l := range f.lanes {
-		if tail := l.entries[len(l.entries)-1]; best == nil || tail.seq > best.seq {
+	for _, q := range f.queues {
+		if tail := q.entries[len(q.entries)-1]; best == nil || tail.seq > best.seq {
 			best = tail
 		}
 	}
@@ -235,14 +240,14 @@
 
 func bySeq(a, b *entry) int { return cmp.Compare(a.seq, b.seq) }
 
-func (l *lane) insert(e *entry) {
-	i, _ := slices.BinarySearchFunc(l.entries, e, bySeq)
-	l.entries = slices.Insert(l.entries, i, e)
+func (q *adapterQueue) insert(e *entry) {
+	i, _ := slices.BinarySearchFunc(q.entries, e, bySeq)
+	q.entries = slices.Insert(q.entries, i, e)
 }
 
-func (l *lane) remove(e *entry) {
-	i, ok := slices.BinarySearchFunc(l.entries, e, bySeq)
+func (q *adapterQueue) remove(e *entry) {
+	i, ok := slices.BinarySearchFunc(q.entries, e, bySeq)
 	if ok {
-		l.entries = slices.Delete(l.entries, i, i+1)
+		q.entries = slices.Delete(q.entries, i, i+1)
 	}
 }
--- a/internal/core/admission/property_test.go
+++ b/internal/core/admission/property_test.go
@@ -11,8 +11,9 @@
 	"gentiancroft/internal/core"
 )
 
-// Whatever is done: the bound holds, every item leaves once, counts agree, and
-// nothing less urgent is popped while a ready interactive item waits.
+// TestEveryItemLeavesOnce applies random operations and checks that the bound
+// holds, every item leaves exactly once, counts agree, and no overnight item is
+// popped while a ready interactive one waits.
 func TestEveryItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(QueueSettings{Bound: 8, AgeAfter: 5 * time.Second})
@@ -58,7 +59,7 @@
 		for it, ok := q.Pop(now, anyAdapter); ok; it, ok = q.Pop(now, anyAdapter) {
 			left(it)
 		}
-		if len(in)+len(q.waiting)+len(q.owners)+len(q.backlog)+int(q.weights) != 0 {
+		if len(in)+len(q.waiting)+len(q.byWorkspace)+len(q.byOverShare)+int(q.totalWeight) != 0 {
 			t.Fatalf("left behind: %v", in)
 		}
 	})
@@ -77,7 +78,7 @@
 	return it
 }
 
-// urgentWaits fails if overnight work was popped before a ready interactive item.
+// urgentWaits fails if an overnight item was popped before a ready interactive one.
 func urgentWaits(t *rapid.T, in map[core.RequestID]Item, popped Item, cold int) {
 	if popped.Class != core.Overnight {
 		return
@@ -89,7 +90,8 @@
 	}
 }
 
-// Two workspaces that always wait are served by weight, to within an item.
+// TestServedByWeight has two workspaces that always wait: they are served by
+// weight, to within an item.
 func TestServedByWeight(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(QueueSettings{})
@@ -108,7 +110,7 @@
 
 func abs(t core.Tokens) core.Tokens { return max(t, -t) }
 
-func TestPopWithinSkipsWhoTakesMore(t *testing.T) {
+func TestPopWithinSkipsWorkspacesOverTheirShare(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(QueueSettings{})
 	for i := range 50 {
@@ -120,7 +122,7 @@
 	_, ok := q.PopWithin(3, core.Overnight, anyAdapter)
 	is.True(!ok)
 	q.Push(3, item(0, "small", core.Interactive, 100))
-	q.Pop(core.Instant(3).Add(3*time.Second), anyAdapter) // the drain is known from here on
+	q.Pop(core.Instant(3).Add(3*time.Second), anyAdapter) // the drain rate is known from here on
 	q.Push(4, item(1, "other", core.Interactive, 1))
 	it, _ := q.Pop(core.Instant(4).Add(3*time.Second), anyAdapter)
 	is.True(it.Workspace != "flood")
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -12,24 +12,24 @@
 	Request   core.RequestID
 	Entry     core.HostID // the host that the caller is connected to
 	Workspace core.WorkspaceID
-	Weight    int // the workspace's share against others; below 1 counts as 1
+	Weight    int // the workspace's share relative to others; below 1 counts as 1
 	Class     core.Class
-	Cost      core.Tokens // the estimate: prompt and allowed output; below 1 counts as 1
+	Cost      core.Tokens // estimated tokens of prompt and output; below 1 counts as 1
 	Adapter   core.AdapterRef
 	Enqueued  core.Instant // zero: when it was pushed
 	Deadline  core.Instant // zero: none
-	// Charged is the class whose share paid for the item, which ageing may
-	// have raised. Pop sets it; hand it to Settle.
+	// Charged is the class whose share paid for the item; ageing may have raised
+	// it. Pop sets it, and Settle needs it.
 	Charged core.Class
 }
 
-// QueueSettings bound a queue. Zero fields take the defaults.
+// QueueSettings are the bounds of a queue. Zero fields take the defaults.
 type QueueSettings struct {
-	Bound    int           // items that may wait
+	Bound    int           // maximum number of waiting items
 	AgeAfter time.Duration // wait after which an item competes one class higher
-	Credit   time.Duration // of its share, by which a workspace that used less may catch up
-	RetryMin time.Duration // least retry_after
-	RetryMax time.Duration // greatest retry_after
+	Credit   time.Duration // how much of its unused share a workspace may catch up on
+	RetryMin time.Duration // minimum retry_after
+	RetryMax time.Duration // maximum retry_after
 }
 
 // Defaults of QueueSettings.
@@ -41,7 +41,7 @@
 	DefaultRetryMax = 30 * time.Second
 )
 
-// Limits of what one item may state.
+// Limits of an item's values.
 const (
 	maxCost   = core.Tokens(1) << 24
 	maxWeight = 1 << 16
@@ -68,36 +68,36 @@
 
 // Queue is a bounded, weighted fair queue. It is not safe for concurrent use.
 type Queue struct {
-	settings QueueSettings
-	levels   [core.Classes]level
-	items    map[core.RequestID]*entry
-	waiting  map[core.AdapterRef]int
-	backlog  backlogs // workspaces with waiting items, the furthest over its share first
-	owners   map[core.WorkspaceID]*backlog
-	expiry   expiries
-	drain    drain
-	seq      uint64
-	weights  int64 // sum over workspaces with waiting items
+	settings    QueueSettings
+	levels      [core.Classes]level
+	items       map[core.RequestID]*entry
+	waiting     map[core.AdapterRef]int
+	byOverShare backlogHeap // workspaces with waiting items, the furthest over its share first
+	byWorkspace map[core.WorkspaceID]*backlog
+	deadlines   deadlineHeap
+	drain       drainMeter
+	seq         uint64
+	totalWeight int64 // sum over workspaces with waiting items
 }
 
 // entry is an item in the queue.
 type entry struct {
 	Item
-	seq    uint64
-	level  core.Class // where it competes now
-	flow   *flow
-	lane   *lane
-	owner  *backlog
-	expiry int // index in expiries, -1: no deadline
+	seq     uint64
+	level   core.Class // the class in which it competes now
+	flow    *flow
+	queue   *adapterQueue
+	backlog *backlog
+	expiry  int // index in the deadline heap, -1: no deadline
 }
 
 // NewQueue returns an empty queue.
 func NewQueue(s QueueSettings) *Queue {
 	q := &Queue{
-		settings: s.withDefaults(),
-		items:    make(map[core.RequestID]*entry),
-		waiting:  make(map[core.AdapterRef]int),
-		owners:   make(map[core.WorkspaceID]*backlog),
+		settings:    s.withDefaults(),
+		items:       make(map[core.RequestID]*entry),
+		waiting:     make(map[core.AdapterRef]int),
+		byWorkspace: make(map[core.WorkspaceID]*backlog),
 	}
 	for i := range q.levels {
 		q.levels[i] = newLevel()
@@ -105,15 +105,15 @@
 	return q
 }
 
-// Len is the number of waiting items.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Waiting is the number of items that wait for an adapter.
+// Waiting returns the number of items that wait for an adapter.
 func (q *Queue) Waiting(a core.AdapterRef) int { return q.waiting[a] }
 
-// Push adds an item and returns what had to go to keep the bound: the newest
-// item of the least urgent class of the workspace that is furthest over its
-// share, which may be the pushed one. An item that waits already stays once.
+// Push adds an item and returns those removed to keep the bound: the newest item
+// of the least urgent class of the workspace that is furthest over its share,
+// which may be the pushed one. An item that waits already is not added again.
 func (q *Queue) Push(now core.Instant, it Item) (shed []Item) {
 	if _, ok := q.items[it.Request]; ok {
 		return nil
@@ -144,12 +144,12 @@
 	q.addBacklog(e)
 	q.levels[e.level].add(e)
 	if it.Deadline != 0 {
-		heap.Push(&q.expiry, e)
+		heap.Push(&q.deadlines, e)
 	}
 }
 
-// take removes an entry from every index.
-func (q *Queue) take(e *entry) Item {
+// removeEntry removes an entry from every index.
+func (q *Queue) removeEntry(e *entry) Item {
 	delete(q.items, e.Request)
 	if q.waiting[e.Adapter]--; q.waiting[e.Adapter] == 0 {
 		delete(q.waiting, e.Adapter)
@@ -157,55 +157,56 @@
 	q.dropBacklog(e)
 	q.levels[e.level].remove(e)
 	if e.expiry >= 0 {
-		heap.Remove(&q.expiry, e.expiry)
+		heap.Remove(&q.deadlines, e.expiry)
 	}
 	e.Charged = e.level
 	return e.Item
 }
 
-// Pop removes the item to run next among those whose adapter is ready, in
-// order of class, then of the workspaces' virtual time, then of arrival.
+// Pop removes the item to run next among those whose adapter is ready, in order of
+// class, then of the workspaces' virtual time, then of arrival. It returns false
+// if there is none.
 func (q *Queue) Pop(now core.Instant, ready func(core.AdapterRef) bool) (Item, bool) {
 	return q.PopUpTo(now, core.Overnight, ready)
 }
 
-// PopUpTo is Pop among items that compete at class least or a more urgent one,
-// so that a caller can keep its last free places for urgent work.
-func (q *Queue) PopUpTo(now core.Instant, least core.Class, ready func(core.AdapterRef) bool) (Item, bool) {
-	return q.pop(now, least, false, ready)
+// PopUpTo is Pop among items that compete in class lowest or a more urgent one, so
+// that a caller can reserve its last free places for urgent work.
+func (q *Queue) PopUpTo(now core.Instant, lowest core.Class, ready func(core.AdapterRef) bool) (Item, bool) {
+	return q.pop(now, lowest, false, ready)
 }
 
-// PopWithin is PopUpTo among workspaces that used less than their share
-// lately, so that a caller can keep its last free places for them: they then
-// don't wait for the requests of those who take more.
-func (q *Queue) PopWithin(now core.Instant, least core.Class, ready func(core.AdapterRef) bool) (Item, bool) {
-	return q.pop(now, least, true, ready)
+// PopWithin is PopUpTo among workspaces that recently used less than their share.
+// A caller can reserve its last free places for them, so that they don't wait for
+// the requests of workspaces that use more.
+func (q *Queue) PopWithin(now core.Instant, lowest core.Class, ready func(core.AdapterRef) bool) (Item, bool) {
+	return q.pop(now, lowest, true, ready)
 }
 
-func (q *Queue) pop(now core.Instant, least core.Class, within bool, ready func(core.AdapterRef) bool) (Item, bool) {
-	q.age(now)
-	for c := core.Interactive; c <= min(least, core.Overnight); c++ {
-		e, ok := q.levels[c].next(within, ready)
+func (q *Queue) pop(now core.Instant, lowest core.Class, underShare bool, ready func(core.AdapterRef) bool) (Item, bool) {
+	q.promoteAged(now)
+	for c := core.Interactive; c <= min(lowest, core.Overnight); c++ {
+		e, ok := q.levels[c].next(underShare, ready)
 		if !ok {
 			continue
 		}
 		q.levels[c].charge(e.flow, e.Cost, e.Weight)
-		q.drain.popped(now, e.Cost)
+		q.drain.record(now, e.Cost)
 		q.levels[c].credit = q.credit()
-		return q.take(e), true
+		return q.removeEntry(e), true
 	}
 	return Item{}, false
 }
 
-// credit is the virtual time that passes while Credit does, at the present drain.
-func (q *Queue) credit() virtual {
-	perSecond := span(min(q.drain.rate, maxCost), int(max(1, min(q.weights, maxWeight))))
-	return perSecond * virtual(q.settings.Credit/time.Second)
+// credit converts the Credit setting into virtual time at the current drain rate.
+func (q *Queue) credit() virtualTime {
+	perSecond := virtualCost(min(q.drain.rate, maxCost), int(max(1, min(q.totalWeight, maxWeight))))
+	return perSecond * virtualTime(q.settings.Credit/time.Second)
 }
 
-// age lets items that have waited long compete one class higher than their
-// own. Overnight work so never competes with an interactive caller.
-func (q *Queue) age(now core.Instant) {
+// promoteAged lets items that have waited long compete one class higher than their
+// own. Overnight work therefore never competes with interactive requests.
+func (q *Queue) promoteAged(now core.Instant) {
 	for c := core.Normal; c < core.Classes; c++ {
 		lv := &q.levels[c]
 		for e := lv.oldest(); e != nil && now.Sub(e.Enqueued) >= q.settings.AgeAfter; e = lv.oldest() {
@@ -216,39 +217,40 @@
 	}
 }
 
-// Remove takes an item out, as when its caller has gone.
+// Remove removes an item, for example because its caller has gone. It returns
+// false if the item does not wait.
 func (q *Queue) Remove(id core.RequestID) (Item, bool) {
 	e, ok := q.items[id]
 	if !ok {
 		return Item{}, false
 	}
-	return q.take(e), true
+	return q.removeEntry(e), true
 }
 
-// Expire removes the items whose deadline has come, the earliest first.
+// Expire removes the items whose deadline has passed, the earliest first.
 func (q *Queue) Expire(now core.Instant) []Item {
 	var out []Item
-	for len(q.expiry) > 0 && !now.Before(q.expiry[0].Deadline) {
-		out = append(out, q.take(q.expiry[0]))
+	for len(q.deadlines) > 0 && !now.Before(q.deadlines[0].Deadline) {
+		out = append(out, q.removeEntry(q.deadlines[0]))
 	}
 	return out
 }
 
-// Settle corrects a workspace's virtual time by what a popped item really
-// used. Class is the item's Charged.
+// Settle corrects a workspace's virtual time by the tokens that a popped item
+// actually used. class is the item's Charged.
 func (q *Queue) Settle(ws core.WorkspaceID, class core.Class, charged, used core.Tokens) {
 	charged = min(max(charged, 1), maxCost)
 	used = min(max(used, 0), maxCost)
 	q.levels[min(class, core.Overnight)].correct(ws, used-charged)
 }
 
-// RetryAfter estimates when a refused request of a workspace would find room:
-// the time to serve the workspace's backlog at its share of the present drain.
+// RetryAfter estimates when a refused request of a workspace would find room: the
+// time to serve the workspace's backlog at its share of the current drain rate.
 func (q *Queue) RetryAfter(now core.Instant, ws core.WorkspaceID) time.Duration {
-	o, ok := q.owners[ws]
+	b, ok := q.byWorkspace[ws]
 	if !ok {
 		return q.settings.RetryMin
 	}
-	d := q.drain.timeFor(now, o.queued, q.weights, int64(o.weight))
+	d := q.drain.timeToDrain(now, b.queued, q.totalWeight, int64(b.weight))
 	return min(max(d, q.settings.RetryMin), q.settings.RetryMax)
 }
