--- a/internal/core/dispatch/health/health.go
+++ b/internal/core/dispatch/health/health.go
@@ -1,5 +1,8 @@
-// Package health judges one upstream by its polls (active) and by how requests
-// end there (passive), and lets it take load slowly after a restart.
+// Package health ejects one upstream by its polls (active health check) and by how
+// requests end there (passive), and limits its load after a restart (slow start).
+//
+// Inputs are results of polls and requests, restarts and the time. Polling,
+// detecting restarts and filtering are left to the caller.
 package health
 
 import (
@@ -8,23 +11,24 @@
 	"gentiancroft/internal/core"
 )
 
-// Settings of the judgement. Zero fields take their defaults.
+// Settings are the thresholds and times of a Tracker. Zero fields take their
+// defaults.
 type Settings struct {
-	Failures  int           // polls or requests failed in a row that make a suspect
-	Successes int           // polls in a row that clear one
-	Eject     time.Duration // first time out; doubles with each ejection in a row
-	MaxEject  time.Duration
+	Failures  int           // failed polls or requests in a row that eject the upstream
+	Successes int           // successful polls in a row that end the ejection
+	Eject     time.Duration // first ejection; doubles with each ejection in a row
+	MaxEject  time.Duration // maximum time of one ejection
 	SlowStart time.Duration // from a restart to full load
 }
 
 // Defaults of the settings.
 const (
-	defaultFailures  = 3
-	defaultSuccesses = 2
-	defaultEject     = 5 * time.Second
-	defaultMaxEject  = time.Minute
-	defaultSlowStart = 10 * time.Second
-	minWarmth        = 0.1
+	defaultFailures    = 3
+	defaultSuccesses   = 2
+	defaultEject       = 5 * time.Second
+	defaultMaxEject    = time.Minute
+	defaultSlowStart   = 10 * time.Second
+	minSlowStartWeight = 0.1
 )
 
 func (s Settings) withDefaults() Settings {
@@ -46,34 +50,35 @@
 	return s
 }
 
-// Tracker is the health of one upstream. Whoever filters by it bounds how many
-// may be left out at once.
+// Tracker is the health of one upstream. A caller that filters by it must bound
+// how many upstreams are ejected at once.
 type Tracker struct {
-	settings  Settings
-	failures  int // in a row
-	successes int // polls in a row since the ejection
-	ejections int // in a row
-	suspect   bool
-	until     core.Instant // earliest end of the ejection
-	started   core.Instant
-	starting  bool
+	settings     Settings
+	failures     int // in a row
+	successes    int // polls in a row since the ejection
+	ejections    int // in a row
+	ejected      bool
+	ejectedUntil core.Instant // earliest end of the ejection
+	started      core.Instant // start of the slow start
+	starting     bool         // in slow start
 }
 
-// NewTracker returns the tracker of an upstream that is well and warm.
+// NewTracker returns the tracker of a healthy upstream at full load.
 func NewTracker(s Settings) *Tracker { return &Tracker{settings: s.withDefaults()} }
 
-// Polled records the end of an active probe.
+// Polled records the result of a poll. Enough successes in a row end an ejection
+// once its time has passed.
 func (t *Tracker) Polled(now core.Instant, ok bool) {
 	if !ok {
-		t.failed(now)
+		t.recordFailure(now)
 		return
 	}
-	if !t.suspect {
+	if !t.ejected {
 		t.failures = 0
 		return
 	}
 	t.successes++
-	if t.successes >= t.settings.Successes && !now.Before(t.until) {
+	if t.successes >= t.settings.Successes && !now.Before(t.ejectedUntil) {
 		t.clear(now)
 	}
 }
@@ -81,10 +86,10 @@
 // Served records how a request ended at the upstream.
 func (t *Tracker) Served(now core.Instant, ok bool) {
 	if !ok {
-		t.failed(now)
+		t.recordFailure(now)
 		return
 	}
-	if !t.suspect {
+	if !t.ejected {
 		t.failures = 0
 		t.ejections = 0
 	}
@@ -95,36 +100,36 @@
 	t.started, t.starting = now, true
 }
 
-// Suspect reports whether the upstream should be avoided.
-func (t *Tracker) Suspect() bool { return t.suspect }
+// Suspect reports whether the upstream is ejected.
+func (t *Tracker) Suspect() bool { return t.ejected }
 
-// Warmth is the share of a full load that the upstream may take, in (0, 1].
+// Warmth returns the fraction of a full load that the upstream may get, in (0, 1].
 func (t *Tracker) Warmth(now core.Instant) float64 {
 	if !t.starting {
 		return 1
 	}
-	share := float64(now.Sub(t.started)) / float64(t.settings.SlowStart)
-	if share >= 1 {
+	fraction := float64(now.Sub(t.started)) / float64(t.settings.SlowStart)
+	if fraction >= 1 {
 		t.starting = false
 		return 1
 	}
-	return max(share, minWarmth)
+	return max(fraction, minSlowStartWeight)
 }
 
-func (t *Tracker) failed(now core.Instant) {
+func (t *Tracker) recordFailure(now core.Instant) {
 	t.successes = 0
 	t.failures++
-	if t.suspect || t.failures < t.settings.Failures {
+	if t.ejected || t.failures < t.settings.Failures {
 		return
 	}
-	out := t.settings.Eject << min(t.ejections, 16)
-	t.suspect = true
-	t.until = now.Add(min(out, t.settings.MaxEject))
+	ejection := t.settings.Eject << min(t.ejections, 16)
+	t.ejected = true
+	t.ejectedUntil = now.Add(min(ejection, t.settings.MaxEject))
 	t.ejections++
 }
 
 func (t *Tracker) clear(now core.Instant) {
-	t.suspect = false
+	t.ejected = false
 	t.failures = 0
 	t.successes = 0
 	t.Restarted(now)
--- a/internal/core/dispatch/health/health_test.go
+++ b/internal/core/dispatch/health/health_test.go
@@ -9,7 +9,7 @@
 	"gentiancroft/internal/core"
 )
 
-func TestSuspectAfterFailuresInARowAndClearAfterItsTime(t *testing.T) {
+func TestEjectedAfterFailuresInARowAndClearedAfterItsTime(t *testing.T) {
 	is := is.New(t)
 	h := NewTracker(Settings{})
 	now := core.Instant(0)
@@ -26,11 +26,11 @@
 	is.True(h.Suspect()) // too early
 	h.Polled(now.Add(defaultEject), true)
 	is.True(!h.Suspect())
-	is.True(h.Warmth(now.Add(defaultEject)) < 0.2) // and it starts slowly
+	is.True(h.Warmth(now.Add(defaultEject)) < 0.2) // slow start begins
 	is.Equal(h.Warmth(now.Add(defaultEject+defaultSlowStart)), 1.0)
 }
 
-func TestEjectionsInARowGrowToABound(t *testing.T) {
+func TestEjectionTimeIsBounded(t *testing.T) {
 	is := is.New(t)
 	h := NewTracker(Settings{})
 	now := core.Instant(0)
@@ -39,8 +39,8 @@
 			h.Polled(now, false)
 		}
 		is.True(h.Suspect())
-		is.True(h.until.Sub(now) <= time.Minute)
-		now = h.until
+		is.True(h.ejectedUntil.Sub(now) <= time.Minute)
+		now = h.ejectedUntil
 		h.Polled(now, true)
 		h.Polled(now, true)
 		is.True(!h.Suspect())
--- a/internal/core/dispatch/pick/filter_leaving.go
+++ b/internal/core/dispatch/pick/filter_leaving.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// NotLeaving drops upstreams that take no new work.
+// NotLeaving drops upstreams that accept no new work.
 type NotLeaving struct{}
 
 // Name implements Filter.
--- a/internal/core/dispatch/pick/filter_suspect.go
+++ b/internal/core/dispatch/pick/filter_suspect.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// NotSuspect drops upstreams that are left out for their health. Whoever makes
-// the candidates bounds how much of a pool may be left out at once.
+// NotSuspect drops upstreams that are ejected for their health. The code
+// that builds the candidates must bound the fraction of a pool that is ejected at
+// once.
 type NotSuspect struct{}
 
 // Name implements Filter.
--- a/internal/core/dispatch/pick/pick.go
+++ b/internal/core/dispatch/pick/pick.go
@@ -1,42 +1,46 @@
 // Package pick chooses an upstream for one request: filters drop candidates,
-// scorers rate the rest, and a picker takes one. Each is a file of its own,
-// and every decision carries its reason.
+// scorers rate the rest, and a picker chooses one. Each is a file of its own, and
+// every decision carries its reason.
+//
+// Inputs are the request, the candidates and a random source. Collecting the
+// candidates' load and health, and dispatching, are left to the caller.
 package pick
 
 import "gentiancroft/internal/core"
 
-// Request is what the choice depends on.
+// Request is the input of one choice.
 type Request struct {
-	Prefix uint64 // hash of the prompt's head; 0 for none
+	Prefix uint64 // hash of the start of the prompt; 0: none
 	Class  core.Class
-	Domain core.Domain // of the asking host
-	Avoid  []core.UpstreamID
+	Domain core.Domain       // of the choosing host
+	Avoid  []core.UpstreamID // upstreams on which the request has failed
 }
 
-// Candidate is one upstream as the asking host sees it.
+// Candidate is one upstream as known to the choosing host.
 type Candidate struct {
 	Upstream core.UpstreamID
 	Domain   core.Domain
-	Load     int     // requests running and waiting, the host's own in flight included
-	Batch    int     // requests it runs at once
-	Warmth   float64 // share of a full load it may take, in (0, 1]
-	Suspect  bool
-	Leaving  bool
+	Load     int     // requests running and waiting, including this host's in flight
+	Batch    int     // requests it can run at once
+	Warmth   float64 // slow start: fraction of a full load that it may get, in (0, 1]
+	Suspect  bool    // ejected for its health
+	Leaving  bool    // accepts no new work
 }
 
-// occupancy is the load relative to what the upstream may take now.
+// occupancy returns the load relative to what the upstream may get now.
 func (c *Candidate) occupancy() float64 {
 	room := float64(max(c.Batch, 1)) * c.Warmth
 	return float64(c.Load) / max(room, 1)
 }
 
-// Filter keeps the candidates that may be chosen.
+// Filter drops candidates. Name is the decision's reason if it leaves none; Keep
+// may modify all.
 type Filter interface {
 	Name() string
 	Keep(r *Request, all []Candidate) []Candidate
 }
 
-// Scorer rates a candidate within [0, 1].
+// Scorer rates a candidate within [0, 1]; higher is better.
 type Scorer interface {
 	Name() string
 	Score(r *Request, c *Candidate) float64
@@ -52,7 +56,7 @@
 type Decision struct {
 	Upstream core.UpstreamID
 	OK       bool
-	Reason   string // the filter that left nothing, or the rule that chose
+	Reason   string // the filter that left none, or the rule that chose
 }
 
 // Chooser is a chain of filters, scorers and a picker.
@@ -61,7 +65,7 @@
 	Scorers []Weighted
 }
 
-// Default is the chain that requests go through.
+// Default returns the chain for requests.
 func Default() Chooser {
 	return Chooser{
 		Filters: []Filter{NotTried{}, NotLeaving{}, NotSuspect{}},
@@ -69,7 +73,8 @@
 	}
 }
 
-// Choose picks one of the candidates. It may reorder the slice.
+// Choose picks one of the candidates, or none if the filters leave none. It may
+// reorder the slice.
 func (c Chooser) Choose(r *Request, all []Candidate, rng *core.Rand) Decision {
 	for _, f := range c.Filters {
 		all = f.Keep(r, all)
@@ -77,7 +82,7 @@
 			return Decision{Reason: f.Name()}
 		}
 	}
-	if i, ok := prefixHome(r, all); ok {
+	if i, ok := prefixUpstream(r, all); ok {
 		return Decision{Upstream: all[i].Upstream, OK: true, Reason: "prefix"}
 	}
 	i, reason := twoChoices(all, rng, func(x *Candidate) float64 { return c.score(r, x) })
--- a/internal/core/dispatch/pick/pick_test.go
+++ b/internal/core/dispatch/pick/pick_test.go
@@ -17,7 +17,7 @@
 	return all
 }
 
-func TestFiltersNameWhatLeftNothing(t *testing.T) {
+func TestReasonNamesTheFilterThatLeftNothing(t *testing.T) {
 	is := is.New(t)
 	rng := core.NewRand(1)
 	all := pool(0)
@@ -31,9 +31,9 @@
 	is.Equal(d.Reason, "all_tried")
 }
 
-// TestNoHerd has many hosts choose by the same stale view, in which one
-// upstream looks idle.
-func TestNoHerd(t *testing.T) {
+// TestStaleViewDoesNotOverloadOneUpstream has many hosts choose by the same stale
+// view, in which one upstream looks idle.
+func TestStaleViewDoesNotOverloadOneUpstream(t *testing.T) {
 	is := is.New(t)
 	rng := core.NewRand(1)
 	chosen := map[core.UpstreamID]int{}
@@ -45,7 +45,7 @@
 	is.Equal(len(chosen), upstreams)
 }
 
-func TestPrefixMeetsAtOneUpstreamUntilItIsLoaded(t *testing.T) {
+func TestPrefixGoesToOneUpstreamUntilItIsLoaded(t *testing.T) {
 	is := is.New(t)
 	rng := core.NewRand(1)
 	home := Default().Choose(&Request{Prefix: 7}, pool(1, 1, 1, 1), rng)
--- a/internal/core/dispatch/pick/picker_prefix.go
+++ b/internal/core/dispatch/pick/picker_prefix.go
@@ -6,16 +6,16 @@
 	"gentiancroft/internal/core"
 )
 
-// prefixLoadBound is how far above the candidates' mean occupancy the home of
-// a prefix may be.
-const prefixLoadBound = 1.25
+// maxPrefixOverload is the maximum occupancy of a prefix's upstream relative to
+// the candidates' mean; one request more is allowed.
+const maxPrefixOverload = 1.25
 
-// rendezvousPrefix keeps prefix scores apart from other rendezvous hashes.
-const rendezvousPrefix = 0xf0
+// prefixScoreKind separates prefix scores from other rendezvous hashes.
+const prefixScoreKind = 0xf0
 
-// prefixHome returns the candidate on which requests with the same prompt head
-// meet, unless its load is out of bounds.
-func prefixHome(r *Request, all []Candidate) (int, bool) {
+// prefixUpstream returns the candidate that all requests with the same prompt
+// start prefer for its prefix cache; false if its load is over the bound.
+func prefixUpstream(r *Request, all []Candidate) (int, bool) {
 	if r.Prefix == 0 || len(all) < 2 {
 		return 0, false
 	}
@@ -23,11 +23,11 @@
 	best, top, sum := 0, uint64(0), 0.0
 	for i := range all {
 		sum += all[i].occupancy()
-		s := core.Score(core.HostID(all[i].Upstream), rendezvousPrefix, name)
+		s := core.Score(core.HostID(all[i].Upstream), prefixScoreKind, name)
 		if i == 0 || s > top {
 			best, top = i, s
 		}
 	}
 	slack := 1 / float64(max(all[best].Batch, 1))
-	return best, all[best].occupancy() <= prefixLoadBound*sum/float64(len(all))+slack
+	return best, all[best].occupancy() <= maxPrefixOverload*sum/float64(len(all))+slack
 }
--- a/internal/core/dispatch/pick/picker_two.go
+++ b/internal/core/dispatch/pick/picker_two.go
@@ -2,8 +2,8 @@
 
 import "gentiancroft/internal/core"
 
-// twoChoices takes the better of two random candidates, so that hosts with the
-// same stale view don't all run to the one that looks idlest.
+// twoChoices returns the better of two random candidates, so that hosts with the
+// same stale view don't all choose the one that looks idlest.
 func twoChoices(all []Candidate, rng *core.Rand, score func(*Candidate) float64) (int, string) {
 	if len(all) == 1 {
 		return 0, "only_one"
--- a/internal/core/dispatch/pick/score_locality.go
+++ b/internal/core/dispatch/pick/score_locality.go
@@ -1,6 +1,6 @@
 package pick
 
-// Locality prefers the asking host's own failure domain.
+// Locality prefers the choosing host's own failure domain.
 type Locality struct{}
 
 // Name implements Scorer.
--- a/internal/core/dispatch/pick/score_occupancy.go
+++ b/internal/core/dispatch/pick/score_occupancy.go
@@ -1,7 +1,7 @@
 package pick
 
-// Occupancy prefers the upstream with the most room in its batch. One that has
-// just started counts as smaller than it is until it is warm.
+// Occupancy prefers the upstream with the most room in its batch. During slow
+// start the batch counts as smaller.
 type Occupancy struct{}
 
 // Name implements Scorer.
--- a/internal/core/dispatch/retry/budget.go
+++ b/internal/core/dispatch/retry/budget.go
@@ -1,5 +1,8 @@
-// Package retry bounds how much work retries may add, so that a failing fleet
-// is not driven further down by them.
+// Package retry bounds how much work retries may add, so that they don't overload
+// a failing fleet further.
+//
+// Inputs are first attempts, retries and the time. Whether a request may be retried
+// at all, backoff and the choice of upstream are left to the caller.
 package retry
 
 import (
@@ -8,45 +11,45 @@
 	"gentiancroft/internal/core"
 )
 
-// Settings of a budget. Zero fields take their defaults.
+// Settings are the bounds of a budget. Zero fields take their defaults.
 type Settings struct {
 	Share float64 // retries per first attempt, within [0, 1]
 	Floor float64 // retries per second that are always allowed
-	Burst float64 // most retries saved up
+	Burst float64 // maximum number of unused retries kept
 }
 
 // Defaults of the settings.
 const (
-	defaultShare = 0.1
-	defaultFloor = 1
-	defaultBurst = 10
+	defaultRatio        = 0.1
+	defaultMinPerSecond = 1
+	defaultBurst        = 10
 )
 
-// Budget is one host's allowance of retries.
+// Budget limits one host's retries, as a token bucket.
 type Budget struct {
-	settings Settings
-	saved    float64
-	at       core.Instant
+	settings  Settings
+	balance   float64      // retries that may be made now
+	accruedAt core.Instant // time of the last accrual
 }
 
-// NewBudget returns a budget that holds one second of its floor.
+// NewBudget returns a budget with one second's worth of its floor.
 func NewBudget(s Settings) *Budget {
 	s = s.withDefaults()
-	return &Budget{settings: s, saved: s.Floor}
+	return &Budget{settings: s, balance: s.Floor}
 }
 
-// Adjust changes the settings; what is saved up stays, within the new burst.
+// Adjust changes the settings; unused retries are kept up to the new burst.
 func (b *Budget) Adjust(s Settings) {
 	b.settings = s.withDefaults()
-	b.saved = min(b.saved, b.settings.Burst)
+	b.balance = min(b.balance, b.settings.Burst)
 }
 
 func (s Settings) withDefaults() Settings {
 	if s.Share <= 0 {
-		s.Share = defaultShare
+		s.Share = defaultRatio
 	}
 	if s.Floor <= 0 {
-		s.Floor = defaultFloor
+		s.Floor = defaultMinPerSecond
 	}
 	if s.Burst <= 0 {
 		s.Burst = defaultBurst
@@ -57,29 +60,29 @@
 // First records a first attempt.
 func (b *Budget) First(now core.Instant) {
 	b.accrue(now)
-	b.saved = min(b.saved+b.settings.Share, b.settings.Burst)
+	b.balance = min(b.balance+b.settings.Share, b.settings.Burst)
 }
 
-// Retry takes one retry from the budget and reports whether there was one.
-// Call it only before the first byte has gone to the caller, and only for
-// idempotent work or where the upstream surely did not run the request.
+// Retry takes one retry from the budget and reports whether there was one. Call it
+// only before the first byte has gone to the caller, and only for idempotent work
+// or if the upstream certainly did not run the request.
 func (b *Budget) Retry(now core.Instant) bool {
 	b.accrue(now)
-	if b.saved < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.saved--
+	b.balance--
 	return true
 }
 
-// Left is how many retries may be made now.
+// Left returns how many retries may be made now.
 func (b *Budget) Left(now core.Instant) float64 {
 	b.accrue(now)
-	return b.saved
+	return b.balance
 }
 
 func (b *Budget) accrue(now core.Instant) {
-	passed := max(now.Sub(b.at), 0)
-	b.at = max(b.at, now)
-	b.saved = min(b.saved+b.settings.Floor*float64(passed)/float64(time.Second), b.settings.Burst)
+	passed := max(now.Sub(b.accruedAt), 0)
+	b.accruedAt = max(b.accruedAt, now)
+	b.balance = min(b.balance+b.settings.Floor*float64(passed)/float64(time.Second), b.settings.Burst)
 }
--- a/internal/core/dispatch/retry/budget_test.go
+++ b/internal/core/dispatch/retry/budget_test.go
@@ -9,7 +9,7 @@
 	"gentiancroft/internal/core"
 )
 
-func TestRetriesAreAShareOfFirstAttempts(t *testing.T) {
+func TestRetriesAreAFractionOfFirstAttempts(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(Settings{})
 	now, retries := core.Instant(0), 0
@@ -17,18 +17,18 @@
 	for range seconds {
 		for range perSecond {
 			b.First(now)
-			if b.Retry(now) { // everything fails
+			if b.Retry(now) { // every request fails
 				retries++
 			}
 		}
 		now = now.Add(time.Second)
 	}
-	most := seconds*perSecond*defaultShare + seconds*defaultFloor + defaultBurst
-	is.True(float64(retries) <= most)
+	maxRetries := seconds*perSecond*defaultRatio + seconds*defaultMinPerSecond + defaultBurst
+	is.True(float64(retries) <= maxRetries)
 	is.True(retries >= seconds*perSecond/10)
 }
 
-func TestQuietHostMayStillRetry(t *testing.T) {
+func TestIdleHostMayStillRetry(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(Settings{})
 	is.True(b.Retry(0))
