--- a/internal/core/dispatch/suspect/home.go
+++ b/internal/core/dispatch/suspect/home.go
@@ -99,8 +99,8 @@
 }
 
 // allows bounds the upstreams that a fingerprint can crash: those it has crashed
-// and those it runs on together never exceed the budget. The second home does not
-// know what the first one allowed, so it allows one upstream only.
+// and those it runs on together never exceed the budget. The second home has
+// no record of what the first one allowed, so it allows one upstream only.
 func (r *fingerprintRecord) allows(now core.Instant, c ClaimMessage) bool {
 	if r.crashCount >= Budget {
 		return false
--- a/internal/core/dispatch/suspect/learned.go
+++ b/internal/core/dispatch/suspect/learned.go
@@ -10,9 +10,9 @@
 }
 
 // Learned applies crash counts that other hosts published. The higher serial wins.
-func (m *Machine) Learned(now core.Instant, strikes []Strike) Result {
+func (m *Machine) Learned(now core.Instant, counts []Strike) Result {
 	m.begin(nil)
-	for _, s := range strikes {
+	for _, s := range counts {
 		m.mergeCount(now, s)
 		if r := m.records[s.Fingerprint]; r != nil && s.Serial > r.serial {
 			r.crashCount, r.serial, r.lastCrash = s.Count, s.Serial, now
@@ -24,15 +24,15 @@
 // mergeCount stores a published count unless a newer one is stored. Serial 0
 // always replaces the count and keeps the stored serial.
 func (m *Machine) mergeCount(now core.Instant, s Strike) {
-	old, known := m.learned[s.Fingerprint]
-	if known && s.Serial != 0 && s.Serial <= old.serial {
+	old, stored := m.learned[s.Fingerprint]
+	if stored && s.Serial != 0 && s.Serial <= old.serial {
 		return
 	}
 	ttl := suspicionTTL
 	if s.Count >= Budget {
 		ttl = ConvictionTerm
 	}
-	if !known {
+	if !stored {
 		m.learnedOrder = append(m.learnedOrder, s.Fingerprint)
 	}
 	m.learned[s.Fingerprint] = learnedCount{count: s.Count, serial: max(s.Serial, old.serial), until: now.Add(ttl)}
--- a/internal/core/dispatch/suspect/suspect.go
+++ b/internal/core/dispatch/suspect/suspect.go
@@ -218,9 +218,9 @@
 	c.due = now.Add(abortedClaimTTL)
 }
 
-// Died reports an upstream's crash with the fingerprints that were running on it,
-// as far as this host knows beyond its own claims. Of its own, those aborted
-// shortly before are reported here, the others by their release.
+// Died reports an upstream's crash and the fingerprints that ran on it without a
+// claim of this host. Of this host's claims, those aborted shortly before are
+// reported here, the others by their release.
 func (m *Machine) Died(now core.Instant, own core.Ownership, u core.UpstreamID, fingerprints []uint64) Result {
 	m.begin(own)
 	for _, id := range m.claimOrder {
