--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -19,7 +19,7 @@
 	Enqueued  core.Instant // zero: when it was pushed
 	Deadline  core.Instant // zero: none
 	// Charged is the class whose share paid for the item; ageing may have raised
-	// it. Pop sets it, and Settle needs it.
+	// it. Pop sets it; it is needed again to correct the charge.
 	Charged core.Class
 }
 
@@ -237,7 +237,7 @@
 }
 
 // Settle corrects a workspace's virtual time by the tokens that a popped item
-// actually used. class is the item's Charged.
+// actually used. class is the one that Pop reported as charged.
 func (q *Queue) Settle(ws core.WorkspaceID, class core.Class, charged, used core.Tokens) {
 	charged = min(max(charged, 1), maxCost)
 	used = min(max(used, 0), maxCost)
--- a/internal/core/dispatch/once/expiry.go
+++ b/internal/core/dispatch/once/expiry.go
@@ -8,12 +8,11 @@
 	"gentiancroft/internal/core"
 )
 
-// Expiry does not depend on synchronized clocks: the object under MarkKey holds
-// the store's versions at successive epochs. The collector adds an epoch only
-// after it has itself seen that object unchanged for EpochTerm, so that Retention
-// epochs last at least Retention x EpochTerm, whichever host collects. A record
-// whose version is below the oldest epoch's has not been written for that long and
-// is deleted.
+// Expiry does not depend on synchronized clocks: one object holds the store's
+// versions at successive epochs. The collector adds an epoch only after it has
+// itself seen that object unchanged for the full duration, so that no epoch is
+// shorter, whichever host collects. A record whose version is below the oldest
+// epoch's has not been written for the whole retention and is deleted.
 const (
 	MarkKey   = "once/marks"
 	EpochTerm = time.Hour
--- a/internal/core/dispatch/once/record.go
+++ b/internal/core/dispatch/once/record.go
@@ -14,8 +14,8 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("once")
 
-// Prefix is the object key prefix of records. A record's key is Prefix, its bucket
-// in two hex digits, "/" and the hash of workspace and idempotency key.
+// Prefix is the object key prefix of records. A record's key is this prefix, its
+// bucket in two hex digits, "/" and the hash of workspace and idempotency key.
 const Prefix = "once/record/"
 
 // phase is the progress of a recorded request.
