--- a/internal/core/direct/active.go
+++ b/internal/core/direct/active.go
@@ -8,30 +8,33 @@
 )
 
 const (
-	// requestCost is what a request a second takes of a core, streams included.
-	requestCost = 0.0025
-	// headroom is how much of the load's own need the active hosts carry.
-	headroom = 1.6
-	// spareMost is the part of the active hosts' capacity that may be idle before
-	// hosts stand by again: each that does loses its callers' connections.
-	spareMost = 0.3
+	// coreSecondsPerRequest is the CPU time that a host spends on a request, streams
+	// included.
+	coreSecondsPerRequest = 0.0025
+	// headroomFactor is the capacity of the active hosts relative to what the load
+	// needs.
+	headroomFactor = 1.6
+	// maxSpareFraction is the fraction of the required capacity that may be idle before
+	// active hosts become standby hosts again. Each that does loses its callers'
+	// connections.
+	maxSpareFraction = 0.3
 )
 
-// selectActive chooses the active hosts for the requests that the fleet gets now.
+// selectActive chooses the active hosts for the present request rate of the fleet.
 func (m *Machine) selectActive() {
 	rate := float64(m.arrivalRate())
-	for h, b := range m.gossip.known {
+	for h, b := range m.gossip.latest {
 		if m.fleet.Alive(m.now, h) {
 			rate += float64(b.Rate)
 		}
 	}
-	want := max(rate*requestCost*headroom, fleet.NeedLeast)
-	if want > m.need || want < m.need*(1-spareMost) {
-		m.need = want
+	required := max(rate*coreSecondsPerRequest*headroomFactor, fleet.NeedLeast)
+	if required > m.requiredCores || required < m.requiredCores*(1-maxSpareFraction) {
+		m.requiredCores = required
 	}
-	was := m.fleet.Active()
-	m.fleet.Select(m.now, m.need)
-	if m.fleet.Active() == was {
+	wasActive := m.fleet.Active()
+	m.fleet.Select(m.now, m.requiredCores)
+	if m.fleet.Active() == wasActive {
 		return
 	}
 	m.due.heartbeat = 0
@@ -39,13 +42,13 @@
 	if m.fleet.Active() {
 		reason = "active"
 	}
-	m.emit(Note{Name: "fleet", Reason: reason, Detail: utoa(uint64(len(m.fleet.Members(m.now)))) + " active hosts heard"})
+	m.emit(Note{Name: "fleet", Reason: reason, Detail: utoa(uint64(len(m.fleet.Members(m.now)))) + " active hosts reachable"})
 }
 
-// arrivalsHalf is after how long a request counts half in the rate of arrivals.
-const arrivalsHalf = 2079 * time.Millisecond
+// arrivalHalfLife is the half-life of a request in the arrival rate.
+const arrivalHalfLife = 2079 * time.Millisecond
 
-// arrivalRate is the requests a second that this host gets, as the last seconds show.
+// arrivalRate returns the requests per second that have arrived at this host lately.
 func (m *Machine) arrivalRate() float32 {
-	return float32(m.arrivals.Now(m.now, arrivalsHalf) * math.Ln2 / arrivalsHalf.Seconds())
+	return float32(m.arrivals.Now(m.now, arrivalHalfLife) * math.Ln2 / arrivalHalfLife.Seconds())
 }
--- a/internal/core/direct/admit.go
+++ b/internal/core/direct/admit.go
@@ -8,18 +8,19 @@
 	"gentiancroft/internal/core/table"
 )
 
-// When a refused caller should come back.
+// Retry-after times of refused requests.
 const (
-	retryStarting = 500 * time.Millisecond
-	retryLeaving  = 50 * time.Millisecond // at another host
-	retrySuspect  = 2 * time.Second
-	retryNoRoom   = 400 * time.Millisecond
-	retryUnowned  = time.Second
+	retryAfterStarting  = 500 * time.Millisecond
+	retryAfterLeaving   = 50 * time.Millisecond // the caller retries at another host
+	retryAfterSuspect   = 2 * time.Second
+	retryAfterSaturated = 400 * time.Millisecond
+	retryAfterUnowned   = time.Second
 )
 
-// arrive checks a request against the configuration in force and begins it.
-func (m *Machine) arrive(e Arrive) {
-	m.arrivals.Add(m.now, 1, arrivalsHalf)
+// handleArrival checks a request against the configuration in force and places it on
+// a replica or refuses it.
+func (m *Machine) handleArrival(e Arrive) {
+	m.arrivals.Add(m.now, 1, arrivalHalfLife)
 	r, refusal := m.admit(e)
 	if refusal != nil {
 		m.emit(Note{Name: "admission", Reason: string(refusal.Code), ID: e.ID, Detail: refusal.Message + "; " + e.Path + " under version " + utoa(m.configVersion())})
@@ -37,48 +38,50 @@
 }
 
 func (m *Machine) admit(e Arrive) (*request, *core.Refusal) {
-	if !m.informed() {
-		return nil, core.Refuse(core.CodeCutOff, retryStarting, "this host has no configuration yet")
+	if !m.initialized() {
+		return nil, core.Refuse(core.CodeCutOff, retryAfterStarting, "this host has no configuration yet")
 	}
 	route := m.table.Route(e.Host, e.Path)
 	if route == nil {
 		return nil, core.Refuse(core.CodeUnknownRoute, 0, "no route for this host and path")
 	}
-	if m.closedTo(route) {
-		return nil, core.Refuse(core.CodeLeaving, retryLeaving, "this host is leaving; ask for addresses again")
+	if m.rejectsRoute(route) {
+		return nil, core.Refuse(core.CodeLeaving, retryAfterLeaving, "this host is leaving; ask for addresses again")
 	}
-	r := &request{arrive: e, route: route, came: m.now, last: e.LastEvent}
+	r := &request{arrival: e, route: route, arrivedAt: m.now, lastEvent: e.LastEvent}
 	if refusal := m.authorize(r); refusal != nil {
 		return nil, refusal
 	}
 	r.service = m.table.Services[route.Target(e.Spread)]
 	if r.service == nil {
-		return nil, core.Refuse(core.CodeNoUpstream, retryNoRoom, "the route leads to no service")
+		return nil, core.Refuse(core.CodeNoUpstream, retryAfterSaturated, "the route leads to no service")
 	}
-	if m.suspected(e.Fingerprint) {
-		return nil, core.Refuse(core.CodeOverloaded, retrySuspect, "replicas were lost while they ran this request")
+	if m.isSuspect(e.Fingerprint) {
+		return nil, core.Refuse(core.CodeOverloaded, retryAfterSuspect, "replicas were lost while they ran this request")
 	}
-	r.deadline = m.now.Add(r.patience())
+	r.deadline = m.now.Add(r.timeout())
 	return r, m.charge(r)
 }
 
-// closedTo reports whether a leaving host takes no more requests of a route.
-// Streams are closed to earlier: they must end before the host does.
-func (m *Machine) closedTo(route *table.Route) bool {
-	if m.leaving == 0 {
+// rejectsRoute reports whether a leaving host takes no more requests of a route.
+// Streams are rejected earlier than other requests: they must end before the host
+// does.
+func (m *Machine) rejectsRoute(route *table.Route) bool {
+	if m.leavingSince == 0 {
 		return false
 	}
 	after := m.settings.LeaveAfter
 	if route.Kind == table.Streaming {
 		after = m.settings.LeaveStreams
 	}
-	return m.now.Sub(m.leaving) > after
+	return m.now.Sub(m.leavingSince) > after
 }
 
-// patience is how long the request may take at most.
-func (r *request) patience() time.Duration {
+// timeout returns the maximum duration of the request: the lower one of the caller's
+// and the route's.
+func (r *request) timeout() time.Duration {
 	const unbounded = 10 * time.Minute
-	d := r.arrive.Patience
+	d := r.arrival.Patience
 	if d <= 0 {
 		d = unbounded
 	}
@@ -88,14 +91,14 @@
 	return d
 }
 
-// authorize finds the workspace that a request runs for. Keeps: but on open
+// authorize sets the workspace that a request runs for. Invariant: except on open
 // routes, a request runs only for the workspace of its key.
 func (m *Machine) authorize(r *request) *core.Refusal {
 	if !m.table.Keyed || r.route.Open {
 		return nil
 	}
-	if r.arrive.HasKey {
-		r.workspace = m.table.Keys[r.arrive.Key]
+	if r.arrival.HasKey {
+		r.workspace = m.table.Keys[r.arrival.Key]
 	}
 	if r.workspace == nil {
 		return core.Refuse(core.CodeNoKey, 0, "the key is missing or not valid")
@@ -103,16 +106,16 @@
 	return nil
 }
 
-// charge takes the request's tokens from its workspace's rate.
+// charge takes the request's tokens from its workspace's bucket.
 func (m *Machine) charge(r *request) *core.Refusal {
 	if r.workspace == nil {
 		return nil
 	}
-	r.cost = cost(r.workspace, r.arrive.Tokens)
+	r.cost = cost(r.workspace, r.arrival.Tokens)
 	ok, retryAfter := m.quota.Take(m.now, r.workspace.ID, r.cost)
 	if !ok {
-		level, part := m.quota.Level(m.now, r.workspace.ID)
-		return core.Refuse(core.CodeRateLimited, retryAfter, fmt.Sprintf("workspace %s is over its rate: %d tokens left, %.2f of the fleet heard", r.workspace.ID, level, part))
+		level, reachable := m.quota.Level(m.now, r.workspace.ID)
+		return core.Refuse(core.CodeRateLimited, retryAfter, fmt.Sprintf("workspace %s is over its rate: %d tokens left, %.2f of the fleet reachable", r.workspace.ID, level, reachable))
 	}
 	return nil
 }
@@ -124,7 +127,7 @@
 	return w.Plain
 }
 
-// refund gives the tokens of a request back that surely has not run.
+// refund returns the tokens of a request that has not run.
 func (m *Machine) refund(r *request) {
 	if r.workspace != nil && r.cost > 0 {
 		m.quota.Return(m.now, r.workspace.ID, r.cost)
--- a/internal/core/direct/bench_test.go
+++ b/internal/core/direct/bench_test.go
@@ -12,9 +12,8 @@
 	"gentiancroft/internal/core/replicas"
 )
 
-// BenchmarkHost measures what one host does in a second of a fleet of a size:
-// heartbeats of the others as they reach it, ticks, and its share of the requests,
-// if it is active.
+// BenchmarkHost measures the work of one host in a second of a fleet of a size:
+// received heartbeats, ticks, and its share of the requests if it is active.
 func BenchmarkHost(b *testing.B) {
 	for _, hosts := range []int{8, 75, 350} {
 		b.Run(fmt.Sprintf("active-%d", hosts), func(b *testing.B) { benchmarkHost(b, hosts, 2) })
@@ -63,10 +62,10 @@
 	for range b.N {
 		for tick := range 50 {
 			now = now.Add(20 * time.Millisecond)
-			if tick%10 == 0 { // the active hosts tell this one five times a second
+			if tick%10 == 0 { // the active hosts send to this one five times a second
 				n++
 				for i := range heartbeats {
-					if !hears(m, heartbeats[i].Host, i, tick) {
+					if !heartbeatArrives(m, heartbeats[i].Host, i, tick) {
 						continue
 					}
 					heartbeats[i].Number = n
@@ -85,10 +84,10 @@
 	b.ReportMetric(float64(bytes)/float64(b.N), "sent-B/s")
 }
 
-// hears reports whether a host's heartbeat reaches another one at a tick: those of
-// active hosts five times a second, or twice through others; those of hosts that stand
-// by once, at two active hosts.
-func hears(m *Machine, from core.HostID, i, tick int) bool {
+// heartbeatArrives reports whether a host's heartbeat reaches this one at a tick:
+// those of active hosts five times a second, or twice if relayed; those of standby
+// hosts once, at two active hosts.
+func heartbeatArrives(m *Machine, from core.HostID, i, tick int) bool {
 	switch {
 	case m.fleet.IsActive(from) && m.fleet.Active():
 		return true
--- a/internal/core/direct/crashes.go
+++ b/internal/core/direct/crashes.go
@@ -9,126 +9,131 @@
 
 // Bounds on requests that seem to crash the replicas that run them.
 const (
-	crashesMost  = 3                // replicas lost to one request before it is refused
-	crashMemory  = 90 * time.Second // how long a loss counts
-	crashRecords = 512              // fingerprints that are remembered at most
+	maxCrashes      = 3                // crashes after which a request is refused
+	crashRetention  = 90 * time.Second // how long a crash counts
+	maxCrashRecords = 512              // request fingerprints with a record
 )
 
-// crash is what is known of one request's fingerprint.
-type crash struct {
-	mine   int                 // replicas that this host has seen lost
-	others map[core.HostID]int // that others have
-	at     core.Instant        // of the last loss
+// crashRecord counts the replicas that crashed while they ran requests of one
+// fingerprint.
+type crashRecord struct {
+	own       int                 // crashes that this host observed
+	byPeer    map[core.HostID]int // crashes that other hosts reported
+	lastCrash core.Instant        // time of the last crash
 }
 
-func (c *crash) total() int {
-	n := c.mine
-	for _, k := range c.others {
+func (c *crashRecord) total() int {
+	n := c.own
+	for _, k := range c.byPeer {
 		n += k
 	}
 	return n
 }
 
-// suspected reports whether a request has cost so many replicas that it is not
+// isSuspect reports whether a request has crashed so many replicas that it is not
 // sent to another one.
-func (m *Machine) suspected(fingerprint uint64) bool {
+func (m *Machine) isSuspect(fingerprint uint64) bool {
 	c := m.crashes[fingerprint]
-	return c != nil && m.now.Sub(c.at) < crashMemory && c.total() >= crashesMost
+	return c != nil && m.now.Sub(c.lastCrash) < crashRetention && c.total() >= maxCrashes
 }
 
-// crashed notes that a replica let go of a request while it ran it.
-func (m *Machine) crashed(fingerprint uint64) {
-	c := m.crashOf(fingerprint)
-	c.mine++
-	c.at = m.now
+// recordCrash counts a replica that closed the connection of a request before it
+// answered.
+func (m *Machine) recordCrash(fingerprint uint64) {
+	c := m.crashRecordFor(fingerprint)
+	c.own++
+	c.lastCrash = m.now
 }
 
-func (m *Machine) crashOf(fingerprint uint64) *crash {
+func (m *Machine) crashRecordFor(fingerprint uint64) *crashRecord {
 	c := m.crashes[fingerprint]
 	if c == nil {
-		if len(m.crashes) >= crashRecords {
-			m.forgetCrashes()
+		if len(m.crashes) >= maxCrashRecords {
+			m.evictCrashRecords()
 		}
-		c = &crash{others: map[core.HostID]int{}}
+		c = &crashRecord{byPeer: map[core.HostID]int{}}
 		m.crashes[fingerprint] = c
 	}
 	return c
 }
 
-// forgetCrashes drops the records that are old, and the oldest in any case.
-func (m *Machine) forgetCrashes() {
+// evictCrashRecords removes the expired records, and the oldest one if the limit is
+// still reached.
+func (m *Machine) evictCrashRecords() {
 	var oldest uint64
 	for f, c := range m.crashes {
-		if m.now.Sub(c.at) >= crashMemory {
+		if m.now.Sub(c.lastCrash) >= crashRetention {
 			delete(m.crashes, f)
 			continue
 		}
-		if o := m.crashes[oldest]; o == nil || c.at < o.at || c.at == o.at && f < oldest {
+		if o := m.crashes[oldest]; o == nil || c.lastCrash < o.lastCrash || c.lastCrash == o.lastCrash && f < oldest {
 			oldest = f
 		}
 	}
-	if len(m.crashes) >= crashRecords {
+	if len(m.crashes) >= maxCrashRecords {
 		delete(m.crashes, oldest)
 	}
 }
 
-// heardCrashes takes what another host has seen.
-func (m *Machine) heardCrashes(from core.HostID, seen map[uint64]uint8) {
+// applyPeerCrashes applies the crash counts that another host reported.
+func (m *Machine) applyPeerCrashes(from core.HostID, seen map[uint64]uint8) {
 	for f, n := range seen {
-		c := m.crashOf(f)
-		if c.others[from] < int(n) {
-			c.others[from] = int(n)
-			c.at = m.now
+		c := m.crashRecordFor(f)
+		if c.byPeer[from] < int(n) {
+			c.byPeer[from] = int(n)
+			c.lastCrash = m.now
 		}
 	}
 }
 
-// ownCrashes are this host's recent losses, for the others.
+// ownCrashes returns the crashes that this host observed lately, by fingerprint, for
+// the other hosts.
 func (m *Machine) ownCrashes() map[uint64]uint8 {
 	var seen map[uint64]uint8
 	for f, c := range m.crashes {
-		if c.mine == 0 || m.now.Sub(c.at) >= crashTold {
+		if c.own == 0 || m.now.Sub(c.lastCrash) >= crashReportTTL {
 			continue
 		}
 		if seen == nil {
 			seen = map[uint64]uint8{}
 		}
-		seen[f] = uint8(min(c.mine, math.MaxUint8))
+		seen[f] = uint8(min(c.own, math.MaxUint8))
 	}
 	return seen
 }
 
-// crashTold is how long a loss is told to the other hosts.
-const crashTold = 2 * time.Second
+// crashReportTTL is how long after the last crash a count is sent to the other
+// hosts.
+const crashReportTTL = 2 * time.Second
 
-// failureHalf is how long it takes until a failure counts half.
-const failureHalf = 3 * time.Second
+// failureHalfLife is the half-life of a failure in a replica's failure score.
+const failureHalfLife = 3 * time.Second
 
-// failuresMost bounds how much failures at one replica can add up to.
-const failuresMost = 8
+// maxFailureScore bounds the sum of the failures of one replica.
+const maxFailureScore = 8
 
-// failed notes a failure at a replica.
-func (m *Machine) failed(id core.UpstreamID, weight float64) {
+// recordFailure adds a failure to a replica's failure score.
+func (m *Machine) recordFailure(id core.UpstreamID, weight float64) {
 	d := m.failures[id]
 	if d == nil {
 		d = &core.Decaying{}
 		m.failures[id] = d
 	}
-	d.Add(m.now, weight, failureHalf)
-	d.Value = min(d.Value, failuresMost)
+	d.Add(m.now, weight, failureHalfLife)
+	d.Value = min(d.Value, maxFailureScore)
 }
 
-// worked notes a success at a replica: it halves what failures have added up to.
-func (m *Machine) worked(id core.UpstreamID) {
+// recordSuccess halves a replica's failure score.
+func (m *Machine) recordSuccess(id core.UpstreamID) {
 	if d := m.failures[id]; d != nil {
-		d.Value = d.Now(m.now, failureHalf) / 2
+		d.Value = d.Now(m.now, failureHalfLife) / 2
 		d.At = m.now
 	}
 }
 
-func (m *Machine) failureOf(id core.UpstreamID) float64 {
+func (m *Machine) failureScore(id core.UpstreamID) float64 {
 	if d := m.failures[id]; d != nil {
-		return d.Now(m.now, failureHalf)
+		return d.Now(m.now, failureHalfLife)
 	}
 	return 0
 }
--- a/internal/core/direct/events.go
+++ b/internal/core/direct/events.go
@@ -1,8 +1,14 @@
-// Package direct composes the decisions of a host that sends requests to
-// replicas on its own: no other host and no store is asked before a request is
-// sent. What hosts tell each other makes the decisions better, never possible.
+// Package direct is the state machine of a host that relays requests. It decides
+// which requests are admitted, which replica runs each and when one is retried;
+// which adapters are loaded on the replicas whose shards this host owns; and what is
+// sent to the other hosts and to the store. It composes fleet, replicas, quota,
+// shard, residency and table.
 //
-// Events go in, effects come out; the package does no I/O and reads no clock.
+// No other host and no store is consulted before a request is sent: messages of
+// other hosts improve the decisions but are never required for them.
+//
+// Its inputs are events, each with the present time; its outputs are effects, which
+// the caller carries out. The package does no I/O and reads no clock.
 package direct
 
 import (
@@ -15,118 +21,120 @@
 	"gentiancroft/internal/core/table"
 )
 
-// Event is something that happened outside the machine.
+// Event is an input of the machine.
 type Event interface{ isEvent() }
 
-// Arrive is a caller's request, read whole and bounded.
+// Arrive is a caller's request, read to its end and within the size limits.
 type Arrive struct {
-	ID          core.RequestID // of this host's own making, unique to it
+	ID          core.RequestID // chosen by this host, unique on it
 	Host        string
 	Path        string // without the query
 	Key         table.KeyHash
 	HasKey      bool
 	Model       core.BaseModel // "" for a plain service
-	Adapter     core.AdapterID // "" for the model itself
+	Adapter     core.AdapterID // "" for the base model itself
 	Tokens      core.Tokens    // declared by the caller; 0: none
-	Patience    time.Duration  // how long the caller waits; 0: it did not say
+	Patience    time.Duration  // the caller's timeout; 0: none given
 	Fingerprint uint64         // hash of what a replica would run
-	Spread      uint64         // even over all requests: deals them to a route's services
-	LastEvent   string         // the stream goes on after it
+	Spread      uint64         // uniform over all requests: selects one of the route's services by weight
+	LastEvent   string         // the stream resumes after it
 }
 
-// Gone says that the caller hung up.
+// Gone is sent when the caller has hung up.
 type Gone struct{ ID core.RequestID }
 
-// Begun says that a replica's answer to an attempt has begun.
+// Begun is sent when a replica starts to answer an attempt.
 type Begun struct {
 	ID      core.RequestID
 	Attempt int
-	Passed  bool // and the caller has been sent a part of it
+	Passed  bool // a part of the answer has been sent to the caller
 }
 
 // EndKind is how an attempt ended.
 type EndKind uint8
 
-// Ends of an attempt.
+// Kinds of the end of an attempt.
 const (
-	EndOK         EndKind = iota + 1 // a whole success, passed on or about to be
+	EndOK         EndKind = iota + 1 // complete success, passed on or about to be
 	EndNotReached                    // nothing was sent
-	EndNotRun                        // the replica says that it did not run the request
-	EndMissing                       // the same: it lacks the adapter, or is another replica
-	EndError                         // the replica's own whole failure
-	EndBroken                        // sent, and no whole answer came
+	EndNotRun                        // the replica answered that it did not run the request
+	EndMissing                       // the same, because it lacks the adapter or is another replica
+	EndError                         // complete answer with a failure of the replica
+	EndBroken                        // sent, but no complete answer came
 	EndCancelled                     // ended by this host
 )
 
-// Ended says that an attempt is over.
+// Ended is sent when an attempt has ended.
 type Ended struct {
 	ID         core.RequestID
 	Attempt    int
 	Kind       EndKind
-	Dropped    bool          // the replica let go of the connection before it answered
-	LastEvent  string        // last event that the caller has been sent
-	RetryAfter time.Duration // as the replica said; 0: it did not
+	Dropped    bool          // the replica closed the connection before it answered
+	LastEvent  string        // last event that was sent to the caller
+	RetryAfter time.Duration // as given by the replica; 0: none
 }
 
 // Configured is a version of the configuration.
 type Configured struct {
 	Table    *table.Table
-	Document []byte // as the store has it; nil where another host has told it
+	Document []byte // as in the store; nil where another host sent it
 }
 
-// ReplicasListed is the platform's whole list of replicas.
+// ReplicasListed is the platform's complete list of replicas.
 type ReplicasListed struct{ Entries []replicas.Entry }
 
-// ReplicaListed is one entry of the list that has changed.
+// ReplicaListed is a new or changed entry of the list of replicas.
 type ReplicaListed struct{ Entry replicas.Entry }
 
-// ReplicaUnlisted says that an entry is gone from the list.
+// ReplicaUnlisted is sent when an entry has been removed from the list of replicas.
 type ReplicaUnlisted struct{ ID core.UpstreamID }
 
-// VersionNamed says that a version of an adapter has been named its newest.
+// VersionNamed is sent when a version of an adapter has been announced as its
+// newest.
 type VersionNamed struct {
 	Model   core.BaseModel
 	Adapter core.AdapterRef
-	Listed  bool // it may have been named long ago: it was found in a list
+	Listed  bool // read from a list: it may have been announced long ago
 }
 
-// VersionsRead says that the list of the adapters' newest versions has been told.
+// VersionsRead is sent when the whole list of the adapters' newest versions has been
+// passed on.
 type VersionsRead struct{}
 
-// HostListed is one registration, as its host wrote itself.
+// HostListed is a registration as its host has written it.
 type HostListed struct{ Host fleet.Registration }
 
-// HostUnlisted says that a registration is gone.
+// HostUnlisted is sent when a registration has been removed.
 type HostUnlisted struct{ Name string }
 
 // LeasesListed is the list of the shards' leases.
 type LeasesListed struct{ Objects []core.Object }
 
-// StoreLost says that a call to the store failed or was refused.
+// StoreLost is sent when a call to the store has failed or was refused.
 type StoreLost struct{}
 
-// StoreReached says that the store answered.
+// StoreReached is sent when the store has answered.
 type StoreReached struct{}
 
-// ObjectDone is the end of a write that the machine wanted.
+// ObjectDone is the result of a write to the store.
 type ObjectDone struct{ Result core.ObjectResult }
 
-// OrderDone is the end of an order.
+// OrderDone is the result of an order to a replica.
 type OrderDone struct{ residency.OrderDone }
 
 // Reported is a replica's report.
 type Reported struct{ residency.Report }
 
-// FromPeer is a message of another host.
+// FromPeer is a message from another host.
 type FromPeer struct {
 	From    core.HostID
 	Message Message
 }
 
-// Tick says that time has passed.
+// Tick is sent at a regular interval; timeouts are checked at it.
 type Tick struct{}
 
-// Tuned changes settings of a running host; zero fields take their defaults.
+// Tuned changes settings at run time; zero fields take their defaults.
 type Tuned struct {
 	RetryShare   float64
 	RetrySlack   float64
@@ -134,7 +142,7 @@
 	VersionGrace time.Duration
 }
 
-// Leave begins a graceful shutdown.
+// Leave starts a graceful shutdown.
 type Leave struct{}
 
 func (Arrive) isEvent()          {}
@@ -160,22 +168,22 @@
 func (Leave) isEvent()           {}
 func (Tuned) isEvent()           {}
 
-// Message is what hosts tell each other. It may be lost, doubled or late.
+// Message is what hosts send to each other. It may be lost, duplicated or late.
 type Message struct {
-	Heartbeats  []Heartbeat          `cbor:"1,keyasint,omitempty"` // the sender's own first, then those of others
+	Heartbeats  []Heartbeat          `cbor:"1,keyasint,omitempty"` // the sender's own first, then those of other hosts
 	Demands     []residency.Demand   `cbor:"2,keyasint,omitempty"`
 	Residencies []replicas.Residency `cbor:"3,keyasint,omitempty"`
 	Uses        []residency.Use      `cbor:"4,keyasint,omitempty"`
-	Replicas    []replicas.Entry     `cbor:"5,keyasint,omitempty"` // entries of the platform's list that have changed
-	Gone        []core.UpstreamID    `cbor:"6,keyasint,omitempty"` // entries that it lacks now
+	Replicas    []replicas.Entry     `cbor:"5,keyasint,omitempty"` // new or changed entries of the platform's list
+	Gone        []core.UpstreamID    `cbor:"6,keyasint,omitempty"` // removed entries
 
-	Configuration []byte               `cbor:"7,keyasint,omitempty"`  // as the store has it
-	Newer         uint64               `cbor:"8,keyasint,omitempty"`  // version of a configuration too long to be told: to be read from the store
+	Configuration []byte               `cbor:"7,keyasint,omitempty"`  // as in the store
+	Newer         uint64               `cbor:"8,keyasint,omitempty"`  // version of a configuration that is too long for a message: to be read from the store
 	Versions      []VersionNamed       `cbor:"9,keyasint,omitempty"`  // adapters' newest versions that have changed
 	Hosts         []fleet.Registration `cbor:"10,keyasint,omitempty"` // registrations that have changed
 }
 
-// Heartbeat is what a host tells all others regularly.
+// Heartbeat is the state that a host sends to other hosts at regular intervals.
 type Heartbeat struct {
 	Host     core.HostID      `cbor:"1,keyasint"`
 	Number   uint64           `cbor:"2,keyasint"` // rises with each heartbeat of the host
@@ -184,13 +192,13 @@
 	Uptime   time.Duration    `cbor:"5,keyasint,omitempty"`
 	Spent    map[uint32]int64 `cbor:"6,keyasint,omitempty"` // tokens admitted since the start, by core.Short of the workspace
 	Loads    []Load           `cbor:"7,keyasint,omitempty"`
-	Crashes  map[uint64]uint8 `cbor:"8,keyasint,omitempty"`  // replicas lost, by request fingerprint
+	Crashes  map[uint64]uint8 `cbor:"8,keyasint,omitempty"`  // replicas crashed, by request fingerprint
 	Config   uint64           `cbor:"9,keyasint,omitempty"`  // version of the configuration in force
 	Versions uint64           `cbor:"10,keyasint,omitempty"` // sum of the adapters' newest versions
-	Watches  bool             `cbor:"11,keyasint,omitempty"` // it watches the list of replicas, and the store answers it
-	List     uint64           `cbor:"12,keyasint,omitempty"` // digest of its list of replicas
-	Hears    []uint32         `cbor:"13,keyasint,omitempty"` // hosts that stand by and have told it that they are ready, by core.Short of the name
-	Rate     float32          `cbor:"14,keyasint,omitempty"` // requests a second that it gets
+	Watches  bool             `cbor:"11,keyasint,omitempty"` // the host watches the store, and the store answers it
+	List     uint64           `cbor:"12,keyasint,omitempty"` // digest of its lists of replicas and hosts
+	Hears    []uint32         `cbor:"13,keyasint,omitempty"` // ready standby hosts that report to it, in every relaysPerCensus-th relay all reachable ones; by core.Short of the name
+	Rate     float32          `cbor:"14,keyasint,omitempty"` // requests per second that arrive at it
 }
 
 // Load is how many requests a host has at a replica.
@@ -200,7 +208,7 @@
 	Running int
 }
 
-// Effect is something that the machine wants done.
+// Effect is an output of the machine, to be carried out by its caller.
 type Effect interface{ isEffect() }
 
 // Dispatch sends an attempt of a request to a replica.
@@ -211,69 +219,70 @@
 	Address   string
 	Workspace core.WorkspaceID
 	Left      time.Duration // until the request's deadline
-	Version   int           // of the adapter that it must run on; 0: any
-	LastEvent string        // the stream goes on after it
+	Version   int           // adapter version that the replica must confirm; 0: any
+	LastEvent string        // the stream resumes after it
 	Once      bool          // the request must not run twice
-	Priority  int           // of the request among those that wait at the replica; 0 is the most urgent
+	Priority  int           // among the requests that wait at the replica; 0 is the most urgent
 }
 
 // Cancel ends an attempt at its replica.
 type Cancel struct {
 	ID      core.RequestID
 	Attempt int
-	Unbegun bool // only if its answer has not begun yet
+	Unbegun bool // only if its answer has not started yet
 }
 
-// Refuse is the final answer of a request of which the caller has seen nothing.
+// Refuse is the final answer to a request whose caller has received nothing yet.
 type Refuse struct {
 	ID      core.RequestID
 	Refusal *core.Refusal
 }
 
-// Deliver passes on the failure that a replica answered with.
+// Deliver passes the replica's failure answer on to the caller.
 type Deliver struct{ ID core.RequestID }
 
-// Cut ends an answer that can't be completed.
+// Cut breaks off an answer that can't be completed.
 type Cut struct {
 	ID      core.RequestID
 	Refusal *core.Refusal
 }
 
-// Order sends an order to a replica.
+// Order sends a load or unload order to a replica.
 type Order struct{ residency.Order }
 
-// Probe asks a replica for its report.
+// Probe requests a replica's report.
 type Probe struct{ residency.Probe }
 
 // Object is a write to the store.
 type Object struct{ Call core.ObjectCall }
 
-// ToPeers is a message for other hosts.
+// ToPeers sends a message to other hosts.
 type ToPeers struct {
 	To      []fleet.Registration
 	Message Message
 }
 
-// Note is a decision with what it was based on, for the log and the metrics.
+// Note is a decision log entry: a decision and what it is based on, for the log and
+// the metrics.
 type Note struct {
-	Name     string // of the decision, one of few
-	Reason   string // one of few
+	Name     string // of the decision, as in the catalog
+	Reason   string // as in the catalog
 	ID       core.RequestID
 	Upstream core.UpstreamID
 	Detail   string
 	Age      time.Duration // of the request, or of what the decision is based on
-	Quiet    bool          // for the metrics alone
+	Quiet    bool          // counted and not logged
 }
 
-// Served is the end of a request, for the metrics alone.
+// Served is the end of a request, for the metrics only.
 type Served struct {
-	Route     string // "" where none matched
+	Route     string // "" where no route matched
 	Outcome   string // ok, error, cut, caller_gone or the code of the refusal
 	FirstByte time.Duration
 	Total     time.Duration
 }
 
-// Left says that the host may exit.
+// Left is sent when the graceful shutdown is complete and the process may exit.
 type Left struct{}
 
 func (Dispatch) isEffect() {}
@@ -289,7 +298,7 @@
 func (Left) isEffect()     {}
 func (Served) isEffect()   {}
 
-// Query reads the machine between two steps. It is not part of its decisions.
+// Query reads the machine between two steps. It decides nothing.
 type Query struct {
 	Read func(*Machine)
 }
--- a/internal/core/direct/finish.go
+++ b/internal/core/direct/finish.go
@@ -9,78 +9,80 @@
 )
 
 const (
-	// resendAfter is how much of its objective a repeatable request stays at a
-	// replica without an answer before it is tried elsewhere.
-	resendAfter = 0.7
-	// resendLeast is the least of such a wait.
-	resendLeast = 50 * time.Millisecond
-	// sendsBeyond is how many sends that were not run a request may have beyond
-	// its attempts.
-	sendsBeyond = 3
-	// budgetPart is how much of the fleet's retries is used; the rest is left for
-	// hosts that count alone.
-	budgetPart = 0.7
-	// lookEvery is how often a request's times are looked at.
-	lookEvery = 20 * time.Millisecond
-	// lateRetry is the time before the deadline within which nothing is retried.
-	lateRetry = 30 * time.Millisecond
+	// resendObjectiveFraction is the fraction of the route's objective after which a
+	// repeatable request without an answer is moved to another replica.
+	resendObjectiveFraction = 0.7
+	// minResendDelay is the lower bound of that time.
+	minResendDelay = 50 * time.Millisecond
+	// maxExtraSends is how many sends a request may have beyond its attempts, for
+	// replicas that did not run it.
+	maxExtraSends = 3
+	// retryBudgetFraction is the fraction of the fleet's retries that the hosts use. The
+	// rest is a reserve for hosts that count a smaller fleet than there is.
+	retryBudgetFraction = 0.7
+	// requestCheckInterval is how often a request's deadline and waiting times are
+	// checked.
+	requestCheckInterval = 20 * time.Millisecond
+	// minTimeToRetry is the time before the deadline within which nothing is retried.
+	minTimeToRetry = 30 * time.Millisecond
 )
 
-// standbyPart is what the hosts that stand by have of the fleet's retries, together.
-const standbyPart = 0.15
+// standbyRetryFraction is the fraction of the fleet's retries for all standby hosts
+// together.
+const standbyRetryFraction = 0.15
 
-// retryPart is this host's part of the fleet's retries.
-func (m *Machine) retryPart() float64 {
+// retryFraction returns this host's fraction of the fleet's retries.
+func (m *Machine) retryFraction() float64 {
 	switch {
 	case !m.fleet.Large():
 		return 1 / float64(m.fleet.Size(m.now))
 	case m.fleet.Active():
-		return (1 - standbyPart) / float64(m.fleet.ActiveHosts())
+		return (1 - standbyRetryFraction) / float64(m.fleet.ActiveHosts())
 	}
-	return standbyPart / float64(m.fleet.Size(m.now))
+	return standbyRetryFraction / float64(m.fleet.Size(m.now))
 }
 
-// budget is this host's part of the retries to a service. It follows the size of
-// the fleet: a host that has just started knows few others, but has to leave them
-// their part as soon as it learns of them.
-func (m *Machine) budget(s table.ServiceID) *retry.Budget {
-	slack := m.settings.RetrySlack * budgetPart * m.retryPart()
-	part := retry.Settings{
-		Share: m.settings.RetryShare * budgetPart,
+// retryBudget returns this host's retry budget for a service. It follows the size of
+// the fleet: a host that has just started has found few others, and must leave them
+// their fraction as soon as it finds them.
+func (m *Machine) retryBudget(s table.ServiceID) *retry.Budget {
+	slack := m.settings.RetrySlack * retryBudgetFraction * m.retryFraction()
+	limits := retry.Settings{
+		Share: m.settings.RetryShare * retryBudgetFraction,
 		Floor: slack / 2 / m.settings.RetryWindow.Seconds(),
 		Burst: max(slack/2, 1),
 	}
 	b := m.retries[s]
 	if b == nil {
-		b = retry.NewBudget(part)
+		b = retry.NewBudget(limits)
 		m.retries[s] = b
 		return b
 	}
-	b.Adjust(part)
+	b.Adjust(limits)
 	return b
 }
 
-func (m *Machine) begun(e Begun) {
+func (m *Machine) handleAnswerStart(e Begun) {
 	r := m.requests.byID[e.ID]
 	if r == nil || r.attempt != e.Attempt {
 		return
 	}
-	r.begun = true
-	if r.first == 0 {
-		r.first = m.now
+	r.answerStarted = true
+	if r.answerStartedAt == 0 {
+		r.answerStartedAt = m.now
 	}
-	r.moving = false // it began before it could be cancelled
-	r.passed = r.passed || e.Passed
+	r.moving = false // it started before it could be cancelled
+	r.partDelivered = r.partDelivered || e.Passed
 }
 
-// gone ends a request whose caller hung up.
-func (m *Machine) gone(e Gone) {
+// handleCallerGone ends a request whose caller has hung up.
+func (m *Machine) handleCallerGone(e Gone) {
 	r := m.requests.byID[e.ID]
-	if r == nil || r.over {
+	if r == nil || r.closed {
 		return
 	}
-	m.emit(Note{Name: "cancel", Reason: "caller_gone", ID: e.ID, Upstream: r.upstream, Age: m.now.Sub(r.came)})
-	r.over, r.outcome = true, "caller_gone"
+	m.emit(Note{Name: "cancel", Reason: "caller_gone", ID: e.ID, Upstream: r.upstream, Age: m.now.Sub(r.arrivedAt)})
+	r.closed, r.outcome = true, "caller_gone"
 	if r.stage != stageRunning {
 		m.finish(r)
 		return
@@ -88,16 +90,16 @@
 	m.emit(Cancel{ID: e.ID, Attempt: r.attempt})
 }
 
-// refuse gives a request its final answer now.
+// refuse sends a request's final answer and cancels its attempt, if one is running.
 func (m *Machine) refuse(r *request, refusal *core.Refusal) {
-	if r.over {
+	if r.closed {
 		return
 	}
-	refusal = truthful(r, refusal)
-	r.over, r.outcome = true, string(refusal.Code)
-	m.emit(Note{Name: "refusal", Reason: string(refusal.Code), ID: r.id(), Upstream: r.upstream, Age: m.now.Sub(r.came), Detail: refusal.Message})
+	refusal = correctRan(r, refusal)
+	r.closed, r.outcome = true, string(refusal.Code)
+	m.emit(Note{Name: "refusal", Reason: string(refusal.Code), ID: r.id(), Upstream: r.upstream, Age: m.now.Sub(r.arrivedAt), Detail: refusal.Message})
 	running := r.stage == stageRunning
-	if r.passed {
+	if r.partDelivered {
 		r.outcome = "cut"
 		m.emit(Cut{ID: r.id(), Refusal: refusal})
 	} else {
@@ -110,10 +112,10 @@
 	m.finish(r)
 }
 
-// truthful corrects what a refusal says about running. Keeps: a refusal that
-// says "not run" is true.
-func truthful(r *request, refusal *core.Refusal) *core.Refusal {
-	ran := r.mayHaveRun()
+// correctRan corrects the refusal's statement on whether the request ran. Invariant:
+// a refusal that says "not run" is true.
+func correctRan(r *request, refusal *core.Refusal) *core.Refusal {
+	ran := r.ranState()
 	if refusal.Ran != core.RanNo || ran == core.RanNo {
 		return refusal
 	}
@@ -125,50 +127,52 @@
 	return &corrected
 }
 
-// finish forgets a request that nothing runs of any more.
+// finish removes a request that has no running attempt. One that has not run is
+// refunded.
 func (m *Machine) finish(r *request) {
 	m.requests.remove(r)
-	first := r.first
+	first := r.answerStartedAt
 	if first == 0 {
 		first = m.now
 	}
-	m.emit(Served{Route: r.route.Name, Outcome: r.outcome, FirstByte: first.Sub(r.came), Total: m.now.Sub(r.came)})
-	if r.mayHaveRun() == core.RanNo {
+	m.emit(Served{Route: r.route.Name, Outcome: r.outcome, FirstByte: first.Sub(r.arrivedAt), Total: m.now.Sub(r.arrivedAt)})
+	if r.ranState() == core.RanNo {
 		m.refund(r)
 	}
 }
 
-// ended takes the end of an attempt and decides how to go on.
-func (m *Machine) ended(e Ended) {
+// handleAttemptEnd decides at the end of an attempt whether the request is complete,
+// retried or refused.
+func (m *Machine) handleAttemptEnd(e Ended) {
 	r := m.requests.byID[e.ID]
 	if r == nil || r.stage != stageRunning || r.attempt != e.Attempt {
 		return
 	}
-	m.release(r, e)
-	m.emit(Note{Name: "attempt", Reason: endReasons[e.Kind], ID: e.ID, Upstream: r.upstream, Age: m.now.Sub(r.since), Quiet: e.Kind == EndOK})
+	m.releaseAttempt(r, e)
+	m.emit(Note{Name: "attempt", Reason: endReasons[e.Kind], ID: e.ID, Upstream: r.upstream, Age: m.now.Sub(r.stageSince), Quiet: e.Kind == EndOK})
 	if e.LastEvent != "" {
-		r.last = e.LastEvent
+		r.lastEvent = e.LastEvent
 	}
 	if e.Kind != EndNotReached && e.Kind != EndNotRun && e.Kind != EndMissing {
-		r.ran++
+		r.possibleRuns++
 	}
-	r.stage, r.since = stageWaiting, m.now
+	r.stage, r.stageSince = stageWaiting, m.now
 	switch {
-	case r.over:
+	case r.closed:
 		m.finish(r)
 	case e.Kind == EndOK:
-		r.over, r.outcome = true, "ok"
+		r.closed, r.outcome = true, "ok"
 		m.finish(r)
-	case m.again(r, e):
+	case m.shouldRetry(r, e):
 		r.tried = append(r.tried, r.upstream)
-		r.begun = false
+		r.answerStarted = false
 		m.place(r)
 	case e.Kind == EndError:
-		r.over, r.outcome = true, "error"
+		r.closed, r.outcome = true, "error"
 		m.emit(Deliver{ID: e.ID})
 		m.finish(r)
 	default:
-		m.giveUp(r, e)
+		m.refuseFailed(r, e)
 	}
 }
 
@@ -182,16 +186,17 @@
 	EndCancelled:  "cancelled",
 }
 
-// Weights of the ways in which an attempt can fail.
+// Weights of failed attempts in a replica's failure score.
 const (
-	weightBroken = 1.0
-	weightError  = 0.15 // a replica's own answer may be the request's fault
-	weightNotRun = 0.5  // it is full
-	weightSilent = 0.7
+	weightBroken       = 1.0
+	weightError        = 0.15 // the request may be the cause
+	weightNotRun       = 0.5  // the replica is saturated
+	weightUnresponsive = 0.7
 )
 
-// release takes an attempt off its replica and judges the replica by it.
-func (m *Machine) release(r *request, e Ended) {
+// releaseAttempt removes an attempt from its replica's load and updates the
+// replica's failure score by its result.
+func (m *Machine) releaseAttempt(r *request, e Ended) {
 	x := m.replicas.Get(r.upstream)
 	if x == nil {
 		return
@@ -199,104 +204,104 @@
 	x.Mine = max(x.Mine-1, 0)
 	switch e.Kind {
 	case EndOK:
-		m.worked(x.ID)
+		m.recordSuccess(x.ID)
 	case EndError:
-		m.failed(x.ID, weightError)
+		m.recordFailure(x.ID, weightError)
 	case EndNotRun:
-		m.failed(x.ID, weightNotRun)
+		m.recordFailure(x.ID, weightNotRun)
 	case EndMissing:
-		m.replicas.Lacks(x.ID, r.arrive.Adapter)
+		m.replicas.Lacks(x.ID, r.arrival.Adapter)
 	case EndBroken, EndNotReached:
-		m.failed(x.ID, weightBroken)
+		m.recordFailure(x.ID, weightBroken)
 	case EndCancelled:
 		if r.moving {
-			m.failed(x.ID, weightSilent)
+			m.recordFailure(x.ID, weightUnresponsive)
 		}
 	}
 	if e.Dropped {
-		m.crashed(r.arrive.Fingerprint)
+		m.recordCrash(r.arrival.Fingerprint)
 	}
 }
 
-// again decides whether a request is tried on another replica. Keeps: a request
-// that must not be repeated is sent again only if it surely has not run.
-func (m *Machine) again(r *request, e Ended) bool {
-	surely := e.Kind == EndNotReached || e.Kind == EndNotRun || e.Kind == EndMissing
+// shouldRetry decides whether a request is tried on another replica. Invariant: a
+// request that must not be repeated is sent again only if it has certainly not run.
+func (m *Machine) shouldRetry(r *request, e Ended) bool {
+	notRun := e.Kind == EndNotReached || e.Kind == EndNotRun || e.Kind == EndMissing
 	switch {
-	case m.now.Add(lateRetry) >= r.deadline:
+	case m.now.Add(minTimeToRetry) >= r.deadline:
 		return false
-	case r.attempt >= max(r.route.MaxAttempts, 1)+sendsBeyond:
+	case r.attempt >= max(r.route.MaxAttempts, 1)+maxExtraSends:
 		return false
-	case !surely && (!r.route.Repeatable() || r.ran >= max(r.route.MaxAttempts, 1)):
+	case !notRun && (!r.route.Repeatable() || r.possibleRuns >= max(r.route.MaxAttempts, 1)):
 		return false
-	case r.passed && !r.route.Resumable:
+	case r.partDelivered && !r.route.Resumable:
 		return false
-	case m.suspected(r.arrive.Fingerprint):
+	case m.isSuspect(r.arrival.Fingerprint):
 		return false
 	case e.Kind == EndNotReached:
-		return true // nothing arrived
+		return true // nothing was sent: takes no retry from the budget
 	}
-	if m.budget(r.service.ID).Retry(m.now) {
+	if m.retryBudget(r.service.ID).Retry(m.now) {
 		return true
 	}
 	m.emit(Note{Name: "retry", Reason: "budget_spent", ID: e.ID})
 	return false
 }
 
-// giveUp ends a request that is not tried again.
-func (m *Machine) giveUp(r *request, e Ended) {
-	refusal := &core.Refusal{Code: core.CodeUpstreamFailed, Message: "the replica did not complete its answer", Ran: r.mayHaveRun()}
-	if r.ran == 0 {
-		refusal = core.Refuse(core.CodeOverloaded, max(e.RetryAfter, retryNoRoom), "no replica took the request")
+// refuseFailed refuses a request that is not tried again.
+func (m *Machine) refuseFailed(r *request, e Ended) {
+	refusal := &core.Refusal{Code: core.CodeUpstreamFailed, Message: "the replica did not complete its answer", Ran: r.ranState()}
+	if r.possibleRuns == 0 {
+		refusal = core.Refuse(core.CodeOverloaded, max(e.RetryAfter, retryAfterSaturated), "no replica took the request")
 	}
 	m.refuse(r, refusal)
 }
 
-// expire ends the requests whose deadline has passed or that have waited too
-// long, and moves those whose replica is silent.
-func (m *Machine) expire() {
+// checkRequests refuses the requests whose deadline has passed or that have waited
+// too long for their adapters, and moves those whose replica is unresponsive.
+func (m *Machine) checkRequests() {
 	for _, r := range m.requests.due(m.now) {
-		r.look = m.now.Add(lookEvery)
+		r.nextCheck = m.now.Add(requestCheckInterval)
 		switch {
-		case r.over:
+		case r.closed:
 		case m.now >= r.deadline:
-			m.refuse(r, &core.Refusal{Code: core.CodeDeadline, Message: "no whole answer before the request's deadline", Ran: r.mayHaveRun()})
-		case r.stage == stageWaiting && m.now.Sub(r.since) >= r.longestWait():
-			m.noReplica(r)
+			m.refuse(r, &core.Refusal{Code: core.CodeDeadline, Message: "no whole answer before the request's deadline", Ran: r.ranState()})
+		case r.stage == stageWaiting && m.now.Sub(r.stageSince) >= r.maxAdapterWait():
+			m.refuseNoReplica(r)
 		case r.stage == stageWaiting:
-			m.ask(r)
-			if r.asked == 0 && m.now.Sub(r.since) >= unaskedFor {
-				m.refuse(r, core.Refuse(core.CodeNoUpstream, retryUnowned, "nobody can have its adapter loaded now"))
+			m.demandAdapter(r)
+			if r.lastDemand == 0 && m.now.Sub(r.stageSince) >= noOwnerTimeout {
+				m.refuse(r, core.Refuse(core.CodeNoUpstream, retryAfterUnowned, "nobody can have its adapter loaded now"))
 			}
-		case m.silent(r):
-			m.move(r)
+		case m.shouldMove(r):
+			m.moveAttempt(r)
 		}
 	}
 }
 
-// longestWait is how long a request waits for its adapter.
-func (r *request) longestWait() time.Duration {
-	return max(waitObjectives*r.route.Objective, waitLeast)
+// maxAdapterWait returns how long a request may wait for its adapter.
+func (r *request) maxAdapterWait() time.Duration {
+	return max(maxWaitObjectives*r.route.Objective, minAdapterWait)
 }
 
-// silent reports whether a request should be tried elsewhere because its
-// replica has not answered at all.
-func (m *Machine) silent(r *request) bool {
-	if r.begun || r.moving || !r.route.Repeatable() || r.ran+1 >= r.route.MaxAttempts {
+// shouldMove reports whether a request is to be moved because its replica has not
+// started to answer. It then has taken a retry from the budget.
+func (m *Machine) shouldMove(r *request) bool {
+	if r.answerStarted || r.moving || !r.route.Repeatable() || r.possibleRuns+1 >= r.route.MaxAttempts {
 		return false
 	}
-	wait := max(time.Duration(resendAfter*float64(r.route.Objective)), resendLeast)
-	if m.now.Sub(r.since) < wait || r.deadline.Sub(m.now) < wait {
+	wait := max(time.Duration(resendObjectiveFraction*float64(r.route.Objective)), minResendDelay)
+	if m.now.Sub(r.stageSince) < wait || r.deadline.Sub(m.now) < wait {
 		return false
 	}
 	usable, _ := m.candidates(r)
-	return len(usable) > 1 && m.budget(r.service.ID).Retry(m.now)
+	return len(usable) > 1 && m.retryBudget(r.service.ID).Retry(m.now)
 }
 
-// move cancels an attempt; its end brings the next one. One whose answer begins at
-// this very moment stays where it is.
-func (m *Machine) move(r *request) {
+// moveAttempt cancels an attempt; the request is retried when the attempt has ended.
+// An attempt whose answer starts before the cancellation is not moved.
+func (m *Machine) moveAttempt(r *request) {
 	r.moving = true
-	m.emit(Note{Name: "retry", Reason: "silent", ID: r.id(), Upstream: r.upstream, Age: m.now.Sub(r.since)})
+	m.emit(Note{Name: "retry", Reason: "silent", ID: r.id(), Upstream: r.upstream, Age: m.now.Sub(r.stageSince)})
 	m.emit(Cancel{ID: r.id(), Attempt: r.attempt, Unbegun: true})
 }
--- a/internal/core/direct/heartbeats.go
+++ b/internal/core/direct/heartbeats.go
@@ -10,86 +10,89 @@
 	"gentiancroft/internal/core/replicas"
 )
 
-// How heartbeats spread. The active hosts tell each other everything. Hosts that
-// stand by tell two of them that they are there, and are told by these what the
-// active ones have told.
+// Heartbeats spread as follows. A standby host sends its own to two active hosts,
+// its contacts. The active hosts send theirs to each other, with those of standby
+// hosts that have work; to the standby hosts that report to them they relay a
+// summary of all active hosts' heartbeats.
 const (
-	heartbeatPerHost = 10 * time.Millisecond  // added to the time between two heartbeats for each host told
-	standbyEvery     = time.Second            // between two heartbeats of a host that stands by
-	workingEvery     = 250 * time.Millisecond // the same while it has requests
-	relayEvery       = 500 * time.Millisecond // between two messages to the hosts that stand by
-	censusEvery      = 4                      // of these messages, those that name all hosts that stand by
-	selectEvery      = 100 * time.Millisecond // between two choices of the active hosts
-	newsMost         = 16                     // heartbeats of hosts that stand by in one message
+	heartbeatIntervalPerHost     = 10 * time.Millisecond  // added to the heartbeat interval for each receiver
+	standbyHeartbeatInterval     = time.Second            // heartbeat interval of a standby host
+	busyStandbyHeartbeatInterval = 250 * time.Millisecond // the same while it has requests
+	relayInterval                = 500 * time.Millisecond // between two relays of heartbeats to standby hosts
+	relaysPerCensus              = 4                      // one relay in so many lists all standby hosts
+	selectInterval               = 100 * time.Millisecond // between two selections of the active hosts
+	maxRelayedHeartbeats         = 16                     // heartbeats of standby hosts in one message
 )
 
-// residencyEvery is how often the whole residency of the replicas that this host orders
-// is told again, for what was lost on the way.
-const residencyEvery = time.Second
+// residencyInterval is how often the complete residency of the replicas that this
+// host owns is sent again, to replace lost messages.
+const residencyInterval = time.Second
 
-// gossip is what a host remembers of the heartbeats that it has heard.
+// gossip is the state of the heartbeats that were sent and received.
 type gossip struct {
-	number uint64 // of this host's last heartbeat
-	relays uint64 // messages to hosts that stand by
-	known  map[core.HostID]Heartbeat
-	news   []core.HostID // that stand by and have work, to be told to the active hosts, the latest last
+	heartbeatNumber uint64 // of this host's last heartbeat
+	relayCount      uint64 // relays to standby hosts
+	latest          map[core.HostID]Heartbeat
+	busyStandbys    []core.HostID // standby hosts that have work, to be reported to the active hosts; the latest last
 }
 
-// heartbeat tells other hosts what this one has spent and has running.
-func (m *Machine) heartbeat() {
+// sendHeartbeat selects the active hosts and sends this host's heartbeat, changes
+// and uses when they are due.
+func (m *Machine) sendHeartbeat() {
 	if m.now >= m.due.selection {
-		m.due.selection = m.now.Add(selectEvery)
+		m.due.selection = m.now.Add(selectInterval)
 		m.selectActive()
 	}
 	if m.now < m.due.heartbeat {
 		return
 	}
-	m.forgetLoads()
-	m.tellChanges()
-	m.gossip.number++
+	m.expireLoads()
+	m.sendChanges()
+	m.gossip.heartbeatNumber++
 	own := m.ownHeartbeat()
 	if m.fleet.Active() {
-		m.tellActive(own)
+		m.sendAsActive(own)
 	} else {
-		m.tellContacts(own)
+		m.sendAsStandby(own)
 	}
-	m.tellUses()
+	m.reportUses()
 }
 
-// tellActive tells the other active hosts, and those that stand by now and then.
-func (m *Machine) tellActive(own Heartbeat) {
+// sendAsActive sends the heartbeat to the other active hosts and, every
+// relayInterval, a relay to the standby hosts that report to this host.
+func (m *Machine) sendAsActive(own Heartbeat) {
 	peers := m.fleet.ActivePeers()
-	m.due.heartbeat = m.now.Add(m.settings.Heartbeat + time.Duration(len(peers))*heartbeatPerHost)
-	m.send(peers, Message{Heartbeats: append([]Heartbeat{own}, m.news()...)})
+	m.due.heartbeat = m.now.Add(m.settings.Heartbeat + time.Duration(len(peers))*heartbeatIntervalPerHost)
+	m.send(peers, Message{Heartbeats: append([]Heartbeat{own}, m.takeStandbyHeartbeats()...)})
 	if !m.fleet.Large() || m.now < m.due.relay {
 		return
 	}
-	m.due.relay = m.now.Add(relayEvery)
-	m.gossip.relays++
-	own = own.brief()
-	if m.gossip.relays%censusEvery == 0 {
+	m.due.relay = m.now.Add(relayInterval)
+	m.gossip.relayCount++
+	own = own.summary()
+	if m.gossip.relayCount%relaysPerCensus == 0 {
 		own.Hears = m.fleet.Census(m.now)
 	}
 	all := []Heartbeat{own}
 	for _, p := range peers {
-		if known, ok := m.gossip.known[p.Host]; ok {
-			all = append(all, known.brief())
+		if known, ok := m.gossip.latest[p.Host]; ok {
+			all = append(all, known.summary())
 		}
 	}
 	m.send(m.fleet.Standbys(m.now), Message{Heartbeats: all})
 }
 
-// brief is what hosts that stand by need of a heartbeat.
-func (b Heartbeat) brief() Heartbeat {
+// summary returns the fields of a heartbeat that standby hosts need.
+func (b Heartbeat) summary() Heartbeat {
 	b.Loads, b.Crashes, b.Hears = nil, nil, nil
 	return b
 }
 
-// tellContacts is the heartbeat of a host that stands by.
-func (m *Machine) tellContacts(own Heartbeat) {
-	m.due.heartbeat = m.now.Add(standbyEvery)
+// sendAsStandby sends the heartbeat of a standby host to its contacts.
+func (m *Machine) sendAsStandby(own Heartbeat) {
+	m.due.heartbeat = m.now.Add(standbyHeartbeatInterval)
 	if len(m.requests.byID) > 0 {
-		m.due.heartbeat = m.now.Add(workingEvery)
+		m.due.heartbeat = m.now.Add(busyStandbyHeartbeatInterval)
 	}
 	m.send(m.fleet.Contacts(), Message{Heartbeats: []Heartbeat{own}})
 }
@@ -103,24 +106,25 @@
 func (m *Machine) ownHeartbeat() Heartbeat {
 	return Heartbeat{
 		Host:     m.settings.Self.Host,
-		Number:   m.gossip.number,
+		Number:   m.gossip.heartbeatNumber,
 		Ready:    m.Ready(),
-		Leaving:  m.leaving != 0,
+		Leaving:  m.leavingSince != 0,
 		Uptime:   time.Duration(m.now),
-		Spent:    m.spent(),
+		Spent:    m.ownSpending(),
 		Loads:    m.ownLoads(),
 		Crashes:  m.ownCrashes(),
 		Config:   m.configVersion(),
 		Versions: m.versionSum,
-		Watches:  m.watching() && m.storeAnswers(),
+		Watches:  m.isWatcher() && m.storeAnswers(),
 		List:     m.listDigest(),
 		Hears:    m.fleet.Hears(m.now),
 		Rate:     m.arrivalRate(),
 	}
 }
 
-// spent is what this host has admitted, by workspace.
-func (m *Machine) spent() map[uint32]int64 {
+// ownSpending returns the tokens that this host has admitted, by core.Short of the
+// workspace.
+func (m *Machine) ownSpending() map[uint32]int64 {
 	spent := make(map[uint32]int64, len(m.quota.Mine()))
 	for id, tokens := range m.quota.Mine() {
 		spent[core.Short(string(id))] = tokens
@@ -128,9 +132,9 @@
 	return spent
 }
 
-// totals are what another host has admitted, of the workspaces that this one
-// knows.
-func (m *Machine) totals(spent map[uint32]int64) quota.Totals {
+// spendingByWorkspace returns the tokens that another host has admitted for the
+// workspaces of the configuration in force.
+func (m *Machine) spendingByWorkspace(spent map[uint32]int64) quota.Totals {
 	totals := quota.Totals{}
 	for short, tokens := range spent {
 		if id, ok := m.workspaces[short]; ok {
@@ -140,17 +144,17 @@
 	return totals
 }
 
-// news are the heartbeats of hosts that stand by and have had work since the last
-// call.
-func (m *Machine) news() []Heartbeat {
-	news := m.gossip.news
-	m.gossip.news = nil
-	if len(news) > newsMost {
-		news = news[len(news)-newsMost:]
+// takeStandbyHeartbeats returns and clears the heartbeats of the standby hosts that
+// have had work since the last call.
+func (m *Machine) takeStandbyHeartbeats() []Heartbeat {
+	hosts := m.gossip.busyStandbys
+	m.gossip.busyStandbys = nil
+	if len(hosts) > maxRelayedHeartbeats {
+		hosts = hosts[len(hosts)-maxRelayedHeartbeats:]
 	}
-	heartbeats := make([]Heartbeat, 0, len(news))
-	for _, h := range news {
-		heartbeats = append(heartbeats, m.gossip.known[h])
+	heartbeats := make([]Heartbeat, 0, len(hosts))
+	for _, h := range hosts {
+		heartbeats = append(heartbeats, m.gossip.latest[h])
 	}
 	return heartbeats
 }
@@ -160,56 +164,58 @@
 	return len(before.Loads)+len(after.Loads)+len(after.Crashes) > 0 || !maps.Equal(before.Spent, after.Spent)
 }
 
-// heard takes a heartbeat, told by its host or by another one.
-func (m *Machine) heard(from core.HostID, b *Heartbeat) {
+// receiveHeartbeat applies a heartbeat, received from its host or relayed by another
+// one.
+func (m *Machine) receiveHeartbeat(from core.HostID, b *Heartbeat) {
 	if b.Host == m.settings.Self.Host {
 		return
 	}
-	known, ok := m.gossip.known[b.Host]
+	known, ok := m.gossip.latest[b.Host]
 	if ok && b.Number <= known.Number {
 		return
 	}
 	if !m.fleet.Heard(m.now, b.Host, b.Host == from, b.Ready, b.Leaving) {
-		return // not registered, as far as this host knows
+		return // not registered, as far as this host has read
 	}
-	m.gossip.known[b.Host] = *b
+	m.gossip.latest[b.Host] = *b
 	m.fleet.HeardOf(m.now, b.Hears)
 	if m.fleet.Active() && !m.fleet.IsActive(b.Host) && hadWork(&known, b) {
-		m.gossip.news = append(m.gossip.news, b.Host)
+		m.gossip.busyStandbys = append(m.gossip.busyStandbys, b.Host)
 	}
 	if !m.quota.Knows(b.Host) && b.Uptime > time.Duration(m.now)+time.Second {
-		m.quota.Join(b.Host, m.totals(b.Spent)) // spent before this host was there
+		m.quota.Join(b.Host, m.spendingByWorkspace(b.Spent)) // spent before this host started
 	}
-	m.quota.Heard(m.now, b.Host, m.totals(b.Spent))
-	m.takeLoads(b.Host, b.Loads)
-	m.heardCrashes(b.Host, b.Crashes)
-	m.compare(b)
+	m.quota.Heard(m.now, b.Host, m.spendingByWorkspace(b.Spent))
+	m.applyLoads(b.Host, b.Loads)
+	m.applyPeerCrashes(b.Host, b.Crashes)
+	m.compareState(b)
 }
 
-// awaiting are the hosts that wait for news of a replica's residency.
-type awaiting map[core.UpstreamID]map[core.HostID]bool
+// residencyWaiters are the hosts that have sent a demand for a replica and wait for
+// its residency.
+type residencyWaiters map[core.UpstreamID]map[core.HostID]bool
 
-func (w awaiting) add(replica core.UpstreamID, host core.HostID) {
+func (w residencyWaiters) add(replica core.UpstreamID, host core.HostID) {
 	if w[replica] == nil {
 		w[replica] = map[core.HostID]bool{}
 	}
 	w[replica][host] = true
 }
 
-// tellResidency tells what has changed at the replicas that this host orders: at
-// once those that wait for it, and all others a little later, together.
-func (m *Machine) tellResidency() {
-	changed := m.residency.Changed(m.acting, false)
+// sendResidency sends the residency that has changed on the replicas that this host
+// owns: at once to the hosts that wait for it, and batched to all active hosts.
+func (m *Machine) sendResidency() {
+	changed := m.residency.Changed(m.orderFence, false)
 	for _, k := range changed {
 		m.replicas.TakeResidency(m.now, k)
 		m.unsent[k.Replica] = k
 		var to []fleet.Registration
-		for h := range m.awaiting[k.Replica] {
+		for h := range m.waiters[k.Replica] {
 			if p, ok := m.fleet.Of(h); ok {
 				to = append(to, p)
 			}
 		}
-		delete(m.awaiting, k.Replica)
+		delete(m.waiters, k.Replica)
 		if len(to) > 0 {
 			fleet.Sort(to)
 			m.emit(ToPeers{To: to, Message: Message{Residencies: []replicas.Residency{k}}})
@@ -218,17 +224,17 @@
 	if len(changed) > 0 {
 		m.placeWaiting()
 	}
-	m.tellUnsent()
+	m.sendUnsent()
 }
 
-// unsentEvery is the least time between two messages about residency to all active
-// hosts.
-const unsentEvery = 40 * time.Millisecond
+// residencyBatchInterval is the minimum time between two residency messages to all
+// active hosts.
+const residencyBatchInterval = 40 * time.Millisecond
 
-func (m *Machine) tellUnsent() {
+func (m *Machine) sendUnsent() {
 	if m.now >= m.due.residency {
-		m.due.residency = m.now.Add(residencyEvery)
-		for _, k := range m.residency.Changed(m.acting, true) {
+		m.due.residency = m.now.Add(residencyInterval)
+		for _, k := range m.residency.Changed(m.orderFence, true) {
 			m.replicas.TakeResidency(m.now, k)
 			m.unsent[k.Replica] = k
 		}
@@ -236,7 +242,7 @@
 	if len(m.unsent) == 0 || m.now < m.due.unsent {
 		return
 	}
-	m.due.unsent = m.now.Add(unsentEvery)
+	m.due.unsent = m.now.Add(residencyBatchInterval)
 	var changed []replicas.Residency
 	for _, x := range m.replicas.All() {
 		if k, ok := m.unsent[x.ID]; ok {
--- a/internal/core/direct/host_test.go
+++ b/internal/core/direct/host_test.go
@@ -61,13 +61,13 @@
 	return e
 }
 
-// newHost is a host with a configuration and two replicas of each service; the
-// engines hold adapter x at version 1.
+// newHost returns a host with a configuration and two replicas of each service; the
+// engines have adapter x loaded at version 1.
 func newHost(t *testing.T) *host {
 	return newHostAs(t, fleet.Registration{Name: "a", Host: "a/1", Domain: "a"})
 }
 
-// newHostAs is the same with a name of its own.
+// newHostAs is newHost with another registration.
 func newHostAs(t *testing.T, self fleet.Registration) *host {
 	h := &host{is: is.New(t), m: New(Settings{Self: self, FirstStart: true})}
 	h.now = 10 * time.Second
@@ -85,13 +85,13 @@
 	h.out = h.m.Step(core.Instant(h.now), e)
 	for _, effect := range h.out {
 		if n, ok := effect.(Note); ok && !Known(n) {
-			h.is.Equal(n, Note{}) // it is missing in the catalog
+			h.is.Equal(n, Note{}) // not in the catalog
 		}
 	}
 }
 
-// after lets time pass.
-func (h *host) after(d time.Duration) {
+// advance advances the time and sends a tick.
+func (h *host) advance(d time.Duration) {
 	h.now += d
 	h.step(Tick{})
 }
@@ -138,11 +138,11 @@
 	return r.Refusal
 }
 
-func (h *host) end(d Dispatch, kind EndKind) {
+func (h *host) endAttempt(d Dispatch, kind EndKind) {
 	h.step(Ended{ID: d.ID, Attempt: d.Attempt, Kind: kind})
 }
 
-// lease gives all shards to a host, as if it had written so.
+// lease reads leases of all shards whose owner is the host.
 func (h *host) lease(holder core.HostID) {
 	value, err := json.Marshal(shard.Record{Holder: holder, Fence: 1})
 	h.is.NoErr(err)
@@ -153,9 +153,9 @@
 	h.step(LeasesListed{Objects: objects})
 }
 
-// wanted reports whether the last step told another host that the adapter x is
-// wanted at a replica, at a version.
-func (h *host) wanted(replica core.UpstreamID, version int) bool {
+// demanded reports whether the last step sent another host a demand for a version of
+// adapter x on a replica.
+func (h *host) demanded(replica core.UpstreamID, version int) bool {
 	for _, e := range h.out {
 		p, ok := e.(ToPeers)
 		if !ok {
--- a/internal/core/direct/leaving.go
+++ b/internal/core/direct/leaving.go
@@ -1,12 +1,13 @@
 package direct
 
-// leave begins a graceful shutdown: the host is named to callers no more, hands
-// its shards over, and serves those who still come for a while.
-func (m *Machine) leave() {
-	if m.leaving != 0 {
+// startLeaving starts a graceful shutdown: the host is no longer advertised to
+// callers, releases its leases, and for a while still serves the requests that
+// arrive.
+func (m *Machine) startLeaving() {
+	if m.leavingSince != 0 {
 		return
 	}
-	m.leaving = m.now
+	m.leavingSince = m.now
 	m.fleet.Leave()
 	m.shards.Leave()
 	m.due.register = m.now
@@ -15,19 +16,20 @@
 	m.tick()
 }
 
-// leaveOn ends a graceful shutdown once nothing is left to do.
-func (m *Machine) leaveOn() {
-	if m.leaving == 0 || m.left {
+// finishLeaving ends a graceful shutdown once no requests are left, or at its time
+// limit.
+func (m *Machine) finishLeaving() {
+	if m.leavingSince == 0 || m.leaveDone {
 		return
 	}
-	passed := m.now.Sub(m.leaving)
+	passed := m.now.Sub(m.leavingSince)
 	idle := len(m.requests.byID) == 0 && passed >= m.settings.LeaveAfter
 	if idle || passed >= m.settings.LeaveBy {
-		m.left = true
+		m.leaveDone = true
 		m.emit(Note{Name: "leave", Reason: "ended", Detail: utoa(uint64(len(m.requests.byID))) + " requests left"})
 		m.emit(Left{})
 	}
 }
 
 // Leaving reports whether the host is shutting down.
-func (m *Machine) Leaving() bool { return m.leaving != 0 }
+func (m *Machine) Leaving() bool { return m.leavingSince != 0 }
--- a/internal/core/direct/lists.go
+++ b/internal/core/direct/lists.go
@@ -5,18 +5,19 @@
 	"gentiancroft/internal/core/replicas"
 )
 
-// named is an adapter's newest version and when it was named, at the latest.
-type named struct {
-	version int
-	at      core.Instant
+// announcedVersion is an adapter's newest version, and the latest time at which it
+// can have been announced as the newest.
+type announcedVersion struct {
+	version     int
+	announcedAt core.Instant
 }
 
-func (m *Machine) replicasListed(entries []replicas.Entry) {
-	m.listed = true
-	clear(m.watch.differs)
+func (m *Machine) applyReplicaList(entries []replicas.Entry) {
+	m.replicasRead = true
+	clear(m.watch.differSince)
 	var changed []replicas.Entry
 	for _, e := range entries {
-		if m.takeEntry(e) {
+		if m.updateReplica(e) {
 			changed = append(changed, e)
 		}
 	}
@@ -32,16 +33,16 @@
 	m.placeWaiting()
 }
 
-func (m *Machine) replicaListed(e replicas.Entry) {
-	if m.takeEntry(e) {
+func (m *Machine) applyReplicaEntry(e replicas.Entry) {
+	if m.updateReplica(e) {
 		m.changes.replicas = append(m.changes.replicas, e)
 	}
 	m.placeWaiting()
 }
 
-// takeEntry takes an entry of the list. It reports whether the entry tells
-// something new of where and whether the replica may be used.
-func (m *Machine) takeEntry(e replicas.Entry) (changed bool) {
+// updateReplica applies an entry of the list. It reports whether the replica is new
+// or restarted, starts to leave, or has another address.
+func (m *Machine) updateReplica(e replicas.Entry) (changed bool) {
 	before := m.replicas.Get(e.ID)
 	moved := before != nil && before.Address != e.Address
 	wasLeaving := before != nil && before.Leaving
@@ -57,22 +58,23 @@
 	return fresh || leaves || moved
 }
 
-// dropIfGone forgets what belongs to a replica that is not there any more.
+// dropIfGone removes the state of a replica that no longer exists, and reports
+// whether it did.
 func (m *Machine) dropIfGone(id core.UpstreamID) bool {
 	if m.replicas.Get(id) != nil {
 		return false
 	}
 	m.residency.Remove(id)
 	delete(m.failures, id)
-	delete(m.awaiting, id)
+	delete(m.waiters, id)
 	delete(m.unsent, id)
 	m.emit(Note{Name: "replica", Reason: "gone", Upstream: id})
 	return true
 }
 
-// versionNamed takes an adapter's version. It reports whether it is newer than what
-// was known.
-func (m *Machine) versionNamed(e VersionNamed) bool {
+// applyVersion applies an adapter's version and reports whether it is newer than the
+// last one.
+func (m *Machine) applyVersion(e VersionNamed) bool {
 	if e.Adapter.Version <= m.versions[e.Adapter.ID].version {
 		return false
 	}
@@ -81,7 +83,7 @@
 	if e.Listed {
 		at = at.Add(-m.settings.VersionGrace)
 	}
-	m.versions[e.Adapter.ID] = named{version: e.Adapter.Version, at: at}
+	m.versions[e.Adapter.ID] = announcedVersion{version: e.Adapter.Version, announcedAt: at}
 	m.residency.Newest(e.Model, e.Adapter)
 	return true
 }
--- a/internal/core/direct/machine.go
+++ b/internal/core/direct/machine.go
@@ -11,52 +11,53 @@
 	"gentiancroft/internal/core/table"
 )
 
-// Machine is one host's decisions.
+// Machine holds the state of one host and decides on its events. It is not safe for
+// concurrent use.
 type Machine struct {
 	settings Settings
 	rng      *core.Rand
 	now      core.Instant
-	out      []Effect
+	effects  []Effect
 
-	table        *table.Table
-	replicas     *replicas.Set
-	listed       bool // the replicas have been listed at least once
-	versionsRead bool // so have the adapters' newest versions
-	fleet        *fleet.Fleet
-	quota        *quota.Machine
-	shards       *shard.Machine
-	residency    *residency.Machine
-	versions     map[core.AdapterID]named
-	retries      map[table.ServiceID]*retry.Budget
-	crashes      map[uint64]*crash
-	failures     map[core.UpstreamID]*core.Decaying
-	copies       map[core.AdapterID]core.Instant // when a further copy was last asked for
+	table           *table.Table
+	replicas        *replicas.Set
+	replicasRead    bool // the list of replicas has been read
+	versionsRead    bool // the adapters' newest versions have been read
+	fleet           *fleet.Fleet
+	quota           *quota.Machine
+	shards          *shard.Machine
+	residency       *residency.Machine
+	versions        map[core.AdapterID]announcedVersion
+	retries         map[table.ServiceID]*retry.Budget
+	crashes         map[uint64]*crashRecord
+	failures        map[core.UpstreamID]*core.Decaying
+	lastExtraDemand map[core.AdapterID]core.Instant // when another copy or a newer version was last demanded
 
-	requests     *requests
-	writes       writes
-	loads        map[core.HostID][]Load
-	gossip       gossip
-	changes      changes
-	watch        watchState
-	rereads      uint64                      // times that documents are to be read again
-	relists      uint64                      // times that everything is
-	versionSum   uint64                      // of the adapters' newest versions
-	workspaces   map[uint32]core.WorkspaceID // by core.Short
-	awaiting     awaiting
-	unsent       map[core.UpstreamID]replicas.Residency // changed, and not told to all hosts yet
-	begunUses    map[use]int                            // requests sent since the last heartbeat
-	due          due
-	arrivals     core.Decaying // requests, over arrivalsHalf
-	configuredAt core.Instant  // since when the configuration is in force
-	need         float64       // capacity that the active hosts have to have, in cores
-	leaving      core.Instant  // 0: not leaving
-	left         bool
+	requests      *requests
+	writes        writes
+	loads         map[core.HostID][]Load
+	gossip        gossip
+	changes       changes
+	watch         watchState
+	rereads       uint64                      // counts the requested rereads of the documents
+	relists       uint64                      // counts the requested rereads of all lists
+	versionSum    uint64                      // of the adapters' newest versions
+	workspaces    map[uint32]core.WorkspaceID // by core.Short
+	waiters       residencyWaiters
+	unsent        map[core.UpstreamID]replicas.Residency // changed, and not sent to all active hosts yet
+	startedUses   map[adapterUse]int                     // requests sent since the last heartbeat
+	due           due
+	arrivals      core.Decaying // requests, with arrivalHalfLife
+	configuredAt  core.Instant  // when the configuration came into force
+	requiredCores float64       // capacity that the active hosts must have, in cores
+	leavingSince  core.Instant  // 0: not leaving
+	leaveDone     bool
 }
 
-// due is when periodic work is next done.
+// due holds the next times of periodic work.
 type due struct {
 	heartbeat core.Instant
-	relay     core.Instant // to hosts that stand by
+	relay     core.Instant // of heartbeats to standby hosts
 	selection core.Instant // of the active hosts
 	residency core.Instant
 	unsent    core.Instant
@@ -65,63 +66,64 @@
 
 // New returns the machine of a host that has no configuration.
 func New(s Settings) *Machine {
-	s.fill()
+	s.setDefaults()
 	m := &Machine{
-		settings:  s,
-		rng:       core.NewRand(s.Seed),
-		replicas:  replicas.NewSet(),
-		fleet:     fleet.New(s.Self),
-		quota:     quota.New(!s.FirstStart),
-		shards:    shard.New(s.Shard),
-		residency: residency.New(s.Residency),
-		versions:  map[core.AdapterID]named{},
-		retries:   map[table.ServiceID]*retry.Budget{},
-		crashes:   map[uint64]*crash{},
-		failures:  map[core.UpstreamID]*core.Decaying{},
-		copies:    map[core.AdapterID]core.Instant{},
-		requests:  newRequests(),
-		writes:    writes{open: map[uint64]func(core.ObjectResult){}},
-		loads:     map[core.HostID][]Load{},
-		gossip:    gossip{known: map[core.HostID]Heartbeat{}},
-		awaiting:  awaiting{},
-		watch:     watchState{differs: map[core.HostID]core.Instant{}},
+		settings:        s,
+		rng:             core.NewRand(s.Seed),
+		replicas:        replicas.NewSet(),
+		fleet:           fleet.New(s.Self),
+		quota:           quota.New(!s.FirstStart),
+		shards:          shard.New(s.Shard),
+		residency:       residency.New(s.Residency),
+		versions:        map[core.AdapterID]announcedVersion{},
+		retries:         map[table.ServiceID]*retry.Budget{},
+		crashes:         map[uint64]*crashRecord{},
+		failures:        map[core.UpstreamID]*core.Decaying{},
+		lastExtraDemand: map[core.AdapterID]core.Instant{},
+		requests:        newRequests(),
+		writes:          writes{pending: map[uint64]func(core.ObjectResult){}},
+		loads:           map[core.HostID][]Load{},
+		gossip:          gossip{latest: map[core.HostID]Heartbeat{}},
+		waiters:         residencyWaiters{},
+		watch:           watchState{differSince: map[core.HostID]core.Instant{}},
 
-		begunUses: map[use]int{},
-		unsent:    map[core.UpstreamID]replicas.Residency{},
+		startedUses: map[adapterUse]int{},
+		unsent:      map[core.UpstreamID]replicas.Residency{},
 	}
 	if s.FirstStart {
-		m.due.selection, m.due.heartbeat = core.Instant(meetTime), core.Instant(meetTime)
+		m.due.selection, m.due.heartbeat = core.Instant(discoveryTime), core.Instant(discoveryTime)
 	}
 	m.shards.Carry(func() map[core.WorkspaceID]float64 { return m.quota.Levels(m.now) })
 	return m
 }
 
-// Step handles one event and returns what to do.
+// Step handles one event and returns its effects. Time never goes back: an earlier
+// now counts as that of the last step.
 func (m *Machine) Step(now core.Instant, event Event) []Effect {
 	m.now = max(m.now, now)
-	m.out = nil
+	m.effects = nil
 	switch e := event.(type) {
 	case Arrive:
-		m.arrive(e)
+		m.handleArrival(e)
 	case Gone:
-		m.gone(e)
+		m.handleCallerGone(e)
 	case Begun:
-		m.begun(e)
+		m.handleAnswerStart(e)
 	case Ended:
-		m.ended(e)
+		m.handleAttemptEnd(e)
 	case Configured:
-		m.configured(e)
+		m.handleConfiguration(e)
 	case ReplicasListed:
-		m.replicasListed(e.Entries)
+		m.applyReplicaList(e.Entries)
 	case ReplicaListed:
-		m.replicaListed(e.Entry)
+		m.applyReplicaEntry(e.Entry)
 	case ReplicaUnlisted:
 		m.replicas.Remove(m.now, e.ID)
 		if m.dropIfGone(e.ID) {
 			m.changes.gone = append(m.changes.gone, e.ID)
 		}
 	case VersionNamed:
-		if m.versionNamed(e) && !e.Listed {
+		if m.applyVersion(e) && !e.Listed {
 			m.changes.versions = append(m.changes.versions, e)
 		}
 	case VersionsRead:
@@ -134,34 +136,34 @@
 		m.fleet.Unlisted(e.Name)
 	case LeasesListed:
 		m.shards.Read(m.now, e.Objects)
-		m.restore()
+		m.restoreQuota()
 	case StoreLost:
-		m.watch.lost = true
+		m.watch.storeLost = true
 		m.replicas.StoreLost(m.now)
 	case StoreReached:
-		m.storeReached()
+		m.handleStoreReached()
 	case ObjectDone:
-		m.writes.done(e.Result)
+		m.writes.complete(e.Result)
 	case OrderDone:
-		m.orderDone(e)
+		m.handleOrderDone(e)
 	case Reported:
 		m.residency.Reported(m.now, e.Report)
-		m.order()
+		m.sendOrders()
 	case FromPeer:
-		m.fromPeer(e)
+		m.handlePeerMessage(e)
 	case Tick:
 		m.tick()
 	case Tuned:
-		m.tune(e)
+		m.applySettings(e)
 	case Leave:
-		m.leave()
+		m.startLeaving()
 	case Query:
 		e.Read(m)
 	}
-	return m.out
+	return m.effects
 }
 
-func (m *Machine) emit(e Effect) { m.out = append(m.out, e) }
+func (m *Machine) emit(e Effect) { m.effects = append(m.effects, e) }
 
 func (m *Machine) tick() {
 	if gone := m.replicas.Tick(m.now); len(gone) > 0 {
@@ -171,87 +173,91 @@
 		m.changes.gone = append(m.changes.gone, gone...)
 	}
 	m.quota.Hears(m.now, m.fleet.Part(m.now))
-	if m.watch.again {
-		m.reread("store_back", "")
+	if m.watch.rereadPending {
+		m.requestReread("store_back", "")
 	}
 	m.register()
-	m.leases()
-	m.order()
-	m.heartbeat()
-	m.expire()
-	m.leaveOn()
+	m.renewLeases()
+	m.sendOrders()
+	m.sendHeartbeat()
+	m.checkRequests()
+	m.finishLeaving()
 }
 
-// tune takes changed settings.
-func (m *Machine) tune(e Tuned) {
+// applySettings applies changed settings.
+func (m *Machine) applySettings(e Tuned) {
 	s := &m.settings
 	s.RetryShare, s.RetrySlack, s.RetryWindow, s.VersionGrace = e.RetryShare, e.RetrySlack, e.RetryWindow, e.VersionGrace
-	s.fill()
+	s.setDefaults()
 	clear(m.retries)
 	m.emit(Note{Name: "settings", Reason: "in_force"})
 }
 
 // Ready reports whether the host can serve callers.
-func (m *Machine) Ready() bool { return m.informed() && m.leaving == 0 }
+func (m *Machine) Ready() bool { return m.initialized() && m.leavingSince == 0 }
 
-// informed reports whether the host has read all that it decides by. Keeps: a
-// host that has just started runs nothing on a version that was replaced before.
-func (m *Machine) informed() bool { return m.table != nil && m.listed && m.versionsRead }
+// initialized reports whether the configuration, the replicas and the adapters'
+// versions have been read. Invariant: a host that has just started runs nothing on a
+// version that was replaced before.
+func (m *Machine) initialized() bool { return m.table != nil && m.replicasRead && m.versionsRead }
 
-// Addresses are those that callers are told now.
+// Addresses returns the addresses that are advertised to callers.
 func (m *Machine) Addresses() []string { return m.fleet.Addresses(m.now, m.Ready()) }
 
-// Trusted reports whether a certificate is that of a registered host.
+// Trusted reports whether key is the fingerprint of the certificate that another host,
+// h, has registered.
 func (m *Machine) Trusted(h core.HostID, key string) bool { return m.fleet.Trusted(h, key) }
 
-// configured takes a configuration, and tells it where others may rely on this host.
-// What a host finds at its start, the others have read.
-func (m *Machine) configured(e Configured) {
+// handleConfiguration applies a configuration. One that was read from the store is
+// sent to the other hosts, except the first: they have already read what a host
+// finds at its start.
+func (m *Machine) handleConfiguration(e Configured) {
 	first := m.table == nil
-	if m.configure(e.Table) && !first && e.Document != nil {
-		m.tellConfiguration(e)
+	if m.applyConfiguration(e.Table) && !first && e.Document != nil {
+		m.sendConfiguration(e)
 	}
 }
 
-// configure puts a newer configuration in force. Keeps: a configuration in
-// force never reverts.
-func (m *Machine) configure(t *table.Table) bool {
+// applyConfiguration puts a newer configuration in force and reports whether it was
+// newer. Invariant: a configuration in force is never replaced by an older one.
+func (m *Machine) applyConfiguration(t *table.Table) bool {
 	if m.table != nil && t.Version <= m.table.Version {
 		return false
 	}
 	m.table, m.configuredAt = t, m.now
 	m.quota.Configure(m.now, t.Workspaces)
-	m.restore()
+	m.restoreQuota()
 	m.residency.Configure(t.Services)
 	m.workspaces = make(map[uint32]core.WorkspaceID, len(t.Workspaces))
 	for id := range t.Workspaces {
 		m.workspaces[core.Short(string(id))] = id
 	}
 	m.emit(Note{Name: "configuration", Reason: "in_force", Detail: "version " + utoa(t.Version)})
-	m.withdrawKeys()
+	m.refuseWithdrawnKeys()
 	return true
 }
 
-// withdrawKeys refuses the waiting requests whose keys are no longer valid.
-// Those that run are left to end.
-func (m *Machine) withdrawKeys() {
+// refuseWithdrawnKeys refuses the waiting requests whose keys are no longer valid.
+// Running requests are completed.
+func (m *Machine) refuseWithdrawnKeys() {
 	for _, r := range m.requests.all() {
 		if r.stage != stageWaiting || r.route.Open || !m.table.Keyed {
 			continue
 		}
-		if m.table.Keys[r.arrive.Key] == nil {
+		if m.table.Keys[r.arrival.Key] == nil {
 			m.refuse(r, core.Refuse(core.CodeKeyWithdrawn, 0, "the key has been withdrawn"))
 		}
 	}
 }
 
-// acting tells whether this host may order a replica now.
-func (m *Machine) acting(id core.UpstreamID) (core.Fence, bool) {
+// orderFence returns the fencing number under which this host may order a replica
+// now, and false where it may not.
+func (m *Machine) orderFence(id core.UpstreamID) (core.Fence, bool) {
 	return m.shards.Acting(m.now, m.shards.Of(id))
 }
 
-// orderDone takes the end of an order.
-func (m *Machine) orderDone(e OrderDone) {
+// handleOrderDone applies the result of an order.
+func (m *Machine) handleOrderDone(e OrderDone) {
 	if o, ok := m.residency.Open(e.ID); ok {
 		what := "unload "
 		if o.Load {
@@ -260,20 +266,21 @@
 		m.emit(Note{Name: "order", Reason: e.Outcome.String(), Upstream: o.Replica, Detail: what + o.Adapter.String() + " after " + utoa(o.Expected)})
 	}
 	m.residency.Done(m.now, e.OrderDone)
-	m.order()
+	m.sendOrders()
 }
 
-// order sends the orders and probes that are due, and tells what has changed.
-func (m *Machine) order() {
+// sendOrders emits the orders and probes that are due, and sends the residency that
+// has changed.
+func (m *Machine) sendOrders() {
 	if !m.shards.ActsAny(m.now) && len(m.unsent) == 0 {
 		return
 	}
-	out := m.residency.Tick(m.now, m.acting)
+	out := m.residency.Tick(m.now, m.orderFence)
 	for _, o := range out.Orders {
 		m.emit(Order{o})
 	}
 	for _, p := range out.Probes {
 		m.emit(Probe{p})
 	}
-	m.tellResidency()
+	m.sendResidency()
 }
--- a/internal/core/direct/direct_test.go
+++ b/internal/core/direct/machine_test.go
@@ -10,7 +10,7 @@
 	"gentiancroft/internal/core/table"
 )
 
-func TestAHostWithoutAConfigurationRefusesTruthfully(t *testing.T) {
+func TestHostWithoutConfigurationRefusesRequestsAsNotRun(t *testing.T) {
 	h := newHost(t)
 	h.m = New(Settings{Self: fleet.Registration{Name: "a"}})
 	h.is.True(!h.m.Ready())
@@ -32,61 +32,61 @@
 	h.is.Equal(h.dispatch().Workspace, core.WorkspaceID("w"))
 }
 
-func TestANonIdempotentRequestIsSentAgainOnlyIfItSurelyHasNotRun(t *testing.T) {
+func TestNonIdempotentRequestIsRetriedOnlyIfItHasNotRun(t *testing.T) {
 	h := newHost(t)
 	h.arrive(Arrive{Path: "/act/x"})
 	first := h.dispatch()
 	h.is.True(first.Once)
-	h.end(first, EndNotRun)
+	h.endAttempt(first, EndNotRun)
 	second := h.dispatch()
 	h.is.True(second.Upstream != first.Upstream)
-	h.end(second, EndBroken)
+	h.endAttempt(second, EndBroken)
 	r := h.refusal()
 	h.is.Equal(r.Code, core.CodeUpstreamFailed)
 	h.is.Equal(r.Ran, core.RanUnknown)
 }
 
-func TestAnIdempotentRequestMovesOffASilentReplica(t *testing.T) {
+func TestIdempotentRequestMovesFromAnUnresponsiveReplica(t *testing.T) {
 	h := newHost(t)
 	h.arrive(Arrive{Path: "/read/x"})
 	first := h.dispatch()
-	h.after(100 * time.Millisecond)
+	h.advance(100 * time.Millisecond)
 	c, ok := get[Cancel](h)
 	h.is.True(ok)
 	h.is.Equal(c.Attempt, first.Attempt)
-	h.end(first, EndCancelled)
+	h.endAttempt(first, EndCancelled)
 	h.is.True(h.dispatch().Upstream != first.Upstream)
 }
 
-// An answer that begins while its attempt is being cancelled stays where it is; a
-// later cut of it is not taken for the move.
-func TestAnAnswerThatBeginsIsNotMoved(t *testing.T) {
+// An answer that starts while its attempt is being cancelled is not moved, and a
+// later break of it must not count as the move.
+func TestStartedAnswerIsNotMoved(t *testing.T) {
 	h := newHost(t)
 	h.arrive(Arrive{Path: "/read/x"})
 	first := h.dispatch()
-	h.after(100 * time.Millisecond)
+	h.advance(100 * time.Millisecond)
 	c, ok := get[Cancel](h)
 	h.is.True(ok)
 	h.is.True(c.Unbegun)
 	h.step(Begun{ID: first.ID, Attempt: 1, Passed: true})
 	h.is.True(!h.m.requests.byID[first.ID].moving)
-	h.after(900 * time.Millisecond) // its deadline
+	h.advance(900 * time.Millisecond) // its deadline
 	c, ok = get[Cancel](h)
 	h.is.True(ok)
 	h.is.True(!c.Unbegun)
 }
 
-func TestADeadlineIsNoPromise(t *testing.T) {
+func TestDeadlineOfARunningRequestLeavesItsResultUnknown(t *testing.T) {
 	h := newHost(t)
 	h.arrive(Arrive{Path: "/act/x"})
 	h.dispatch()
-	h.after(time.Second)
+	h.advance(time.Second)
 	r := h.refusal()
 	h.is.Equal(r.Code, core.CodeDeadline)
 	h.is.Equal(r.Ran, core.RanUnknown)
 }
 
-func TestAStreamGoesOnElsewhereAfterItsLastEvent(t *testing.T) {
+func TestStreamResumesOnAnotherReplicaAfterItsLastEvent(t *testing.T) {
 	h := newHost(t)
 	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
 	first := h.dispatch()
@@ -104,13 +104,13 @@
 	h.is.True(cut)
 }
 
-func TestARequestThatCrashesReplicasIsNotSentToAFourth(t *testing.T) {
+func TestRequestThatCrashedThreeReplicasIsRefused(t *testing.T) {
 	h := newHost(t)
 	for range 3 {
 		h.arrive(Arrive{Path: "/act/x", Fingerprint: 9})
 		d := h.dispatch()
 		h.step(Ended{ID: d.ID, Attempt: d.Attempt, Kind: EndBroken, Dropped: true})
-		h.after(time.Second)
+		h.advance(time.Second)
 	}
 	h.arrive(Arrive{Path: "/act/x", Fingerprint: 9})
 	h.is.Equal(h.refusal().Ran, core.RanNo)
@@ -118,47 +118,47 @@
 	h.dispatch()
 }
 
-// Found by a hunt (VERSION): a host that had just started took a version that
-// was named long before for one named a moment ago.
-func TestAVersionFoundInAListHasNoGrace(t *testing.T) {
+// Rule VERSION: a host that had just started took a version that was announced long
+// before for one announced a moment ago, and still used the older one.
+func TestListedVersionHasNoGracePeriod(t *testing.T) {
 	h := newHost(t)
 	h.step(VersionNamed{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}})
 	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
-	h.is.Equal(h.dispatch().Version, 0) // named a moment ago: the old one may be used yet
+	h.is.Equal(h.dispatch().Version, 0) // announced a moment ago: the old one may still be used
 	h.step(VersionNamed{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 3}, Listed: true})
 	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
 	_, sent := get[Dispatch](h)
-	h.is.True(!sent) // no replica holds version 3
+	h.is.True(!sent) // version 3 is loaded nowhere
 	newer := replica("e1", engines, core.AdapterRef{ID: "x", Version: 3})
 	newer.Sequence = 1
 	h.step(ReplicaListed{Entry: newer})
 	h.is.Equal(h.dispatch().Version, 3)
 }
 
-// Found by a hunt (LOST): streams taken late in a graceful shutdown outlived the
-// host.
-func TestALeavingHostClosesToStreamsEarlier(t *testing.T) {
+// Rule LOST: streams admitted late in a graceful shutdown were still running when
+// the host exited.
+func TestLeavingHostRefusesStreamsBeforeOtherRequests(t *testing.T) {
 	h := newHost(t)
 	h.step(Leave{})
 	h.is.True(!h.m.Ready())
 	stream := Arrive{Path: "/stream/x", Model: model, Adapter: "x"}
 	h.arrive(stream)
 	d := h.dispatch()
-	h.after(DefaultLeaveStreams + time.Millisecond)
+	h.advance(DefaultLeaveStreams + time.Millisecond)
 	h.arrive(stream)
 	h.is.Equal(h.refusal().Code, core.CodeLeaving)
 	h.arrive(Arrive{Path: "/read/x"})
-	h.end(h.dispatch(), EndOK)
-	h.after(DefaultLeaveAfter - DefaultLeaveStreams)
+	h.endAttempt(h.dispatch(), EndOK)
+	h.advance(DefaultLeaveAfter - DefaultLeaveStreams)
 	_, left := get[Left](h)
 	h.is.True(!left) // a stream is in flight
-	h.end(d, EndOK)
-	h.after(time.Millisecond)
+	h.endAttempt(d, EndOK)
+	h.advance(time.Millisecond)
 	_, left = get[Left](h)
 	h.is.True(left)
 }
 
-func TestALeavingReplicaIsSentNothing(t *testing.T) {
+func TestLeavingReplicaGetsNoRequests(t *testing.T) {
 	h := newHost(t)
 	leaving := replica("s1", services)
 	leaving.Leaving = true
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestWorkGoesWhereThereIsRoomAndNothingFails(t *testing.T) {
+func TestRequestsAreSpreadByLoad(t *testing.T) {
 	h := newHost(t)
 	counts := map[core.UpstreamID]int{}
 	for range 6 {
@@ -180,7 +180,7 @@
 	h.is.Equal(counts["s2"], 3)
 }
 
-func TestAPeersLoadCounts(t *testing.T) {
+func TestPeerLoadCountsInTheChoiceOfReplica(t *testing.T) {
 	h := newHost(t)
 	h.step(HostListed{Host: fleet.Registration{Name: "b", Host: "b/1"}})
 	h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true, Loads: []Load{{Replica: core.Short("s1"), Running: 5}}}}}})
@@ -188,7 +188,7 @@
 		h.arrive(Arrive{Path: "/act/x"})
 		h.is.Equal(h.dispatch().Upstream, core.UpstreamID("s2"))
 	}
-	h.after(fleet.HeardFor) // b is silent: its requests are not counted on
+	h.advance(fleet.HeardFor) // b is no longer reachable: its requests do not count
 	h.arrive(Arrive{Path: "/act/x"})
 	h.is.Equal(h.dispatch().Upstream, core.UpstreamID("s1"))
 }
@@ -202,24 +202,24 @@
 	h.is.Equal(h.refusal().Code, core.CodeNoUpstream)
 }
 
-// The pattern of a popular adapter whose version is named anew: the new one is
-// loaded at another home while the old one still serves.
-func TestANewVersionIsAskedForAtAnotherHomeWhileTheOldOneServes(t *testing.T) {
+// The new version of a popular adapter is loaded on another preferred replica while
+// the old one still serves.
+func TestNewVersionIsDemandedOnAnotherReplicaWhileTheOldOneServes(t *testing.T) {
 	h := newHost(t)
 	h.step(LeasesListed{})
 	h.step(HostListed{Host: fleet.Registration{Name: "b", Host: "b/1"}})
 	h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true}}}})
 	h.lease("b")
-	h.step(ReplicaListed{Entry: replica("e3", engines)}) // lacks the adapter
+	h.step(ReplicaListed{Entry: replica("e3", engines)}) // without the adapter
 	h.step(VersionNamed{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}})
 	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
 	h.is.True(h.dispatch().Upstream != "e3")
-	h.is.True(h.wanted("e3", 2))
+	h.is.True(h.demanded("e3", 2))
 }
 
-// Found by a hunt (CONFIG): the store fell silent and came back, and the watch
-// that waited since before it was never answered.
-func TestEverythingIsReadAgainOnceTheStoreIsBack(t *testing.T) {
+// Rule CONFIG: after an outage of the store, a watch that was pending since before
+// it was never answered.
+func TestDocumentsAreRereadAfterAStoreOutage(t *testing.T) {
 	h := newHost(t)
 	h.step(StoreReached{})
 	before := h.m.Reading().Reread
@@ -230,11 +230,11 @@
 	h.step(StoreReached{})
 	h.is.Equal(h.m.Reading().Reread, before+1)
 	h.step(StoreLost{})
-	h.step(StoreReached{}) // at once again: calls may fail one by one
+	h.step(StoreReached{}) // again at once: calls may fail one by one
 	h.is.Equal(h.m.Reading().Reread, before+1)
-	h.after(readAgain) // but what was lost in between is made up for
+	h.advance(rereadInterval) // the reread that was not allowed before
 	h.is.Equal(h.m.Reading().Reread, before+2)
-	h.after(readAgain)
+	h.advance(rereadInterval)
 	h.is.Equal(h.m.Reading().Reread, before+2)
 }
 
@@ -244,14 +244,14 @@
 	before := h.m.Reading().Reread
 	for n := range uint64(3) {
 		h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: n + 1, Ready: true, Config: 2}}}})
-		h.after(olderFor / 2)
+		h.advance(newerElsewhereTimeout / 2)
 	}
 	h.is.Equal(h.m.Reading().Reread, before+1)
 }
 
 func TestAWatcherKeepsTheOthersListCurrent(t *testing.T) {
 	h := newHost(t)
-	h.is.True(h.m.Reading().Watch) // alone: it watches itself
+	h.is.True(h.m.Reading().Watch) // alone: it watches the store itself
 	var n uint64
 	heartbeat := func(list uint64) {
 		n++
@@ -266,35 +266,35 @@
 	}
 	digest := h.m.listDigest()
 	heartbeat(digest)
-	h.is.True(!h.m.watching()) // by its name
+	h.is.True(!h.m.isWatcher()) // by its name
 	h.is.True(!h.m.Reading().Watch)
 	h.step(FromPeer{From: "b/1", Message: Message{Gone: []core.UpstreamID{"s1"}}})
 	h.is.True(h.m.replicas.Get("s1") == nil)
 	heartbeat(digest) // now the lists differ
-	h.after(differFor)
+	h.advance(listDifferTimeout)
 	heartbeat(digest)
 	h.is.True(h.m.Reading().Watch)
 }
 
-func TestSettingsChangeUnderWay(t *testing.T) {
+func TestSettingsChangeAtRunTime(t *testing.T) {
 	h := newHost(t)
 	h.step(Tuned{VersionGrace: time.Minute})
 	h.step(VersionNamed{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}})
-	h.after(30 * time.Second)
+	h.advance(30 * time.Second)
 	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
-	h.is.Equal(h.dispatch().Version, 0) // still within the longer grace
+	h.is.Equal(h.dispatch().Version, 0) // still within the longer grace period
 	h.step(Tuned{VersionGrace: time.Second})
 	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
 	_, sent := get[Dispatch](h)
 	h.is.True(!sent)
 }
 
-// The pattern of an outage of the store that outlasts the leases: nobody may
-// order, so a request for an adapter that no replica holds is not kept waiting.
+// In an outage of the store that outlasts the leases no shard has an owner, so a
+// request for an adapter that is loaded nowhere must not wait.
 func TestARequestThatNobodyCanLoadForIsRefusedSoon(t *testing.T) {
 	h := newHost(t)
 	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "absent"})
-	h.after(unaskedFor)
+	h.advance(noOwnerTimeout)
 	r := h.refusal()
 	h.is.Equal(r.Ran, core.RanNo)
 	h.is.True(r.RetryAfter > 0)
@@ -303,12 +303,12 @@
 	h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true}}}})
 	h.lease("b")
 	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "absent"})
-	h.after(unaskedFor) // somebody was asked: it waits
+	h.advance(noOwnerTimeout) // a demand was sent: it waits
 	_, refused := get[Refuse](h)
 	h.is.True(!refused)
 }
 
-func TestAHostIsReadyOnceItHasReadAllThatItDecidesBy(t *testing.T) {
+func TestHostIsReadyOnceAllItsInputsAreRead(t *testing.T) {
 	h := newHost(t)
 	h.is.True(h.m.Ready())
 	h.m = New(Settings{Self: fleet.Registration{Name: "a", Host: "a/1"}})
@@ -321,14 +321,14 @@
 	h.is.True(h.m.Ready())
 }
 
-// The pattern of a fleet that restarts at once: each host sends a first request
-// before it knows the others, and must not keep the retries of all for itself.
-func TestTheRetryBudgetFollowsTheFleet(t *testing.T) {
+// When the whole fleet restarts, each host sends a first request before it has found
+// the others, and must not keep the retries of all for itself.
+func TestRetryBudgetFollowsTheFleetSize(t *testing.T) {
 	h := newHost(t)
 	retries := func() int {
 		n := 0
 		for range 40 {
-			if h.m.budget(services).Retry(h.m.now) {
+			if h.m.retryBudget(services).Retry(h.m.now) {
 				n++
 			}
 		}
@@ -338,6 +338,6 @@
 	for _, name := range []string{"b", "c", "d", "e", "f", "g", "i"} {
 		h.step(HostListed{Host: fleet.Registration{Name: name, Host: core.HostID(name + "/1")}})
 	}
-	h.after(10 * time.Second)
+	h.advance(10 * time.Second)
 	h.is.True(retries() <= int(DefaultRetrySlack/8)) // an eighth of the fleet's
 }
--- a/internal/core/direct/peers.go
+++ b/internal/core/direct/peers.go
@@ -11,19 +11,19 @@
 	"gentiancroft/internal/core/residency"
 )
 
-// tellAll sends a message to all hosts that may be there.
-func (m *Machine) tellAll(message Message) {
+// sendToAll sends a message to all hosts that may be reachable.
+func (m *Machine) sendToAll(message Message) {
 	m.send(m.fleet.Peers(m.now), message)
 }
 
-// tellOwner sends a message to the host that orders a replica. It returns false
-// where there is none that was heard lately.
-func (m *Machine) tellOwner(replica core.UpstreamID, message Message) bool {
-	holder := m.shards.Holder(m.shards.Of(replica))
-	if holder == "" || holder == core.HostID(m.settings.Self.Name) {
+// sendToOwner sends a message to the owner of a replica's shard. It returns false if
+// there is none, if it is this host, or if it is not reachable.
+func (m *Machine) sendToOwner(replica core.UpstreamID, message Message) bool {
+	owner := m.shards.Holder(m.shards.Of(replica))
+	if owner == "" || owner == core.HostID(m.settings.Self.Name) {
 		return false
 	}
-	p, ok := m.fleet.Named(string(holder))
+	p, ok := m.fleet.Named(string(owner))
 	if !ok || !m.fleet.Alive(m.now, p.Host) {
 		return false
 	}
@@ -41,17 +41,17 @@
 	return loads
 }
 
-// forgetLoads drops what hosts told that are silent now.
-func (m *Machine) forgetLoads() {
+// expireLoads removes the loads of hosts that are no longer reachable.
+func (m *Machine) expireLoads() {
 	for h := range m.loads {
 		if !m.fleet.Alive(m.now, h) {
-			m.takeLoads(h, nil)
+			m.applyLoads(h, nil)
 		}
 	}
 }
 
-// takeLoads puts what a host has at the replicas in the place of what it had.
-func (m *Machine) takeLoads(from core.HostID, loads []Load) {
+// applyLoads replaces the loads that a host has at the replicas; nil removes them.
+func (m *Machine) applyLoads(from core.HostID, loads []Load) {
 	for _, l := range m.loads[from] {
 		if x := m.replicas.Short(l.Replica); x != nil {
 			x.Others = max(x.Others-l.Running, 0)
@@ -69,11 +69,11 @@
 	m.loads[from] = loads
 }
 
-// tellUses tells the hosts that order replicas which adapters are in use there.
-func (m *Machine) tellUses() {
+// reportUses reports the adapters in use on each replica to the owner of its shard.
+func (m *Machine) reportUses() {
 	byShard := map[int][]residency.Use{}
 	for _, u := range m.uses() {
-		if _, ok := m.acting(u.Replica); ok {
+		if _, ok := m.orderFence(u.Replica); ok {
 			m.residency.Used(m.now, core.HostID(m.settings.Self.Name), u)
 			continue
 		}
@@ -82,80 +82,80 @@
 	}
 	for _, shard := range slices.Sorted(maps.Keys(byShard)) {
 		uses := byShard[shard]
-		m.tellOwner(uses[0].Replica, Message{Uses: uses})
+		m.sendToOwner(uses[0].Replica, Message{Uses: uses})
 	}
 }
 
-// use is an adapter at a replica.
-type use struct {
+// adapterUse is an adapter on a replica.
+type adapterUse struct {
 	replica core.UpstreamID
 	adapter core.AdapterID
 }
 
-// sent counts a request for its adapter's popularity.
-func (m *Machine) sent(r *request, x *replicas.Replica) {
-	if r.arrive.Adapter != "" {
-		m.begunUses[use{x.ID, r.arrive.Adapter}]++
+// countUse counts a sent request for the popularity of its adapter.
+func (m *Machine) countUse(r *request, x *replicas.Replica) {
+	if r.arrival.Adapter != "" {
+		m.startedUses[adapterUse{x.ID, r.arrival.Adapter}]++
 	}
 }
 
-// uses counts the requests of this host at replicas by adapter, and those sent
-// since the last call.
+// uses returns the requests of this host by replica and adapter: those that run now,
+// and those sent since the last call.
 func (m *Machine) uses() []residency.Use {
-	running := map[use]int{}
+	running := map[adapterUse]int{}
 	for _, r := range m.requests.byID {
-		if r.stage == stageRunning && r.arrive.Adapter != "" {
-			running[use{r.upstream, r.arrive.Adapter}]++
+		if r.stage == stageRunning && r.arrival.Adapter != "" {
+			running[adapterUse{r.upstream, r.arrival.Adapter}]++
 		}
 	}
-	for u := range m.begunUses {
-		running[u] += 0 // one that has ended already is told as well
+	for u := range m.startedUses {
+		running[u] += 0 // one that has already ended is reported as well
 	}
 	uses := make([]residency.Use, 0, len(running))
 	for u, n := range running {
-		uses = append(uses, residency.Use{Replica: u.replica, Adapter: u.adapter, Running: n, Begun: m.begunUses[u]})
+		uses = append(uses, residency.Use{Replica: u.replica, Adapter: u.adapter, Running: n, Begun: m.startedUses[u]})
 	}
-	clear(m.begunUses)
+	clear(m.startedUses)
 	slices.SortFunc(uses, func(a, b residency.Use) int {
 		return cmp.Or(cmp.Compare(a.Replica, b.Replica), cmp.Compare(a.Adapter, b.Adapter))
 	})
 	return uses
 }
 
-// tellHeld answers a demand for what the replica holds already: a host that stands
-// by is told of residency only where it asks.
-func (m *Machine) tellHeld(w residency.Demand, to core.HostID) {
+// answerDemand sends the replica's residency to a host whose demand it already
+// meets: standby hosts receive residency only on demand.
+func (m *Machine) answerDemand(d residency.Demand, to core.HostID) {
 	p, known := m.fleet.Of(to)
-	held, ok := m.residency.Meets(w)
+	loaded, ok := m.residency.Meets(d)
 	if known && ok {
-		m.send([]fleet.Registration{p}, Message{Residencies: []replicas.Residency{held}})
+		m.send([]fleet.Registration{p}, Message{Residencies: []replicas.Residency{loaded}})
 	}
 }
 
-// fromPeer takes another host's message.
-func (m *Machine) fromPeer(e FromPeer) {
+// handlePeerMessage applies another host's message.
+func (m *Machine) handlePeerMessage(e FromPeer) {
 	for i := range e.Message.Heartbeats {
-		m.heard(e.From, &e.Message.Heartbeats[i])
+		m.receiveHeartbeat(e.From, &e.Message.Heartbeats[i])
 	}
-	m.takeList(e.Message)
-	m.takeDocuments(e)
-	for _, w := range e.Message.Demands {
-		m.residency.Demanded(m.now, w)
-		m.awaiting.add(w.Replica, e.From)
-		m.tellHeld(w, e.From)
+	m.applyListChanges(e.Message)
+	m.applyDocuments(e)
+	for _, d := range e.Message.Demands {
+		m.residency.Demanded(m.now, d)
+		m.waiters.add(d.Replica, e.From)
+		m.answerDemand(d, e.From)
 	}
 	for _, u := range e.Message.Uses {
 		m.residency.Used(m.now, e.From, u)
 	}
 	for _, s := range e.Message.Residencies {
-		if _, ok := m.acting(s.Replica); ok {
-			continue // this host knows better
+		if _, ok := m.orderFence(s.Replica); ok {
+			continue // this host is the owner, and its own state is newer
 		}
 		m.replicas.TakeResidency(m.now, s)
 		m.residency.Yield(s.Replica)
 	}
 	if len(e.Message.Demands) > 0 {
-		m.order()
+		m.sendOrders()
 	}
 	if len(e.Message.Residencies) > 0 {
 		m.placeWaiting()
--- a/internal/core/direct/place.go
+++ b/internal/core/direct/place.go
@@ -11,264 +11,272 @@
 )
 
 const (
-	// homeKind separates the scores of adapters' homes from those of other things.
-	homeKind = 23
-	// askAgain is how long after asking for an adapter it is asked for again.
-	askAgain = 400 * time.Millisecond
-	// beginTime is what a request needs from its dispatch to its first event.
-	beginTime = 60 * time.Millisecond
-	// waitObjectives is how long a request waits for its adapter at most, in
-	// objectives of its route.
-	waitObjectives = 3
-	// waitLeast is the least of such a wait.
-	waitLeast = 1500 * time.Millisecond
-	// unaskedFor is how long a request waits while nobody orders any replica that
-	// could load its adapter.
-	unaskedFor = 300 * time.Millisecond
-	// crowded is the occupancy of the least busy holder from which a further
-	// replica is asked to hold an adapter.
-	crowded = 0.6
-	// copyEvery is how often a further copy of an adapter is asked for.
-	copyEvery = time.Second
-	// fullAt is the occupancy from which a replica is sent nothing more.
-	fullAt = 1.6
+	// preferenceKind separates the scores of adapters' preferred replicas from other
+	// scores.
+	preferenceKind = 23
+	// demandInterval is the minimum time between two demands for an adapter.
+	demandInterval = 400 * time.Millisecond
+	// dispatchToFirstEvent is the time from a request's dispatch to its first event.
+	dispatchToFirstEvent = 60 * time.Millisecond
+	// maxWaitObjectives is how long a request may wait for its adapter, in objectives of
+	// its route.
+	maxWaitObjectives = 3
+	// minAdapterWait is the lower bound of that time.
+	minAdapterWait = 1500 * time.Millisecond
+	// noOwnerTimeout is how long a request waits while no replica that could load its
+	// adapter has a reachable owner.
+	noOwnerTimeout = 300 * time.Millisecond
+	// copyUtilizationThreshold is the utilization of the chosen replica from which the
+	// adapter is loaded on another one.
+	copyUtilizationThreshold = 0.6
+	// copyInterval is the minimum time between two demands for another copy of an
+	// adapter.
+	copyInterval = time.Second
+	// saturationThreshold is the utilization from which a replica is sent no more
+	// requests.
+	saturationThreshold = 1.6
 )
 
-// Weights of the choice between replicas.
+// Weights in the score by which a replica is chosen; the lowest score wins.
 const (
-	failureWeight = 3.0  // of the failures at a replica, against its occupancy
-	abroadWeight  = 0.08 // added occupancy of a replica in another failure domain
-	triedWeight   = 10.0 // added where the request has already failed
-	olderWeight   = 1.0  // added where the adapter is of an older version
+	failureWeight      = 3.0  // factor of the failure score
+	remoteDomainWeight = 0.08 // added utilization of a replica in a remote failure domain
+	triedWeight        = 10.0 // added where the request has already failed
+	olderVersionWeight = 1.0  // added where the adapter is of an older version
 )
 
-// place sends a request to a replica, or lets it wait for its adapter.
+// place sends a request to a replica, lets it wait for its adapter or refuses it.
 func (m *Machine) place(r *request) {
-	holders, full := m.candidates(r)
-	if len(holders) > 0 {
-		best := m.choose(r, holders)
-		m.askNewer(r, best)
-		m.spread(r, best)
+	usable, saturated := m.candidates(r)
+	if len(usable) > 0 {
+		best := m.choose(r, usable)
+		m.demandNewerVersion(r, best)
+		m.demandCopy(r, best)
 		m.dispatch(r, best)
 		return
 	}
-	if full {
-		m.refuse(r, core.Refuse(core.CodeOverloaded, retryNoRoom, "every replica that could run it is full"))
+	if saturated {
+		m.refuse(r, core.Refuse(core.CodeOverloaded, retryAfterSaturated, "every replica that could run it is full"))
 		return
 	}
-	if r.arrive.Adapter == "" || r.service.Engine == nil {
-		m.noReplica(r)
+	if r.arrival.Adapter == "" || r.service.Engine == nil {
+		m.refuseNoReplica(r)
 		return
 	}
 	if r.stage != stageWaiting {
-		r.stage, r.since = stageWaiting, m.now
-		m.emit(Note{Name: "wait", Reason: "adapter", ID: r.id(), Detail: string(r.arrive.Adapter)})
+		r.stage, r.stageSince = stageWaiting, m.now
+		m.emit(Note{Name: "wait", Reason: "adapter", ID: r.id(), Detail: string(r.arrival.Adapter)})
 	}
-	m.ask(r)
+	m.demandAdapter(r)
 }
 
-// noReplica ends a request that no replica can run now.
-func (m *Machine) noReplica(r *request) {
-	m.refuse(r, core.Refuse(core.CodeNoUpstream, retryNoRoom, "no replica can run it now"))
+// refuseNoReplica refuses a request that no replica can run now.
+func (m *Machine) refuseNoReplica(r *request) {
+	m.refuse(r, core.Refuse(core.CodeNoUpstream, retryAfterSaturated, "no replica can run it now"))
 }
 
-// candidates are the replicas that could run a request now; full tells that
-// there are some, but without room.
-func (m *Machine) candidates(r *request) (usable []*replicas.Replica, full bool) {
+// candidates returns the replicas that can run a request now; saturated
+// is true if replicas were left out because they are saturated.
+func (m *Machine) candidates(r *request) (usable []*replicas.Replica, saturated bool) {
 	for _, x := range m.replicas.Of(r.service.ID) {
-		if x.Leaving || !m.holds(r, x) {
+		if x.Leaving || !m.canRun(r, x) {
 			continue
 		}
-		if r.service.Engine != nil && x.Occupancy() >= fullAt {
-			full = true
+		if r.service.Engine != nil && x.Occupancy() >= saturationThreshold {
+			saturated = true
 			continue
 		}
 		usable = append(usable, x)
 	}
-	return usable, full
+	return usable, saturated
 }
 
-// holds reports whether a replica has what a request needs, at a version that
-// may still be used.
-func (m *Machine) holds(r *request, x *replicas.Replica) bool {
-	if r.service.Engine == nil || r.arrive.Model == "" {
+// canRun reports whether a replica has loaded what a request needs, at a version
+// that may still be used.
+func (m *Machine) canRun(r *request, x *replicas.Replica) bool {
+	if r.service.Engine == nil || r.arrival.Model == "" {
 		return true
 	}
-	if !x.HoldsModel(r.arrive.Model) {
+	if !x.HoldsModel(r.arrival.Model) {
 		return false
 	}
-	if r.arrive.Adapter == "" {
+	if r.arrival.Adapter == "" {
 		return true
 	}
-	version, ok := x.Holds(r.arrive.Adapter)
-	return ok && version >= m.leastVersion(r.arrive.Adapter)
+	version, ok := x.Holds(r.arrival.Adapter)
+	return ok && version >= m.minVersion(r.arrival.Adapter)
 }
 
-// leastVersion is the oldest version of an adapter that a request may run on.
-func (m *Machine) leastVersion(a core.AdapterID) int {
+// minVersion returns the oldest version of an adapter that a request may run on; 0:
+// any.
+func (m *Machine) minVersion(a core.AdapterID) int {
 	v, ok := m.versions[a]
-	if !ok || m.now.Sub(v.at) < m.settings.VersionGrace {
+	if !ok || m.now.Sub(v.announcedAt) < m.settings.VersionGrace {
 		return 0
 	}
 	return v.version
 }
 
-// choose picks the replica with the most room, those that fail or lie in
-// another failure domain coming later.
+// choose returns the replica with the lowest utilization, weighted against failures,
+// remote failure domains, earlier attempts and older versions.
 func (m *Machine) choose(r *request, from []*replicas.Replica) *replicas.Replica {
 	score := func(x *replicas.Replica) float64 {
 		s := (float64(x.Load()) + 1) / float64(max(x.Batch, 1))
-		s *= 1 + failureWeight*m.failureOf(x.ID)
+		s *= 1 + failureWeight*m.failureScore(x.ID)
 		if x.Domain != m.settings.Self.Domain {
-			s += abroadWeight
+			s += remoteDomainWeight
 		}
 		if slices.Contains(r.tried, x.ID) {
 			s += triedWeight
 		}
-		if version, ok := x.Holds(r.arrive.Adapter); ok && version < m.versions[r.arrive.Adapter].version {
-			s += olderWeight
+		if version, ok := x.Holds(r.arrival.Adapter); ok && version < m.versions[r.arrival.Adapter].version {
+			s += olderVersionWeight
 		}
 		return s
 	}
 	first := m.rng.IntN(len(from)) // ties are broken evenly
-	best, least := from[first], score(from[first])
+	best, lowest := from[first], score(from[first])
 	for i := 1; i < len(from); i++ {
 		x := from[(first+i)%len(from)]
-		if s := score(x); s < least {
-			best, least = x, s
+		if s := score(x); s < lowest {
+			best, lowest = x, s
 		}
 	}
 	return best
 }
 
-// homes are the replicas that should hold an adapter, the first one first. The
-// order stays the same as long as the replicas do.
-func (m *Machine) homes(r *request) []*replicas.Replica {
+// preferredReplicas returns the replicas on which an adapter can be loaded, in order
+// of preference (rendezvous hashing): the order does not change unless the replicas
+// do.
+func (m *Machine) preferredReplicas(r *request) []*replicas.Replica {
 	type scored struct {
 		*replicas.Replica
 		score uint64
 	}
-	name := string(r.arrive.Adapter)
+	name := string(r.arrival.Adapter)
 	var all []scored
 	for _, x := range m.replicas.Of(r.service.ID) {
-		if !x.Leaving && x.HoldsModel(r.arrive.Model) {
-			all = append(all, scored{x, core.Score(core.HostID(x.ID), homeKind, name)})
+		if !x.Leaving && x.HoldsModel(r.arrival.Model) {
+			all = append(all, scored{x, core.Score(core.HostID(x.ID), preferenceKind, name)})
 		}
 	}
 	slices.SortFunc(all, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
-	homes := make([]*replicas.Replica, len(all))
+	ordered := make([]*replicas.Replica, len(all))
 	for i, x := range all {
-		homes[i] = x.Replica
+		ordered[i] = x.Replica
 	}
-	return homes
+	return ordered
 }
 
-// ask asks the owner of the home of the request's adapter to load it: of the
-// first that somebody orders now.
-func (m *Machine) ask(r *request) {
-	if r.asked != 0 && m.now.Sub(r.asked) < askAgain {
+// demandAdapter demands the request's adapter, unless that was done within
+// demandInterval.
+func (m *Machine) demandAdapter(r *request) {
+	if r.lastDemand != 0 && m.now.Sub(r.lastDemand) < demandInterval {
 		return
 	}
-	if m.askHomes(r) {
-		r.asked = m.now
+	if m.demandOnPreferred(r) {
+		r.lastDemand = m.now
 	}
 }
 
-// askHomes asks at the first home that somebody orders now; false where nobody
-// orders any. One that holds an
-// older version takes the new one only once the old one is not in use: the next
-// home is asked as well.
-func (m *Machine) askHomes(r *request) (asked bool) {
-	for _, x := range m.homes(r) {
-		_, older := x.Holds(r.arrive.Adapter)
-		if !m.want(r, x) {
+// demandOnPreferred sends a demand to the owner of the first preferred replica that
+// has one, and returns false where none has. If an older version is loaded there,
+// the next replica gets a demand as well: the older version is replaced only once it
+// is no longer in use.
+func (m *Machine) demandOnPreferred(r *request) (demanded bool) {
+	for _, x := range m.preferredReplicas(r) {
+		_, older := x.Holds(r.arrival.Adapter)
+		if !m.sendDemand(r, x) {
 			continue
 		}
-		asked = true
+		demanded = true
 		if !older {
 			return true
 		}
 	}
-	return asked
+	return demanded
 }
 
-// askNewer asks for an adapter's newest version while an older one still serves.
-func (m *Machine) askNewer(r *request, x *replicas.Replica) {
-	a := r.arrive.Adapter
+// demandNewerVersion demands the newest version of an adapter while an older one
+// still serves.
+func (m *Machine) demandNewerVersion(r *request, x *replicas.Replica) {
+	a := r.arrival.Adapter
 	version, ok := x.Holds(a)
-	if !ok || version >= m.versions[a].version || m.copies[a] != 0 && m.now.Sub(m.copies[a]) < askAgain {
+	if !ok || version >= m.versions[a].version || m.lastExtraDemand[a] != 0 && m.now.Sub(m.lastExtraDemand[a]) < demandInterval {
 		return
 	}
-	m.copies[a] = m.now
-	m.askHomes(r)
+	m.lastExtraDemand[a] = m.now
+	m.demandOnPreferred(r)
 }
 
-// want tells the host that orders a replica that an adapter is wanted there. It
-// returns false where nobody orders the replica now.
-func (m *Machine) want(r *request, x *replicas.Replica) bool {
-	w := residency.Demand{
+// sendDemand sends a demand for an adapter to the owner of a replica. It returns
+// false where the replica has no reachable owner.
+func (m *Machine) sendDemand(r *request, x *replicas.Replica) bool {
+	d := residency.Demand{
 		Replica: x.ID,
-		Model:   r.arrive.Model,
-		Adapter: core.AdapterRef{ID: r.arrive.Adapter, Version: m.versions[r.arrive.Adapter].version},
-		Weight:  m.waitingFor(r.arrive.Adapter),
-		Left:    r.came.Add(r.route.Objective).Sub(m.now) - beginTime,
+		Model:   r.arrival.Model,
+		Adapter: core.AdapterRef{ID: r.arrival.Adapter, Version: m.versions[r.arrival.Adapter].version},
+		Weight:  m.waitingCount(r.arrival.Adapter),
+		Left:    r.arrivedAt.Add(r.route.Objective).Sub(m.now) - dispatchToFirstEvent,
 	}
-	if _, ok := m.acting(x.ID); ok {
-		m.residency.Demanded(m.now, w)
-		m.order()
+	if _, ok := m.orderFence(x.ID); ok {
+		m.residency.Demanded(m.now, d)
+		m.sendOrders()
 		return true
 	}
-	return m.tellOwner(x.ID, Message{Demands: []residency.Demand{w}})
+	return m.sendToOwner(x.ID, Message{Demands: []residency.Demand{d}})
 }
 
-// waitingFor is how many requests of this host wait for an adapter.
-func (m *Machine) waitingFor(a core.AdapterID) int {
+// waitingCount returns how many requests of this host wait for an adapter, at least
+// 1.
+func (m *Machine) waitingCount(a core.AdapterID) int {
 	n := 0
 	for _, r := range m.requests.byID {
-		if r.stage == stageWaiting && r.arrive.Adapter == a {
+		if r.stage == stageWaiting && r.arrival.Adapter == a {
 			n++
 		}
 	}
 	return max(n, 1)
 }
 
-// spread asks for a further copy of an adapter whose holders are busy.
-func (m *Machine) spread(r *request, best *replicas.Replica) {
-	a := r.arrive.Adapter
-	if a == "" || r.service.Engine == nil || best.Occupancy() < crowded || m.now.Sub(m.copies[a]) < copyEvery && m.copies[a] != 0 {
+// demandCopy demands another copy of an adapter where the replicas that have it
+// loaded are busy.
+func (m *Machine) demandCopy(r *request, best *replicas.Replica) {
+	a := r.arrival.Adapter
+	if a == "" || r.service.Engine == nil || best.Occupancy() < copyUtilizationThreshold || m.now.Sub(m.lastExtraDemand[a]) < copyInterval && m.lastExtraDemand[a] != 0 {
 		return
 	}
-	m.copies[a] = m.now
-	for _, x := range m.homes(r) {
+	m.lastExtraDemand[a] = m.now
+	for _, x := range m.preferredReplicas(r) {
 		if _, ok := x.Holds(a); ok || x.Occupancy() > best.Occupancy()/2 {
 			continue
 		}
-		m.want(r, x)
+		m.sendDemand(r, x)
 		return
 	}
 }
 
-// placeWaiting tries the waiting requests again, the most urgent first.
+// placeWaiting places the waiting requests that can run now, the most urgent first.
 func (m *Machine) placeWaiting() {
 	for _, r := range m.requests.waiting() {
-		if holders, _ := m.candidates(r); len(holders) > 0 {
+		if usable, _ := m.candidates(r); len(usable) > 0 {
 			m.place(r)
 		}
 	}
 }
 
-// dispatch sends an attempt.
+// dispatch sends an attempt of a request to a replica.
 func (m *Machine) dispatch(r *request, x *replicas.Replica) {
 	r.attempt++
 	r.upstream = x.ID
-	r.stage, r.since = stageRunning, m.now
-	r.begun, r.moving = false, false
+	r.stage, r.stageSince = stageRunning, m.now
+	r.answerStarted, r.moving = false, false
 	x.Mine++
-	m.sent(r, x)
+	m.countUse(r, x)
 	if r.attempt == 1 {
-		m.budget(r.service.ID).First(m.now)
+		m.retryBudget(r.service.ID).First(m.now)
 	}
-	m.emit(Note{Name: "dispatch", Reason: "least_occupied", ID: r.id(), Upstream: x.ID, Age: m.now.Sub(r.came), Detail: "load " + utoa(uint64(x.Load()))})
+	m.emit(Note{Name: "dispatch", Reason: "least_occupied", ID: r.id(), Upstream: x.ID, Age: m.now.Sub(r.arrivedAt), Detail: "load " + utoa(uint64(x.Load()))})
 	m.emit(Dispatch{
 		ID:        r.id(),
 		Attempt:   r.attempt,
@@ -276,19 +284,19 @@
 		Address:   x.Address,
 		Workspace: r.workspaceID(),
 		Left:      r.deadline.Sub(m.now),
-		Version:   m.expected(r),
-		LastEvent: r.last,
+		Version:   m.expectedVersion(r),
+		LastEvent: r.lastEvent,
 		Once:      !r.route.Repeatable(),
 		Priority:  r.route.Priority,
 	})
 }
 
-// expected is the adapter version that the replica must confirm, 0 for any.
-func (m *Machine) expected(r *request) int {
-	if r.arrive.Adapter == "" {
+// expectedVersion returns the adapter version that the replica must confirm; 0: any.
+func (m *Machine) expectedVersion(r *request) int {
+	if r.arrival.Adapter == "" {
 		return 0
 	}
-	return m.leastVersion(r.arrive.Adapter)
+	return m.minVersion(r.arrival.Adapter)
 }
 
 func (r *request) workspaceID() core.WorkspaceID {
--- a/internal/core/direct/requests.go
+++ b/internal/core/direct/requests.go
@@ -10,44 +10,44 @@
 
 func utoa(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// stage is where a request stands.
+// stage is the stage of a request.
 type stage uint8
 
 const (
-	stageWaiting stage = iota + 1 // for a replica that holds its adapter
+	stageWaiting stage = iota + 1 // for a replica that has its adapter loaded
 	stageRunning                  // an attempt is at a replica
 )
 
-// request is one caller request in the machine.
+// request is a caller's request and its progress.
 type request struct {
-	arrive    Arrive
-	route     *table.Route
-	service   *table.Service
-	workspace *table.Workspace // nil: charged to nobody
-	cost      core.Tokens
-	came      core.Instant
-	deadline  core.Instant
-	stage     stage
-	since     core.Instant // of the stage
-
-	attempt  int             // sends so far
-	ran      int             // of them, those that may have run
-	upstream core.UpstreamID // of the attempt that runs
-	tried    []core.UpstreamID
-	begun    bool // the running attempt has been answered in part
-	passed   bool // the caller has been sent a part of the answer
-	moving   bool // the attempt is cancelled to try elsewhere
-	over     bool // the caller has its final answer, or needs none
-	outcome  string
-	first    core.Instant // when its answer began; 0: it has not
-	last     string
-	asked    core.Instant // when its adapter was last asked for
-	look     core.Instant // when it is next looked after
+	arrival    Arrive
+	route      *table.Route
+	service    *table.Service
+	workspace  *table.Workspace // nil: no workspace is charged
+	cost       core.Tokens
+	arrivedAt  core.Instant
+	deadline   core.Instant
+	stage      stage
+	stageSince core.Instant // start of the stage
+
+	attempt         int             // attempts sent
+	possibleRuns    int             // ended attempts that may have run
+	upstream        core.UpstreamID // of the latest attempt
+	tried           []core.UpstreamID
+	answerStarted   bool // the replica has started to answer the latest attempt
+	partDelivered   bool // a part of the answer has been sent to the caller
+	moving          bool // the attempt is being cancelled, to be retried on another replica
+	closed          bool // the caller has its final answer or has hung up
+	outcome         string
+	answerStartedAt core.Instant // 0: no answer yet
+	lastEvent       string
+	lastDemand      core.Instant // when its adapter was last demanded
+	nextCheck       core.Instant // when its timeouts are next checked
 }
 
-func (r *request) id() core.RequestID { return r.arrive.ID }
+func (r *request) id() core.RequestID { return r.arrival.ID }
 
-// requests are those of this host that have no end yet.
+// requests holds the requests of this host that have not ended.
 type requests struct {
 	byID map[core.RequestID]*request
 }
@@ -58,15 +58,15 @@
 
 func (t *requests) remove(r *request) { delete(t.byID, r.id()) }
 
-// all returns the requests in the order in which they came.
+// all returns the requests in order of arrival.
 func (t *requests) all() []*request {
 	all := make([]*request, 0, len(t.byID))
 	for _, r := range t.byID {
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(a, b *request) int {
-		if a.came != b.came {
-			return int(max(min(a.came-b.came, 1), -1))
+		if a.arrivedAt != b.arrivedAt {
+			return int(max(min(a.arrivedAt-b.arrivedAt, 1), -1))
 		}
 		if a.id() < b.id() {
 			return -1
@@ -76,26 +76,26 @@
 	return all
 }
 
-// due returns those that may have to be looked after at a time, in the order in
-// which they came.
+// due returns all requests, in order of arrival, if one of them is due for a check,
+// and else nil.
 func (t *requests) due(now core.Instant) []*request {
 	for _, r := range t.byID {
-		if now >= r.look {
+		if now >= r.nextCheck {
 			return t.all()
 		}
 	}
 	return nil
 }
 
-// waiting returns those that wait, the most urgent first.
+// waiting returns the waiting requests, the most urgent first.
 func (t *requests) waiting() []*request {
-	all := slices.DeleteFunc(t.all(), func(r *request) bool { return r.stage != stageWaiting || r.over })
+	all := slices.DeleteFunc(t.all(), func(r *request) bool { return r.stage != stageWaiting || r.closed })
 	slices.SortStableFunc(all, func(a, b *request) int { return a.priority() - b.priority() })
 	return all
 }
 
-// priority is the request's rank, 0 being the most urgent: its workspace's
-// first, then its route's.
+// priority returns the request's rank; 0 is the most urgent. The workspace's
+// priority goes before the route's.
 func (r *request) priority() int {
 	const priorities = 10
 	if r.workspace == nil {
@@ -104,12 +104,12 @@
 	return r.workspace.Priority*priorities + r.route.Priority
 }
 
-// mayHaveRun tells what is known of whether a replica has run the request.
-func (r *request) mayHaveRun() core.Ran {
+// ranState returns whether a replica has run the request, as far as that is certain.
+func (r *request) ranState() core.Ran {
 	switch {
-	case r.passed || r.begun:
+	case r.partDelivered || r.answerStarted:
 		return core.RanYes
-	case r.ran > 0 || r.stage == stageRunning:
+	case r.possibleRuns > 0 || r.stage == stageRunning:
 		return core.RanUnknown
 	}
 	return core.RanNo
--- a/internal/core/direct/settings.go
+++ b/internal/core/direct/settings.go
@@ -9,24 +9,24 @@
 	"gentiancroft/internal/core/shard"
 )
 
-// HostsPrefix begins the keys of the hosts' registrations.
+// HostsPrefix is the key prefix of the hosts' registrations in the store.
 const HostsPrefix = "gentiancroft-hosts/"
 
-// Settings of a host.
+// Settings of a host. Zero fields that have a default take it.
 type Settings struct {
 	Self         fleet.Registration
 	Seed         uint64
-	FirstStart   bool // the whole deployment starts, not this host alone
+	FirstStart   bool // the whole deployment starts, not only this host
 	Shard        shard.Settings
 	Residency    residency.Settings
-	RetryShare   float64       // retries a first attempt, over the fleet
-	RetrySlack   float64       // further retries in RetryWindow, over the fleet
+	RetryShare   float64       // retries per first attempt, over the whole fleet
+	RetrySlack   float64       // additional retries in RetryWindow, over the whole fleet
 	RetryWindow  time.Duration // of RetrySlack
-	VersionGrace time.Duration // how long a version may still be used after a newer one is named
-	Heartbeat    time.Duration // between two messages to the other hosts
+	VersionGrace time.Duration // how long an older version may be used after a newer one was announced
+	Heartbeat    time.Duration // heartbeat interval of an active host, before the addition per receiver
 	LeaveStreams time.Duration // from Leave to the refusal of new streams
 	LeaveAfter   time.Duration // from Leave to the refusal of new requests
-	LeaveBy      time.Duration // from Leave to the end, with or without requests in flight
+	LeaveBy      time.Duration // from Leave to the end, even with requests in flight
 }
 
 // Defaults of Settings.
@@ -41,12 +41,12 @@
 	DefaultLeaveBy      = 7500 * time.Millisecond
 )
 
-// meetTime is how long the hosts of a new deployment take to find each other. None
-// speaks to others before: a few of them would look like a small fleet, in which
-// everyone has a link to everyone.
-const meetTime = 600 * time.Millisecond
+// discoveryTime is how long the hosts of a new deployment take to find each other.
+// No host sends heartbeats before: the first few would take themselves for a small
+// fleet, in which every host has a link to every other one.
+const discoveryTime = 600 * time.Millisecond
 
-func (s *Settings) fill() {
+func (s *Settings) setDefaults() {
 	core.OrDefault(&s.RetryShare, DefaultRetryShare)
 	core.OrDefault(&s.RetrySlack, DefaultRetrySlack)
 	core.OrDefault(&s.RetryWindow, DefaultRetryWindow)
@@ -57,5 +57,5 @@
 	core.OrDefault(&s.LeaveBy, DefaultLeaveBy)
 	s.Shard.Self = core.HostID(s.Self.Name)
 	s.Residency.Self = core.HostID(s.Self.Name)
-	core.OrDefault(&s.Shard.Meet, 2*meetTime) // once the hosts have heard each other
+	core.OrDefault(&s.Shard.Meet, 2*discoveryTime) // after the first heartbeats
 }
--- a/internal/core/direct/state.go
+++ b/internal/core/direct/state.go
@@ -7,40 +7,40 @@
 	"gentiancroft/internal/core/table"
 )
 
-// State is what a host knows and has under way, for the metrics.
+// State is a host's state, for the metrics.
 type State struct {
 	Configuration    uint64        // version in force
-	ConfigurationAge time.Duration // since it is in force
+	ConfigurationAge time.Duration // since it came into force
 	StoreAge         time.Duration // since the store last answered; 0: it never did
-	Active           bool          // callers are told of this host
-	ActiveHosts      int           // that are heard, this one included where it is active
-	Part             float64       // of the fleet that is heard
-	PeerAge          time.Duration // of the oldest heartbeat of an active host
-	Shards           int           // that this host orders the replicas of
+	Active           bool          // this host is advertised to callers
+	ActiveHosts      int           // reachable ones, this host included if it is active
+	Part             float64       // fraction of the fleet that is reachable
+	PeerAge          time.Duration // age of the oldest heartbeat among the active hosts
+	Shards           int           // shards that this host owns
 	Waiting          int           // requests that wait for their adapters
 	Replicas         []ReplicaState
 	Workspaces       []WorkspaceState
-	Retries          map[table.ServiceID]float64 // that may be made now, by service
-	Routes           map[string]bool             // of the configuration
+	Retries          map[table.ServiceID]float64 // available retries, by service
+	Routes           map[string]bool             // names of the configured routes
 }
 
-// ReplicaState is one replica as this host sees it.
+// ReplicaState is the state of one replica on this host.
 type ReplicaState struct {
 	ID       core.UpstreamID
 	Mine     int           // requests of this host there
-	Others   int           // of the other hosts
-	ToldAge  time.Duration // since its owner last told what it holds; 0: never
-	Failures float64       // lately, fading
+	Others   int           // requests of other hosts there
+	ToldAge  time.Duration // since its owner last reported its residency; 0: never
+	Failures float64       // decaying failure score
 }
 
-// WorkspaceState is one workspace's rate as this host sees it.
+// WorkspaceState is the state of one workspace's bucket on this host.
 type WorkspaceState struct {
 	ID      core.WorkspaceID
-	Level   int64 // tokens that are left, below zero: in debt
+	Level   int64 // tokens left; below zero: in debt
 	Granted int64 // tokens that this host has admitted since its start
 }
 
-// State reads the machine.
+// State returns the machine's state.
 func (m *Machine) State() State {
 	s := State{
 		Configuration: m.configVersion(),
@@ -56,8 +56,8 @@
 			s.Routes[r.Name] = true
 		}
 	}
-	if m.watch.answered != 0 {
-		s.StoreAge = m.now.Sub(m.watch.answered)
+	if m.watch.lastAnswer != 0 {
+		s.StoreAge = m.now.Sub(m.watch.lastAnswer)
 	}
 	for _, p := range m.fleet.ActivePeers() {
 		s.PeerAge = max(s.PeerAge, m.fleet.Age(m.now, p.Host))
@@ -68,12 +68,12 @@
 		}
 	}
 	for _, r := range m.requests.byID {
-		if r.stage == stageWaiting && !r.over {
+		if r.stage == stageWaiting && !r.closed {
 			s.Waiting++
 		}
 	}
 	for _, x := range m.replicas.All() {
-		s.Replicas = append(s.Replicas, ReplicaState{ID: x.ID, Mine: x.Mine, Others: x.Others, ToldAge: x.ToldAge(m.now), Failures: m.failureOf(x.ID)})
+		s.Replicas = append(s.Replicas, ReplicaState{ID: x.ID, Mine: x.Mine, Others: x.Others, ToldAge: x.ToldAge(m.now), Failures: m.failureScore(x.ID)})
 	}
 	for id, granted := range m.quota.Mine() {
 		level, _ := m.quota.Level(m.now, id)
--- a/internal/core/direct/state_test.go
+++ b/internal/core/direct/state_test.go
@@ -20,15 +20,15 @@
 	h.arrive(Arrive{Path: "/read/x"})
 	d := h.dispatch()
 	h.now += 30 * time.Millisecond
-	h.end(d, EndOK)
+	h.endAttempt(d, EndOK)
 	h.is.Equal(h.served(), Served{Route: "read", Outcome: "ok", FirstByte: 30 * time.Millisecond, Total: 30 * time.Millisecond})
 
 	h.arrive(Arrive{Path: "/act/x"})
-	h.end(h.dispatch(), EndError)
+	h.endAttempt(h.dispatch(), EndError)
 	h.is.Equal(h.served().Outcome, "error")
 
 	h.arrive(Arrive{Path: "/act/x"})
-	h.end(h.dispatch(), EndBroken)
+	h.endAttempt(h.dispatch(), EndBroken)
 	h.is.Equal(h.served().Outcome, string(core.CodeUpstreamFailed))
 
 	h.arrive(Arrive{Path: "/nowhere"})
@@ -37,7 +37,7 @@
 	id := h.arrive(Arrive{Path: "/act/x"})
 	d = h.dispatch()
 	h.step(Gone{ID: id})
-	h.end(d, EndCancelled)
+	h.endAttempt(d, EndCancelled)
 	h.is.Equal(h.served().Outcome, "caller_gone")
 
 	h.arrive(Arrive{Path: "/once-stream/x", Model: model, Adapter: "x"})
@@ -45,11 +45,11 @@
 	h.now += 10 * time.Millisecond
 	h.step(Begun{ID: d.ID, Attempt: 1, Passed: true})
 	h.now += 10 * time.Millisecond
-	h.end(d, EndBroken)
+	h.endAttempt(d, EndBroken)
 	h.is.Equal(h.served(), Served{Route: "once-stream", Outcome: "cut", FirstByte: 10 * time.Millisecond, Total: 20 * time.Millisecond})
 }
 
-func TestTheStateTellsWhatIsUnderWay(t *testing.T) {
+func TestStateReportsRunningWork(t *testing.T) {
 	h := newHost(t)
 	h.arrive(Arrive{Path: "/keyed/x", HasKey: true, Key: table.HashKey([]byte("key"))})
 	d := h.dispatch()
--- a/internal/core/direct/watchers.go
+++ b/internal/core/direct/watchers.go
@@ -9,44 +9,46 @@
 	"gentiancroft/internal/core/replicas"
 )
 
-// A few hosts watch the store and tell the others what changes there: the list of
-// replicas, the configuration, the adapters' newest versions and the registered
-// hosts. The others compare digests and versions, and read the store themselves
-// where they differ or where no watcher is heard.
+// A few hosts, the watchers, watch the store and send its changes to the others: the
+// list of replicas, the configuration, the adapters' newest versions and the
+// registered hosts. The other hosts compare digests and versions with the watchers'
+// heartbeats, and read the store themselves where they differ or where no watcher is
+// reachable.
 const (
-	watchers     = 3 // hosts that watch the store
-	watchersKind = 31
-	toldMost     = 64 << 10                // bytes of a configuration that is told; a longer one is read from the store
-	storeFresh   = 1600 * time.Millisecond // an answer of the store counts so long; a host asks once a second at least
-	differFor    = 600 * time.Millisecond  // that a watcher may know something else
-	differLonger = relayEvery              // added where heartbeats come through others
-	olderFor     = 300 * time.Millisecond  // that another host may know a newer document
-	readAgain    = time.Second             // between two readings for the same reason
+	watcherCount          = 3 // hosts that watch the store
+	watchersKind          = 31
+	maxSentConfigBytes    = 64 << 10                // a longer configuration is read from the store
+	storeAnswerTTL        = 1600 * time.Millisecond // how long an answer of the store counts; a host calls it at least once a second
+	listDifferTimeout     = 600 * time.Millisecond  // how long a watcher's list may differ
+	standbyDifferDelay    = relayInterval           // added on standby hosts, whose heartbeats are relayed
+	newerElsewhereTimeout = 300 * time.Millisecond  // how long another host may have a newer document
+	rereadInterval        = time.Second             // minimum time between two rereads
 )
 
-// watchState is what a host knows of the others' view of the store.
+// watchState is the state of this host's view of the store, compared with that of
+// the other hosts.
 type watchState struct {
-	differs  map[core.HostID]core.Instant // since when a watcher's list differs from this host's
-	older    core.Instant                 // since when another host has a newer document; 0: none has
-	read     core.Instant                 // when documents were last read again
-	answered core.Instant                 // when the store last answered this host
-	lost     bool                         // the last call to it failed
-	again    bool                         // documents are to be read again as soon as that is allowed
+	differSince   map[core.HostID]core.Instant // when a watcher's list was first seen to differ from this host's
+	olderSince    core.Instant                 // when another host was first seen to have a newer document; 0: none has
+	lastReread    core.Instant                 // when documents were last reread
+	lastAnswer    core.Instant                 // when the store last answered this host
+	storeLost     bool                         // the last call to the store failed
+	rereadPending bool                         // a reread is due after rereadInterval
 }
 
-// Reading is how the machine wants the store to be read.
+// Reading is how the store is to be read.
 type Reading struct {
-	Watch   bool   // follow the objects, instead of being told of their changes
+	Watch   bool   // watch the objects, instead of relying on a watcher's messages
 	Reread  uint64 // rises each time that the configuration and versions are to be read again
-	Relist  uint64 // rises each time that all objects are
-	Standby bool   // stronger hosts serve
-	Alone   bool   // no other host is heard: only this host's own calls show a change
+	Relist  uint64 // rises each time that all objects are to be listed again
+	Standby bool   // this host is a standby host
+	Alone   bool   // no other active host is reachable: changes show only in this host's own calls
 }
 
-// Reading tells how the store is to be read now.
+// Reading returns how the store is to be read now.
 func (m *Machine) Reading() Reading {
 	return Reading{
-		Watch:   m.watching() || !m.covered(),
+		Watch:   m.isWatcher() || !m.keptCurrent(),
 		Reread:  m.rereads,
 		Relist:  m.relists,
 		Standby: !m.fleet.Active(),
@@ -54,38 +56,39 @@
 	}
 }
 
-// watcherNames are the hosts that watch the store, the one that tells configurations
-// first.
+// watcherNames returns the hosts that watch the store, in order of preference. The
+// first that is reachable and answered by the store sends the documents.
 func (m *Machine) watcherNames() []core.HostID {
-	return core.RendezvousN(m.fleet.Members(m.now), watchersKind, "replicas", watchers)
+	return core.RendezvousN(m.fleet.Members(m.now), watchersKind, "replicas", watcherCount)
 }
 
-// watching reports whether this host is one of those that watch the store.
-func (m *Machine) watching() bool {
+// isWatcher reports whether this host is one of those that watch the store.
+func (m *Machine) isWatcher() bool {
 	return slices.Contains(m.watcherNames(), core.HostID(m.settings.Self.Name))
 }
 
-// covered reports whether a watcher keeps current what this host knows.
-func (m *Machine) covered() bool {
-	return m.informed() && !m.differs() && m.firstWatcher() != ""
+// keptCurrent reports whether a watcher's messages keep this host's state current.
+func (m *Machine) keptCurrent() bool {
+	return m.initialized() && !m.listDiffers() && m.firstWatcher() != ""
 }
 
-// differs reports whether a watcher has had another list than this host for long. Each
-// is compared by itself: one that is behind, too, would hide what this host lacks.
-func (m *Machine) differs() bool {
-	for h, since := range m.watch.differs {
+// listDiffers reports whether a watcher's list has differed from this host's for too
+// long. Each watcher is compared by itself: another one that is outdated in the same
+// way must not hide the difference.
+func (m *Machine) listDiffers() bool {
+	for h, since := range m.watch.differSince {
 		switch {
 		case !m.fleet.Alive(m.now, h):
-			delete(m.watch.differs, h)
-		case m.now.Sub(since) >= m.differFor():
+			delete(m.watch.differSince, h)
+		case m.now.Sub(since) >= m.differTimeout():
 			return true
 		}
 	}
 	return false
 }
 
-// firstWatcher is the first host that watches the store and is answered by it, ""
-// where there is none.
+// firstWatcher returns the first reachable host that watches the store and is
+// answered by it, "" where there is none.
 func (m *Machine) firstWatcher() core.HostID {
 	for _, name := range m.watcherNames() {
 		if name == core.HostID(m.settings.Self.Name) {
@@ -95,53 +98,53 @@
 			continue
 		}
 		p, ok := m.fleet.Named(string(name))
-		if ok && m.fleet.Alive(m.now, p.Host) && m.gossip.known[p.Host].Watches {
+		if ok && m.fleet.Alive(m.now, p.Host) && m.gossip.latest[p.Host].Watches {
 			return name
 		}
 	}
 	return ""
 }
 
-// listDigest is of the replicas and hosts that are listed.
+// listDigest returns a digest of the listed replicas and hosts.
 func (m *Machine) listDigest() uint64 { return m.replicas.Digest() + m.fleet.Digest() }
 
-func (m *Machine) differFor() time.Duration {
+func (m *Machine) differTimeout() time.Duration {
 	if m.fleet.Active() {
-		return differFor
+		return listDifferTimeout
 	}
-	return differFor + differLonger
+	return listDifferTimeout + standbyDifferDelay
 }
 
-// storeReached notes an answer of the store. After an outage everything is read
-// again: calls that wait since before it may never be answered.
-func (m *Machine) storeReached() {
-	m.watch.answered = m.now
+// handleStoreReached records an answer of the store. After an outage everything is
+// read again: calls that were pending since before it may never be answered.
+func (m *Machine) handleStoreReached() {
+	m.watch.lastAnswer = m.now
 	m.replicas.StoreReached(m.now)
-	if !m.watch.lost {
+	if !m.watch.storeLost {
 		return
 	}
-	m.watch.lost = false
-	m.relists++ // what changed meanwhile was told to no one that did not hear the watchers either
-	m.reread("store_back", "")
+	m.watch.storeLost = false
+	m.relists++ // changes during the outage have not reached this host if it missed the watchers' messages too
+	m.requestReread("store_back", "")
 }
 
-// reread has the configuration, versions and lists read again, a little later if
-// they were a moment ago.
-func (m *Machine) reread(reason, detail string) {
-	if m.watch.read != 0 && m.now.Sub(m.watch.read) < readAgain {
-		m.watch.again = true
+// requestReread requests a new read of the configuration, versions and lists,
+// delayed if the last one was less than rereadInterval ago.
+func (m *Machine) requestReread(reason, detail string) {
+	if m.watch.lastReread != 0 && m.now.Sub(m.watch.lastReread) < rereadInterval {
+		m.watch.rereadPending = true
 		return
 	}
-	m.watch.again = false
-	m.watch.read = m.now
+	m.watch.rereadPending = false
+	m.watch.lastReread = m.now
 	m.rereads++
 	m.emit(Note{Name: "reread", Reason: reason, Detail: detail})
 }
 
 // storeAnswers reports whether the store answers this host: its last call was not
-// refused or lost, and it is not long ago.
+// refused or lost, and its last answer is not older than storeAnswerTTL.
 func (m *Machine) storeAnswers() bool {
-	return m.watch.answered != 0 && !m.watch.lost && m.now.Sub(m.watch.answered) < storeFresh
+	return m.watch.lastAnswer != 0 && !m.watch.storeLost && m.now.Sub(m.watch.lastAnswer) < storeAnswerTTL
 }
 
 func (m *Machine) configVersion() uint64 {
@@ -151,50 +154,52 @@
 	return m.table.Version
 }
 
-// compare looks for what another host knows and this one does not.
-func (m *Machine) compare(b *Heartbeat) {
+// compareState compares another host's versions with this host's, and a watcher's
+// list. Newer documents elsewhere are reread after newerElsewhereTimeout.
+func (m *Machine) compareState(b *Heartbeat) {
 	if b.Watches {
 		m.compareLists(b)
 	} else {
-		delete(m.watch.differs, b.Host)
+		delete(m.watch.differSince, b.Host)
 	}
 	if b.Config <= m.configVersion() && b.Versions <= m.versionSum {
 		return
 	}
-	if m.watch.older == 0 {
-		m.watch.older = m.now
+	if m.watch.olderSince == 0 {
+		m.watch.olderSince = m.now
 	}
-	if m.now.Sub(m.watch.older) >= olderFor {
-		m.watch.older = 0
-		m.reread("newer_elsewhere", string(b.Host))
+	if m.now.Sub(m.watch.olderSince) >= newerElsewhereTimeout {
+		m.watch.olderSince = 0
+		m.requestReread("newer_elsewhere", string(b.Host))
 	}
 }
 
 // compareLists compares a watcher's list with this host's.
 func (m *Machine) compareLists(b *Heartbeat) {
 	if b.List == m.listDigest() {
-		delete(m.watch.differs, b.Host)
+		delete(m.watch.differSince, b.Host)
 		return
 	}
-	if _, ok := m.watch.differs[b.Host]; !ok {
-		m.watch.differs[b.Host] = m.now
+	if _, ok := m.watch.differSince[b.Host]; !ok {
+		m.watch.differSince[b.Host] = m.now
 	}
 }
 
-// tellConfiguration tells a configuration that this host has read from the store.
-func (m *Machine) tellConfiguration(e Configured) {
-	if !m.tells() {
+// sendConfiguration sends a configuration that this host has read from the store to
+// all hosts, if this is the first watcher.
+func (m *Machine) sendConfiguration(e Configured) {
+	if !m.isFirstWatcher() {
 		return
 	}
-	if len(e.Document) > toldMost {
-		m.tellAll(Message{Newer: e.Table.Version})
+	if len(e.Document) > maxSentConfigBytes {
+		m.sendToAll(Message{Newer: e.Table.Version})
 		return
 	}
-	m.tellAll(Message{Configuration: e.Document})
+	m.sendToAll(Message{Configuration: e.Document})
 }
 
-// changes are what has changed in the store's objects since the last heartbeat, as
-// far as this host has read it from there.
+// changes are the changes that this host has read from the store since the last
+// heartbeat.
 type changes struct {
 	replicas []replicas.Entry
 	gone     []core.UpstreamID
@@ -202,49 +207,51 @@
 	versions []VersionNamed
 }
 
-// startFor is how long after its start a host tells none: what it finds then, the
-// others have read.
-const startFor = 2 * time.Second
+// startupTime is how long after its start a host sends no changes: what it finds
+// then has already been read by the others.
+const startupTime = 2 * time.Second
 
-// tellChanges tells what has changed since the last call: all watchers the list of
-// replicas, so that one that leaves is sent nothing more; one of them the rest.
-func (m *Machine) tellChanges() {
+// sendChanges sends the changes since the last call. All watchers send those of the
+// list of replicas, so that no more requests go to one that leaves; only the first
+// watcher sends the rest.
+func (m *Machine) sendChanges() {
 	c := m.changes
 	m.changes = changes{}
-	if m.now < core.Instant(startFor) || !m.watching() {
+	if m.now < core.Instant(startupTime) || !m.isWatcher() {
 		return
 	}
 	message := Message{Replicas: c.replicas, Gone: c.gone}
-	if m.tells() {
+	if m.isFirstWatcher() {
 		message.Hosts, message.Versions = c.hosts, c.versions
 	}
 	if len(message.Replicas)+len(message.Gone)+len(message.Hosts)+len(message.Versions) > 0 {
-		m.tellAll(message)
+		m.sendToAll(message)
 	}
 }
 
-// tells reports whether this host is the one that tells what it reads. The other
-// watchers' heartbeats show that they have read it too.
-func (m *Machine) tells() bool { return m.firstWatcher() == core.HostID(m.settings.Self.Name) }
+// isFirstWatcher reports whether this host sends the documents that it reads. The
+// other watchers' heartbeats show that they have read them too.
+func (m *Machine) isFirstWatcher() bool { return m.firstWatcher() == core.HostID(m.settings.Self.Name) }
 
-// takeDocuments takes what a watcher has told of the store. The configuration is an
-// event of its own: it has to be decoded first.
-func (m *Machine) takeDocuments(e FromPeer) {
+// applyDocuments applies the versions and registrations that a watcher has sent. A
+// configuration must be decoded first, and is an event of its own.
+func (m *Machine) applyDocuments(e FromPeer) {
 	for _, v := range e.Message.Versions {
-		m.versionNamed(v)
+		m.applyVersion(v)
 	}
 	for _, r := range e.Message.Hosts {
 		m.fleet.Listed(m.now, r)
 	}
 	if e.Message.Newer > m.configVersion() {
-		m.reread("newer_elsewhere", string(e.From))
+		m.requestReread("newer_elsewhere", string(e.From))
 	}
 }
 
-// takeList takes what a watcher has told of the list.
-func (m *Machine) takeList(message Message) {
+// applyListChanges applies the changes of the list of replicas that a watcher has
+// sent.
+func (m *Machine) applyListChanges(message Message) {
 	for _, e := range message.Replicas {
-		m.takeEntry(e)
+		m.updateReplica(e)
 	}
 	for _, id := range message.Gone {
 		m.replicas.Remove(m.now, id)
--- a/internal/core/direct/watchers_test.go
+++ b/internal/core/direct/watchers_test.go
@@ -9,11 +9,11 @@
 	"gentiancroft/internal/core/replicas"
 )
 
-// watchersOf are the active hosts of the tests' large fleet that watch the store,
-// and one that does not.
+// watchersOf returns the active hosts of the tests' large fleet that watch the
+// store, and one that does not.
 func watchersOf(t *testing.T) (watch []string, other string) {
 	for _, name := range []string{"s0", "s1", "s2", "s3", "s4", "s5"} {
-		if inLargeFleet(t, name).m.watching() {
+		if newHostInLargeFleet(t, name).m.isWatcher() {
 			watch = append(watch, name)
 		} else {
 			other = name
@@ -28,37 +28,37 @@
 	return Configured{Table: t, Document: []byte("as the store has it")}
 }
 
-func configurationIn(m Message) bool { return len(m.Configuration) > 0 }
+func hasConfiguration(m Message) bool { return len(m.Configuration) > 0 }
 
-func TestTheFirstWatcherTellsTheConfigurationToAllHosts(t *testing.T) {
+func TestFirstWatcherSendsTheConfigurationToAllHosts(t *testing.T) {
 	watch, other := watchersOf(t)
-	newHost(t).is.Equal(len(watch), watchers)
-	told := 0
+	newHost(t).is.Equal(len(watch), watcherCount)
+	senders := 0
 	for _, name := range append(watch, other) {
-		h := inLargeFleet(t, name)
+		h := newHostInLargeFleet(t, name)
 		h.step(StoreReached{})
-		h.later(time.Second)
+		h.advanceFleet(time.Second)
 		for _, w := range watch {
-			h.hear(w, Heartbeat{Number: uint64(h.now) + 1, Watches: true})
+			h.deliverHeartbeat(w, Heartbeat{Number: uint64(h.now) + 1, Watches: true})
 		}
 		h.step(newerTable())
-		to := h.told(configurationIn)
+		to := h.recipients(hasConfiguration)
 		if len(to) > 0 {
-			told++
+			senders++
 			h.is.Equal(len(to), 25)
 			h.is.True(name != other)
 		}
 	}
-	newHost(t).is.Equal(told, 1)
+	newHost(t).is.Equal(senders, 1)
 }
 
-func TestAConfigurationThatWasToldIsNotToldOn(t *testing.T) {
+func TestConfigurationFromAPeerIsNotForwarded(t *testing.T) {
 	h := newHost(t)
 	h.step(HostListed{Host: fleet.Registration{Name: "b", Host: "b/1"}})
 	e := newerTable()
 	e.Document = nil
 	h.step(e)
-	h.is.Equal(len(h.told(configurationIn)), 0)
+	h.is.Equal(len(h.recipients(hasConfiguration)), 0)
 	h.is.Equal(h.m.configVersion(), uint64(2))
 }
 
@@ -67,9 +67,9 @@
 	h.step(StoreReached{})
 	h.step(HostListed{Host: fleet.Registration{Name: "b", Host: "b/1"}})
 	e := newerTable()
-	e.Document = make([]byte, toldMost+1)
+	e.Document = make([]byte, maxSentConfigBytes+1)
 	h.step(e)
-	h.is.Equal(len(h.told(func(m Message) bool { return m.Newer == 2 })), 1)
+	h.is.Equal(len(h.recipients(func(m Message) bool { return m.Newer == 2 })), 1)
 
 	other := newHost(t)
 	before := other.m.Reading().Reread
@@ -77,71 +77,70 @@
 	other.is.Equal(other.m.Reading().Reread, before+1)
 }
 
-// A watcher tells registrations and versions: a host need not read the store to
-// trust one that has just started.
-func TestWatchersTellHostsAndVersions(t *testing.T) {
+// Watchers send registrations and versions: a host need not read the store to trust
+// one that has just started.
+func TestWatcherSendsRegistrationsAndVersions(t *testing.T) {
 	watch, _ := watchersOf(t)
-	h := inLargeFleet(t, watch[0]) // the only one that the store answers
-	h.later(time.Second)
+	h := newHostInLargeFleet(t, watch[0]) // the only one that the store answers
+	h.advanceFleet(time.Second)
 	h.step(StoreReached{})
 	restarted := registered("w7")
 	restarted.Host, restarted.Key = "w7/2", "key"
 	h.step(HostListed{Host: restarted})
-	h.later(time.Second)
-	h.is.Equal(len(h.told(func(m Message) bool { return len(m.Hosts) == 1 && m.Hosts[0] == restarted })), 25)
+	h.advanceFleet(time.Second)
+	h.is.Equal(len(h.recipients(func(m Message) bool { return len(m.Hosts) == 1 && m.Hosts[0] == restarted })), 25)
 	version := VersionNamed{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}}
 	h.step(version)
-	h.later(time.Second)
-	h.is.Equal(len(h.told(func(m Message) bool { return len(m.Versions) == 1 })), 25)
+	h.advanceFleet(time.Second)
+	h.is.Equal(len(h.recipients(func(m Message) bool { return len(m.Versions) == 1 })), 25)
 
-	other := inLargeFleet(t, "w0")
+	other := newHostInLargeFleet(t, "w0")
 	other.step(FromPeer{From: "s0/1", Message: Message{Hosts: []fleet.Registration{restarted}, Versions: []VersionNamed{version}}})
 	other.is.True(other.m.Trusted("w7/2", "key"))
 	other.is.Equal(other.m.versions["x"].version, 2)
 }
 
-// Found while the fleet grew: what a host reads again must follow from every list
-// that a watcher has, hosts too.
+// The digests that are compared must cover every list of a watcher, registered hosts
+// too: a host that missed a registration must read the store.
 func TestAHostThatMissedARegistrationReadsTheStoreItself(t *testing.T) {
-	h := inLargeFleet(t, "w0")
+	h := newHostInLargeFleet(t, "w0")
 	watch, _ := watchersOf(t)
 	digest := h.m.listDigest()
 	heartbeats := func(list uint64) {
 		for _, w := range watch {
-			h.hear(w, Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: list})
+			h.deliverHeartbeat(w, Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: list})
 		}
 	}
-	h.later(time.Second)
+	h.advanceFleet(time.Second)
 	heartbeats(digest)
 	h.is.True(!h.m.Reading().Watch)
 	for range 20 {
-		h.after(100 * time.Millisecond)
+		h.advance(100 * time.Millisecond)
 		heartbeats(digest + 1)
 	}
 	h.is.True(h.m.Reading().Watch)
 }
 
-// Found on the bench (DRAIN, scale-2 of parapet-sofia-grown): a host that had been cut
-// off lacked that a replica leaves. A watcher that was behind as well said the same,
-// and hid that the others said otherwise.
-func TestAWatcherThatIsBehindHidesNothing(t *testing.T) {
-	h := inLargeFleet(t, "w0")
+// Rule DRAIN: a host that had been cut off missed that a replica was leaving. An
+// outdated watcher agreed with it, which hid that the other watchers differed.
+func TestOutdatedWatcherDoesNotHideADifference(t *testing.T) {
+	h := newHostInLargeFleet(t, "w0")
 	watch, _ := watchersOf(t)
 	digest := h.m.listDigest()
 	for range 20 {
-		h.later(100 * time.Millisecond)
-		h.hear(watch[0], Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: digest})
-		h.hear(watch[1], Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: digest + 1})
-		h.hear(watch[2], Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: digest})
+		h.advanceFleet(100 * time.Millisecond)
+		h.deliverHeartbeat(watch[0], Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: digest})
+		h.deliverHeartbeat(watch[1], Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: digest + 1})
+		h.deliverHeartbeat(watch[2], Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: digest})
 	}
 	h.is.True(h.m.Reading().Watch)
 	h.step(ReplicasListed{Entries: []replicas.Entry{replica("s1", services)}})
 	h.is.True(!h.m.Reading().Watch) // it has read the list itself
 }
 
-// The same find: what changes while the store does not answer a host is told to it by
-// nobody, if it does not hear the watchers either.
-func TestEverythingIsListedOnceTheStoreIsBack(t *testing.T) {
+// What changes while the store does not answer a host never reaches it, if it also
+// misses the watchers' messages.
+func TestListsAreRereadAfterAStoreOutage(t *testing.T) {
 	h := newHost(t)
 	before := h.m.Reading().Relist
 	h.step(StoreReached{})
@@ -151,32 +150,32 @@
 	h.is.Equal(h.m.Reading().Relist, before+1)
 }
 
-// Found by a hunt (CONFIG, hunt-fffd-31 of parapet-sofia): the store turned away all
-// three watchers, and for three seconds the others went on to rely on them.
-func TestAWatcherThatTheStoreTurnsAwaySaysSoAtOnce(t *testing.T) {
+// Rule CONFIG: the store rejected the calls of all three watchers, and the other
+// hosts relied on them for three more seconds.
+func TestWatcherRejectedByTheStoreReportsItAtOnce(t *testing.T) {
 	watch, _ := watchersOf(t)
-	h := inLargeFleet(t, watch[0])
-	h.later(time.Second)
+	h := newHostInLargeFleet(t, watch[0])
+	h.advanceFleet(time.Second)
 	h.step(StoreReached{})
 	h.is.True(h.m.ownHeartbeat().Watches)
 	h.step(StoreLost{})
 	h.is.True(!h.m.ownHeartbeat().Watches)
 	h.step(StoreReached{})
 	h.is.True(h.m.ownHeartbeat().Watches)
-	h.later(storeFresh) // its calls hang
+	h.advanceFleet(storeAnswerTTL) // its calls hang
 	h.is.True(!h.m.ownHeartbeat().Watches)
 
-	other := inLargeFleet(t, "w0")
-	other.later(time.Second)
+	other := newHostInLargeFleet(t, "w0")
+	other.advanceFleet(time.Second)
 	digest := other.m.listDigest()
-	tell := func(watches bool) {
+	heartbeats := func(watches bool) {
 		for _, w := range watch {
-			other.hear(w, Heartbeat{Number: uint64(other.now) + 1, Watches: watches, List: digest})
+			other.deliverHeartbeat(w, Heartbeat{Number: uint64(other.now) + 1, Watches: watches, List: digest})
 		}
 	}
-	tell(true)
+	heartbeats(true)
 	other.is.True(!other.m.Reading().Watch)
 	other.now += time.Millisecond
-	tell(false)
+	heartbeats(false)
 	other.is.True(other.m.Reading().Watch)
 }
--- a/internal/core/direct/writes.go
+++ b/internal/core/direct/writes.go
@@ -7,46 +7,48 @@
 	"gentiancroft/internal/core"
 )
 
-// writes are the calls to the store that have no answer yet.
+// writes holds the calls to the store that have not been answered.
 type writes struct {
-	next uint64
-	open map[uint64]func(core.ObjectResult)
+	lastTag uint64
+	pending map[uint64]func(core.ObjectResult)
 }
 
-func (w *writes) done(r core.ObjectResult) {
-	if f := w.open[r.Tag]; f != nil {
-		delete(w.open, r.Tag)
+func (w *writes) complete(r core.ObjectResult) {
+	if f := w.pending[r.Tag]; f != nil {
+		delete(w.pending, r.Tag)
 		f(r)
 	}
 }
 
 func (m *Machine) write(c core.ObjectCall, done func(core.ObjectResult)) {
-	m.writes.next++
-	c.Tag = m.writes.next
-	m.writes.open[c.Tag] = done
+	m.writes.lastTag++
+	c.Tag = m.writes.lastTag
+	m.writes.pending[c.Tag] = done
 	m.emit(Object{Call: c})
 }
 
-// registerAgain is how long a failed registration waits.
-const registerAgain = 700 * time.Millisecond
+// registerRetryInterval is the time between two attempts to register.
+const registerRetryInterval = 700 * time.Millisecond
 
-// register writes this host into the store, once, and again when it leaves.
+// register writes this host's registration into the store, once at the start and
+// again when it leaves.
 func (m *Machine) register() {
 	if m.due.register < 0 || m.now < m.due.register {
 		return
 	}
 	r := m.settings.Self
-	r.Leaving = m.leaving != 0
+	r.Leaving = m.leavingSince != 0
 	value, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // a struct of strings
+		panic(err) // can't fail: a struct of strings, numbers and booleans
 	}
-	m.due.register = m.now.Add(registerAgain)
-	m.put(HostsPrefix+r.Name, value, 0)
+	m.due.register = m.now.Add(registerRetryInterval)
+	m.putRegistration(HostsPrefix+r.Name, value, 0)
 }
 
-// put writes an object that is this host's alone, whatever stands there.
-func (m *Machine) put(key string, value []byte, version uint64) {
+// putRegistration writes this host's registration, whatever is stored there: no
+// other host writes its key.
+func (m *Machine) putRegistration(key string, value []byte, version uint64) {
 	c := core.ObjectCall{Op: core.ObjectUpdate, Key: key, Value: value, IfVersion: version}
 	if version == 0 {
 		c.Op = core.ObjectCreate
@@ -57,15 +59,15 @@
 			m.due.register = -1
 		case core.ObjectConflict:
 			if r.Object.Version != 0 {
-				m.put(key, value, r.Object.Version)
+				m.putRegistration(key, value, r.Object.Version)
 			}
 		}
 	})
 }
 
-// restore takes from the leases how full the workspaces' buckets were before
-// this host started.
-func (m *Machine) restore() {
+// restoreQuota fills the workspaces' buckets to the levels that the leases carry,
+// for a host that has just started.
+func (m *Machine) restoreQuota() {
 	if m.table == nil {
 		return
 	}
@@ -74,14 +76,14 @@
 	}
 }
 
-// leases renews and takes the shards' leases.
-func (m *Machine) leases() {
+// renewLeases renews and acquires the shards' leases.
+func (m *Machine) renewLeases() {
 	for _, c := range m.shards.Tick(m.now, func() []core.HostID { return m.fleet.Members(m.now) }) {
 		m.write(c.Object, func(r core.ObjectResult) {
-			had := m.shards.Holder(c.Shard)
+			before := m.shards.Holder(c.Shard)
 			m.shards.Written(m.now, c, r)
-			if now := m.shards.Holder(c.Shard); now != had {
-				m.emit(Note{Name: "shard", Reason: "holder", Detail: utoa(uint64(c.Shard)) + " " + string(now)})
+			if after := m.shards.Holder(c.Shard); after != before {
+				m.emit(Note{Name: "shard", Reason: "holder", Detail: utoa(uint64(c.Shard)) + " " + string(after)})
 			}
 		})
 	}
