--- a/internal/core/direct/events.go
+++ b/internal/core/direct/events.go
@@ -90,7 +90,7 @@
 type ReplicaUnlisted struct{ ID core.UpstreamID }
 
 // VersionNamed is sent when a version of an adapter has been announced as its
-// newest.
+// newest. It is also sent to other hosts: its field names are keys on the wire.
 type VersionNamed struct {
 	Model   core.BaseModel
 	Adapter core.AdapterRef
--- a/internal/core/direct/writes.go
+++ b/internal/core/direct/writes.go
@@ -40,7 +40,7 @@
 	r.Leaving = m.leavingSince != 0
 	value, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // can't fail: a struct of strings, numbers and booleans
+		panic(err) // a struct of strings, numbers and booleans: its encoding fails only for a capacity that is not finite
 	}
 	m.due.register = m.now.Add(registerRetryInterval)
 	m.putRegistration(HostsPrefix+r.Name, value, 0)
