--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -10,7 +10,7 @@
 	"gentiancroft/internal/core/config"
 )
 
-// The size to design for.
+// Design size of the fleet.
 const (
 	sizeUpstreams = 670
 	sizeAdapters  = 15000
@@ -18,32 +18,34 @@
 	sizeHosts     = 350
 )
 
-// one is an ownership in which every shard is this host's, or another's.
-type one struct {
+// fixedOwnership assigns every shard to this host or to another one. Of the
+// upstreams, this host may act for u0 and u1 only.
+type fixedOwnership struct {
 	self  core.HostID
 	mine  bool
 	hosts []core.Member
 }
 
-func (o one) Self() core.HostID { return o.self }
-func (o one) Owner(core.Shard) (core.HostID, bool) {
+func (o fixedOwnership) Self() core.HostID { return o.self }
+func (o fixedOwnership) Owner(core.Shard) (core.HostID, bool) {
 	if o.mine {
 		return o.self, true
 	}
 	return "other", true
 }
-func (o one) Acting(now core.Instant, s core.Shard) (core.Grant, bool) {
+func (o fixedOwnership) Acting(now core.Instant, s core.Shard) (core.Grant, bool) {
 	mine := o.mine && (s.Kind == core.ShardLoader || s.Name == "u0" || s.Name == "u1")
 	return core.Grant{Fence: 1, Until: now.Add(time.Minute)}, mine
 }
-func (o one) Serving(now core.Instant, s core.Shard) bool {
+func (o fixedOwnership) Serving(now core.Instant, s core.Shard) bool {
 	_, ok := o.Acting(now, s)
 	return ok
 }
-func (o one) Members() []core.Member { return o.hosts }
+func (o fixedOwnership) Members() []core.Member { return o.hosts }
 
-// atSize returns a machine with a full view, and what its view weighs.
-func atSize(mine bool) (*Machine, one, uint64) {
+// atSize returns a machine with a full view, its ownership and the heap bytes
+// of its view.
+func atSize(mine bool) (*Machine, fixedOwnership, uint64) {
 	d := &config.Document{}
 	for i := range sizeUpstreams {
 		d.Upstreams = append(d.Upstreams, config.Upstream{
@@ -51,7 +53,7 @@
 			Slots: sizeSlots, Batch: 32, Domain: core.Domain(fmt.Sprint(i % 8)),
 		})
 	}
-	own := one{self: "h0", mine: mine, hosts: make([]core.Member, sizeHosts)}
+	own := fixedOwnership{self: "h0", mine: mine, hosts: make([]core.Member, sizeHosts)}
 	snapshot := config.NewSnapshot(1, d)
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -67,7 +69,7 @@
 	}
 	if m.loader != nil {
 		for i := range sizeAdapters {
-			m.loader.famed(ref(i), "p0", 1, 2, defaultHalfLife)
+			m.loader.countRequests(ref(i), "p0", 1, 2, defaultHalfLife)
 		}
 	}
 	runtime.GC()
@@ -76,7 +78,7 @@
 }
 
 func BenchmarkEntryDecision(b *testing.B) {
-	m, own, weighs := atSize(false)
+	m, own, viewBytes := atSize(false)
 	b.ReportAllocs()
 	id := core.RequestID("r")
 	for i := 0; b.Loop(); i++ {
@@ -85,7 +87,7 @@
 		m.Ask(now, own, Ask{Request: id, Pool: pool, Adapter: ref(i % sizeAdapters), Deadline: now + 1e9})
 		m.Withdraw(now, own, id)
 	}
-	b.ReportMetric(float64(weighs)/1e6, "view-MB")
+	b.ReportMetric(float64(viewBytes)/1e6, "view-MB")
 }
 
 func BenchmarkOwnerTicket(b *testing.B) {
@@ -104,13 +106,13 @@
 		m.Peer(now, own, "h1", Message{Ask: &ask})
 		r := m.Peer(now, own, "h1", Message{Release: &ReleaseMessage{Request: "r", Seq: ask.Seq, Upstream: "u0", End: End{OK: true}}})
 		if len(r.Sends) != 0 || len(m.owned.byID["u0"].pins) != 0 {
-			b.Fatal("not released")
+			b.Fatal("the ticket was not released")
 		}
 	}
 }
 
-func BenchmarkLoaderWant(b *testing.B) {
-	m, own, weighs := atSize(true)
+func BenchmarkLoaderRequest(b *testing.B) {
+	m, own, viewBytes := atSize(true)
 	b.ReportAllocs()
 	now := core.Instant(time.Hour)
 	for i := 0; b.Loop(); i++ {
@@ -124,7 +126,7 @@
 		}
 		m.Peer(now, own, "h1", Message{Want: &WantMessage{Adapter: cold, Pool: "p0"}})
 	}
-	b.ReportMetric(float64(weighs)/1e6, "view+loader-MB")
+	b.ReportMetric(float64(viewBytes)/1e6, "view+loader-MB")
 }
 
 func BenchmarkTickOfAnEntry(b *testing.B)   { benchmarkTick(b, false) }
--- a/internal/core/placement/entry.go
+++ b/internal/core/placement/entry.go
@@ -10,87 +10,89 @@
 	"gentiancroft/internal/core/dispatch/pick"
 )
 
-// Retry hints of final refusals.
+// Retry hints of refusals.
 const (
 	retryNoUpstream = time.Second
 	retryOverloaded = 2 * time.Second
 	retryNoLoad     = 3 * time.Second
 )
 
-// askState is where a request of this host's callers stands.
-type askState uint8
+// requestState is what a request of this host's callers waits for or has.
+type requestState uint8
 
 const (
-	wanting  askState = iota + 1 // waits for a load
-	asking                       // waits for a ticket
-	ticketed                     // holds a ticket
+	awaitingLoad   requestState = iota + 1 // a load of its adapter
+	awaitingTicket                         // a ticket
+	hasTicket
 )
 
 // request is one request of this host's callers.
 type request struct {
 	Ask
-	state    askState
-	seq      uint64
-	upstream core.UpstreamID
-	owner    core.HostID
-	former   []core.HostID // owners before, by this host's view, which may lag
-	sent     core.Instant  // of the last ask
-	until    core.Instant  // of the ticket
-	fence    core.Fence
-	stalled  bool
-	running  bool
-	known    bool // its present owner has answered
-	bounces  int  // answers other than a ticket
+	state         requestState
+	seq           uint64
+	upstream      core.UpstreamID
+	owner         core.HostID
+	formerOwners  []core.HostID // earlier owners of the upstream; this host's view of ownership may lag
+	lastSent      core.Instant  // the last ticket request
+	validUntil    core.Instant  // end of the ticket
+	fence         core.Fence
+	waitedForLoad bool
+	running       bool
+	confirmed     bool // the current owner has issued or confirmed the ticket
+	rejections    int  // answers other than a ticket
 }
 
-// wish is an adapter that callers of this host wait for.
-type wish struct {
-	adapter core.AdapterRef
-	pool    string
-	waiting []core.RequestID // in order of arrival
-	arrived int              // since the last want
-	sent    core.Instant
-	wait    time.Duration // the loader's estimate
+// loadRequest is this host's outstanding load request for one adapter.
+type loadRequest struct {
+	adapter     core.AdapterRef
+	pool        string
+	waiting     []core.RequestID // in order of arrival
+	newArrivals int              // callers since it was last sent
+	lastSent    core.Instant
+	estimate    time.Duration // expected wait, as reported by the loader
 }
 
-// entry is the part of a host that callers are connected to.
+// entry is the state of the entry host: its callers' requests.
 type entry struct {
-	requests map[core.RequestID]*request
-	wishes   map[core.AdapterRef]*wish
-	peers    map[core.HostID]*holding
-	seq      uint64
-	loaderAt core.HostID
-	swept    core.Instant
-	waking   bool // placing requests whose adapter has just been located
+	requests       map[core.RequestID]*request
+	loadRequests   map[core.AdapterRef]*loadRequest
+	owners         map[core.HostID]*ownerSync
+	seq            uint64
+	lastLoader     core.HostID
+	lastSweep      core.Instant
+	placingWaiters bool // placing the requests that waited for an adapter now loaded
 }
 
-// holding is this host's account with one owner.
-type holding struct {
-	sent  core.Instant
-	spare int // accounts still to send after the last request there
+// ownerSync is when one owner last got the list of this host's outstanding
+// requests.
+type ownerSync struct {
+	lastSent  core.Instant
+	emptyLeft int // lists left to send after the last request there has ended
 }
 
-// spareHolds is how many accounts follow the last request at an owner, so that
-// its release can be lost that often.
-const spareHolds = 3
+// maxEmptyLists is how many lists an owner gets after this host's last request
+// there has ended. A lost release is repaired by any one of them.
+const maxEmptyLists = 3
 
-// sweepEvery is the time between two looks at every request.
-const sweepEvery = 250 * time.Millisecond
+// sweepInterval is the time between two checks of all requests.
+const sweepInterval = 250 * time.Millisecond
 
-// maxBounces is after how many other answers a request is refused.
-const maxBounces = 50
+// maxRejections is how many answers other than a ticket a request may get
+// before it is refused.
+const maxRejections = 50
 
 func newEntry() entry {
 	return entry{
-		requests: map[core.RequestID]*request{},
-		wishes:   map[core.AdapterRef]*wish{},
-		peers:    map[core.HostID]*holding{},
+		requests:     map[core.RequestID]*request{},
+		loadRequests: map[core.AdapterRef]*loadRequest{},
+		owners:       map[core.HostID]*ownerSync{},
 	}
 }
 
 func (m *Machine) ask(a Ask) {
 	if old := m.entry.requests[a.Request]; old != nil {
-		m.leave(old, End{NotReached: true})
+		m.withdraw(old, End{NotReached: true})
 	}
 	r := &request{Ask: a}
 	m.entry.requests[a.Request] = r
@@ -102,7 +104,8 @@
 	return m.entry.seq
 }
 
-// place asks the owner of an upstream that can serve r, or waits for a load.
+// place requests a ticket from the owner of an upstream that can serve r, or
+// waits for a load of r's adapter, or refuses r.
 func (m *Machine) place(r *request) {
 	if !m.now.Before(r.Deadline) {
 		m.refuse(r, core.Refuse(core.CodeDeadline, retryNoLoad, "no upstream was free before the deadline"))
@@ -116,133 +119,136 @@
 	d := m.chooser.Choose(&q, m.view.candidates(r.Pool, r.Adapter), m.rng)
 	switch {
 	case d.OK:
-		m.note("pick."+d.Reason, string(d.Upstream))
-		m.askOwner(r, d.Upstream)
+		m.logDecision("pick."+d.Reason, string(d.Upstream))
+		m.requestTicket(r, d.Upstream)
 	case r.Adapter == (core.AdapterRef{}) || !m.view.usable(r.Pool, r.Avoid):
 		m.refuse(r, core.Refuse(core.CodeNoUpstream, retryNoUpstream, "no upstream of pool "+r.Pool+" takes work: "+d.Reason))
 	default:
-		m.note("pick.cold", d.Reason)
-		m.want(r)
+		m.logDecision("pick.cold", d.Reason)
+		m.awaitLoad(r)
 	}
 }
 
-// askOwner sends r's ask to the owner of u.
-func (m *Machine) askOwner(r *request, u core.UpstreamID) {
-	r.state = asking
+// requestTicket sends r's ticket request to the owner of u.
+func (m *Machine) requestTicket(r *request, u core.UpstreamID) {
+	r.state = awaitingTicket
 	r.upstream = u
-	r.owner, r.former = "", nil
+	r.owner, r.formerOwners = "", nil
 	r.seq = m.nextSeq()
-	m.view.seen[u].mine++
-	m.resend(r)
+	m.view.upstreams[u].ownRequests++
+	m.sendTicketRequest(r)
 }
 
-// resend sends r's ask, or its restatement, to the present owner.
-func (m *Machine) resend(r *request) {
-	owner, ok := m.own.Owner(core.Shard{Kind: core.ShardUpstream, Name: string(r.upstream)})
-	r.sent = m.now
+// sendTicketRequest sends r's ticket request or restatement to the upstream's
+// current owner. Without an owner it sends nothing; the sweep retries.
+func (m *Machine) sendTicketRequest(r *request) {
+	owner, ok := m.ownership.Owner(core.Shard{Kind: core.ShardUpstream, Name: string(r.upstream)})
+	r.lastSent = m.now
 	if !ok {
 		return
 	}
 	if r.owner != owner {
 		if r.owner != "" {
-			r.former = append(r.former, r.owner)
+			r.formerOwners = append(r.formerOwners, r.owner)
 		}
 		r.owner = owner
-		r.known = false
+		r.confirmed = false
 		r.seq = m.nextSeq()
 	}
-	m.touch(owner)
+	m.trackOwner(owner)
 	m.send(owner, Message{Ask: &AskMessage{
 		Request: r.Request, Seq: r.seq, Upstream: r.upstream, Adapter: r.Adapter,
 		Workspace: r.Workspace, Weight: r.Weight, Class: r.Class, Cost: r.Cost,
-		Remaining: r.Deadline.Sub(m.now), Sent: m.now, Running: r.state == ticketed, Counted: r.stalled,
+		Remaining: r.Deadline.Sub(m.now), Sent: m.now, Running: r.state == hasTicket, Counted: r.waitedForLoad,
 	}})
 }
 
-func (m *Machine) touch(owner core.HostID) {
-	p := m.entry.peers[owner]
+func (m *Machine) trackOwner(owner core.HostID) {
+	p := m.entry.owners[owner]
 	if p == nil {
-		p = &holding{sent: m.now}
-		m.entry.peers[owner] = p
+		p = &ownerSync{lastSent: m.now}
+		m.entry.owners[owner] = p
 	}
-	p.spare = spareHolds
+	p.emptyLeft = maxEmptyLists
 }
 
-// answered handles an owner's answer. One that fits no open ask is late: a
-// ticket in it is given back at once, unless the request may be running on it.
-func (m *Machine) answered(from core.HostID, a AnswerMessage) {
+// receiveTicketReply handles an owner's answer. A ticket that matches no open
+// ticket request is late: it is returned at once, unless the request may be
+// running on it.
+func (m *Machine) receiveTicketReply(from core.HostID, a AnswerMessage) {
 	r := m.entry.requests[a.Request]
 	if a.Kind == AnswerUnknown {
-		if r != nil && r.owner == from && r.state != wanting {
-			m.resend(r)
+		if r != nil && r.owner == from && r.state != awaitingLoad {
+			m.sendTicketRequest(r)
 		}
 		return
 	}
-	if r == nil || r.seq != a.Seq || r.state == wanting {
-		if a.Kind == AnswerTicket && (r == nil || r.state == wanting || r.upstream != a.Upstream) {
-			m.touch(from)
+	if r == nil || r.seq != a.Seq || r.state == awaitingLoad {
+		if a.Kind == AnswerTicket && (r == nil || r.state == awaitingLoad || r.upstream != a.Upstream) {
+			m.trackOwner(from)
 			m.send(from, Message{Release: &ReleaseMessage{Request: a.Request, Seq: a.Seq, Upstream: a.Upstream, End: End{NotReached: true}}})
 		}
 		return
 	}
-	m.corrected(a)
-	r.known = r.known || a.Kind == AnswerTicket
-	if r.state == ticketed {
+	m.updateLoad(a)
+	r.confirmed = r.confirmed || a.Kind == AnswerTicket
+	if r.state == hasTicket {
 		return
 	}
 	switch a.Kind {
 	case AnswerTicket:
-		m.ticket(r, a)
+		m.acceptTicket(r, a)
 	case AnswerNotOwner:
-		r.bounces++ // the sweep asks the owner of then
+		r.rejections++ // the sweep retries with the current owner
 	case AnswerNotResident:
-		m.view.lost(r.upstream, r.Adapter)
-		m.elsewhere(r, a.Kind)
+		m.view.markAbsent(r.upstream, r.Adapter)
+		m.placeElsewhere(r, a.Kind)
 	case AnswerLeaving, AnswerElsewhere:
-		m.elsewhere(r, a.Kind)
+		m.placeElsewhere(r, a.Kind)
 	case AnswerOverloaded:
-		m.leaveView(r)
+		m.uncount(r)
 		m.refuse(r, core.Refuse(core.CodeOverloaded, retryOverloaded, "too many requests wait for "+string(r.upstream)))
 	}
 }
 
-func (m *Machine) corrected(a AnswerMessage) {
-	if x := m.view.seen[a.Upstream]; x != nil {
-		x.load, x.counted = a.Load, x.mine
+func (m *Machine) updateLoad(a AnswerMessage) {
+	if x := m.view.upstreams[a.Upstream]; x != nil {
+		x.reportedLoad, x.ownAtReport = a.Load, x.ownRequests
 	}
 }
 
-// ticket hands a ticket to the caller's request unless it has ended already.
-func (m *Machine) ticket(r *request, a AnswerMessage) {
-	r.until = a.Sent.Add(a.Valid)
-	if !m.now.Before(r.until) {
-		m.note("ticket.ended", "it took longer than its validity")
-		m.resend(r)
+// acceptTicket gives a ticket to the caller's request, or requests another if
+// it has already expired.
+func (m *Machine) acceptTicket(r *request, a AnswerMessage) {
+	r.validUntil = a.Sent.Add(a.Valid)
+	if !m.now.Before(r.validUntil) {
+		m.logDecision("ticket.ended", "the ticket expired before it arrived")
+		m.sendTicketRequest(r)
 		return
 	}
-	r.state = ticketed
+	r.state = hasTicket
 	r.fence = a.Fence
-	x := m.view.seen[r.upstream]
+	x := m.view.upstreams[r.upstream]
 	if x == nil {
-		m.leave(r, End{NotReached: true})
+		m.withdraw(r, End{NotReached: true})
 		m.place(r)
 		return
 	}
-	m.note("ticket", string(r.upstream))
-	m.out.Decisions = append(m.out.Decisions, Decision{Request: r.Request, Ticket: &Ticket{
+	m.logDecision("ticket", string(r.upstream))
+	m.result.Decisions = append(m.result.Decisions, Decision{Request: r.Request, Ticket: &Ticket{
 		Upstream: r.upstream,
 		Address:  x.config.Address,
 		Adapter:  r.Adapter,
-		Grant:    core.Grant{Fence: a.Fence, Until: r.until},
-		Stalled:  r.stalled,
+		Grant:    core.Grant{Fence: a.Fence, Until: r.validUntil},
+		Stalled:  r.waitedForLoad,
 	}})
 }
 
-// elsewhere looks again after an owner would not take r.
-func (m *Machine) elsewhere(r *request, why AnswerKind) {
-	m.leaveView(r)
-	r.bounces++
-	if r.bounces > maxBounces {
+// placeElsewhere places r again after an owner rejected it.
+func (m *Machine) placeElsewhere(r *request, why AnswerKind) {
+	m.uncount(r)
+	r.rejections++
+	if r.rejections > maxRejections {
 		m.refuse(r, core.Refuse(core.CodeNoUpstream, retryNoUpstream, "no upstream would take the request"))
 		return
 	}
@@ -252,97 +258,99 @@
 	m.place(r)
 }
 
-// renew asks the same owner anew for a ticket that ended before its use.
-func (m *Machine) renew(id core.RequestID) {
+// renewTicket requests a new ticket from the same owner after one expired
+// before its use.
+func (m *Machine) renewTicket(id core.RequestID) {
 	r := m.entry.requests[id]
-	if r == nil || r.state != ticketed || r.running {
+	if r == nil || r.state != hasTicket || r.running {
 		return
 	}
-	m.note("ticket.renew", "it ended before the dispatch")
-	r.state = asking
-	m.resend(r)
+	m.logDecision("ticket.renew", "the ticket expired before the dispatch")
+	r.state = awaitingTicket
+	m.sendTicketRequest(r)
 }
 
-// release ends a request at this host.
+// release ends a request at this host and returns its ticket.
 func (m *Machine) release(id core.RequestID, e End) {
 	r := m.entry.requests[id]
 	if r == nil {
 		return
 	}
 	if e.Missing {
-		m.view.lost(r.upstream, r.Adapter)
+		m.view.markAbsent(r.upstream, r.Adapter)
 	}
-	m.leave(r, e)
+	m.withdraw(r, e)
 	delete(m.entry.requests, id)
 }
 
-// leave takes r back from wherever it waits or runs.
-func (m *Machine) leave(r *request, e End) {
-	if r.state == wanting {
-		m.unwant(r)
+// withdraw cancels r's load request or ticket request, or returns its ticket.
+func (m *Machine) withdraw(r *request, e End) {
+	if r.state == awaitingLoad {
+		m.cancelLoadRequest(r)
 		return
 	}
-	m.leaveView(r)
+	m.uncount(r)
 	if r.owner == "" {
 		return
 	}
-	m.touch(r.owner)
+	m.trackOwner(r.owner)
 	m.send(r.owner, Message{Release: &ReleaseMessage{Request: r.Request, Seq: r.seq, Upstream: r.upstream, End: e}})
 }
 
-func (m *Machine) leaveView(r *request) {
-	if x := m.view.seen[r.upstream]; x != nil && r.state != wanting {
-		x.mine--
+func (m *Machine) uncount(r *request) {
+	if x := m.view.upstreams[r.upstream]; x != nil && r.state != awaitingLoad {
+		x.ownRequests--
 	}
 }
 
 func (m *Machine) refuse(r *request, why *core.Refusal) {
 	delete(m.entry.requests, r.Request)
-	m.note("refused."+string(why.Code), why.Message)
-	m.out.Decisions = append(m.out.Decisions, Decision{Request: r.Request, Refusal: why})
+	m.logDecision("refused."+string(why.Code), why.Message)
+	m.result.Decisions = append(m.result.Decisions, Decision{Request: r.Request, Refusal: why})
 }
 
-// tickEntry repeats unanswered asks, ends those past their deadline, follows
-// owners that moved, and sends accounts.
+// tickEntry retries unanswered ticket requests, refuses those past their
+// deadline, restates tickets to new owners, and sends outstanding lists.
 func (m *Machine) tickEntry() {
-	if m.now.Sub(m.entry.swept) < sweepEvery {
+	if m.now.Sub(m.entry.lastSweep) < sweepInterval {
 		return
 	}
-	m.entry.swept = m.now
+	m.entry.lastSweep = m.now
 	for _, id := range slices.SortedFunc(maps.Keys(m.entry.requests), cmp.Compare) {
-		m.sweep(m.entry.requests[id])
+		m.sweepRequest(m.entry.requests[id])
 	}
-	m.sweepWishes()
-	m.sendHolds()
+	m.sweepLoadRequests()
+	m.sendOutstandingLists()
 }
 
-func (m *Machine) sweep(r *request) {
-	if r.state == wanting {
+func (m *Machine) sweepRequest(r *request) {
+	if r.state == awaitingLoad {
 		if !m.now.Before(r.Deadline) {
-			m.unwant(r)
-			m.refuse(r, core.Refuse(core.CodeDeadline, m.loadRetry(r.Adapter), "the adapter was not loaded before the deadline"))
+			m.cancelLoadRequest(r)
+			m.refuse(r, core.Refuse(core.CodeDeadline, m.loadRetryAfter(r.Adapter), "the adapter was not loaded before the deadline"))
 		}
 		return
 	}
-	owner, ok := m.own.Owner(core.Shard{Kind: core.ShardUpstream, Name: string(r.upstream)})
+	owner, ok := m.ownership.Owner(core.Shard{Kind: core.ShardUpstream, Name: string(r.upstream)})
 	moved := ok && owner != r.owner
 	switch {
-	case r.state == asking && !m.now.Before(r.Deadline):
-		m.leave(r, End{NotReached: true})
+	case r.state == awaitingTicket && !m.now.Before(r.Deadline):
+		m.withdraw(r, End{NotReached: true})
 		m.refuse(r, core.Refuse(core.CodeDeadline, retryOverloaded, "no place came free before the deadline"))
-	case r.state == asking && (moved || m.now.Sub(r.sent) >= m.settings.Repeat):
-		m.resend(r)
-	case r.state == ticketed && (moved || !r.known && m.now.Sub(r.sent) >= m.settings.Repeat):
-		m.note("restate", string(r.upstream))
-		m.resend(r)
+	case r.state == awaitingTicket && (moved || m.now.Sub(r.lastSent) >= m.settings.Repeat):
+		m.sendTicketRequest(r)
+	case r.state == hasTicket && (moved || !r.confirmed && m.now.Sub(r.lastSent) >= m.settings.Repeat):
+		m.logDecision("restate", string(r.upstream))
+		m.sendTicketRequest(r)
 	}
 }
 
-// sendHolds tells every owner which requests this host still has there.
-func (m *Machine) sendHolds() {
+// sendOutstandingLists sends every owner the list of this host's outstanding
+// requests there.
+func (m *Machine) sendOutstandingLists() {
 	due := map[core.HostID][]core.RequestID{}
-	for _, h := range slices.Sorted(maps.Keys(m.entry.peers)) {
-		if p := m.entry.peers[h]; m.now.Sub(p.sent) >= m.settings.HoldEvery {
+	for _, h := range slices.Sorted(maps.Keys(m.entry.owners)) {
+		if p := m.entry.owners[h]; m.now.Sub(p.lastSent) >= m.settings.HoldEvery {
 			due[h] = []core.RequestID{}
 		}
 	}
@@ -350,38 +358,39 @@
 		return
 	}
 	for _, r := range m.entry.requests {
-		if r.state == wanting {
+		if r.state == awaitingLoad {
 			continue
 		}
-		r.list(due, r.owner)
-		for i, h := range r.former {
-			if h != r.owner && !slices.Contains(r.former[:i], h) {
-				r.list(due, h)
+		r.addTo(due, r.owner)
+		for i, h := range r.formerOwners {
+			if h != r.owner && !slices.Contains(r.formerOwners[:i], h) {
+				r.addTo(due, h)
 			}
 		}
 	}
 	for _, h := range slices.Sorted(maps.Keys(due)) {
-		m.sendHold(h, due[h])
+		m.sendOutstandingList(h, due[h])
 	}
 }
 
-// list adds r to an owner's account. Keeps: an owner that this host wrongly took
-// for a former one goes on pinning what runs on its ticket.
-func (r *request) list(due map[core.HostID][]core.RequestID, h core.HostID) {
+// addTo adds r to an owner's outstanding list if one is due. Invariant: former
+// owners get r listed too, so one that still owns the upstream keeps its pin
+// for r.
+func (r *request) addTo(due map[core.HostID][]core.RequestID, h core.HostID) {
 	if ids, ok := due[h]; ok {
 		due[h] = append(ids, r.Request)
 	}
 }
 
-func (m *Machine) sendHold(h core.HostID, ids []core.RequestID) {
+func (m *Machine) sendOutstandingList(h core.HostID, ids []core.RequestID) {
 	slices.Sort(ids)
-	p := m.entry.peers[h]
-	p.sent = m.now
+	p := m.entry.owners[h]
+	p.lastSent = m.now
 	if len(ids) == 0 {
-		p.spare--
+		p.emptyLeft--
 	}
-	if p.spare <= 0 {
-		delete(m.entry.peers, h)
+	if p.emptyLeft <= 0 {
+		delete(m.entry.owners, h)
 	}
 	m.send(h, Message{Hold: &HoldMessage{Upto: m.entry.seq, Requests: ids}})
 }
--- a/internal/core/placement/fleet_test.go
+++ b/internal/core/placement/fleet_test.go
@@ -23,32 +23,32 @@
 	os.Exit(m.Run())
 }
 
-// fleet is a few placement machines with clocks of their own, fake engines that
-// ignore fencing numbers, leases, and a network in between.
+// fleet is a group of placement machines with clocks of their own, fake engines
+// that ignore fencing numbers, leases, and a network in between.
 type fleet struct {
-	now     core.Instant
-	hosts   []core.HostID
-	nodes   map[core.HostID]*node
-	owner   map[core.Shard]core.HostID
-	fence   map[core.Shard]core.Fence
-	outage  bool // of the store: leases are not renewed, nothing moves
-	engines map[core.UpstreamID]*engine
-	network []packet
-	pending []pendingOrder
-	orderIn func(core.AdapterOrder) time.Duration   // until an order reaches its engine
-	packIn  func(Message) []time.Duration           // until each copy of a message arrives
-	answer  func(core.AdapterOrder) (answered bool) // whether an order's end is known
-	faults  []string                                // broken invariants, by the engines' own trace
-	out     map[core.RequestID]Decision
+	now           core.Instant
+	hosts         []core.HostID
+	nodes         map[core.HostID]*node
+	owner         map[core.Shard]core.HostID
+	fence         map[core.Shard]core.Fence
+	outage        bool // of the store: leases are not renewed, no shard moves
+	engines       map[core.UpstreamID]*engine
+	network       []packet
+	pending       []pendingOrder
+	orderDelay    func(core.AdapterOrder) time.Duration   // until an order reaches its engine
+	messageDelays func(Message) []time.Duration           // until each copy of a message arrives
+	orderAnswered func(core.AdapterOrder) (answered bool) // whether an order's result reaches its owner
+	violations    []string                                // violated invariants, as seen by the engines
+	decisions     map[core.RequestID]Decision
 }
 
 type node struct {
 	*Machine
-	ahead  core.Instant // of its clock
-	until  core.Instant // end of its lease, fleet time
-	alive  bool
-	paused bool
-	sees   map[core.Shard]core.HostID // owners, as it has heard
+	clockOffset core.Instant // from fleet time
+	leaseEnd    core.Instant // end of its lease, fleet time
+	alive       bool
+	paused      bool
+	owners      map[core.Shard]core.HostID // owners of shards in its view
 }
 
 type packet struct {
@@ -71,33 +71,33 @@
 	fail        int // loads to fail
 }
 
-// ownership is one host's view of the leases.
-type ownership struct {
+// leaseView is one host's view of the leases.
+type leaseView struct {
 	f    *fleet
 	self core.HostID
 }
 
-func (o ownership) Self() core.HostID { return o.self }
+func (o leaseView) Self() core.HostID { return o.self }
 
-func (o ownership) Owner(s core.Shard) (core.HostID, bool) {
-	h, ok := o.f.nodes[o.self].sees[s]
+func (o leaseView) Owner(s core.Shard) (core.HostID, bool) {
+	h, ok := o.f.nodes[o.self].owners[s]
 	return h, ok
 }
 
-func (o ownership) Acting(_ core.Instant, s core.Shard) (core.Grant, bool) {
+func (o leaseView) Acting(_ core.Instant, s core.Shard) (core.Grant, bool) {
 	n := o.f.nodes[o.self]
-	if o.f.owner[s] != o.self || n.sees[s] != o.self || o.f.now >= n.until {
+	if o.f.owner[s] != o.self || n.owners[s] != o.self || o.f.now >= n.leaseEnd {
 		return core.Grant{}, false
 	}
-	return core.Grant{Fence: o.f.fence[s], Until: n.until + n.ahead}, true
+	return core.Grant{Fence: o.f.fence[s], Until: n.leaseEnd + n.clockOffset}, true
 }
 
-func (o ownership) Serving(now core.Instant, s core.Shard) bool {
+func (o leaseView) Serving(now core.Instant, s core.Shard) bool {
 	_, acting := o.Acting(now, s)
-	return acting || (o.f.outage && o.f.owner[s] == o.self && o.f.nodes[o.self].sees[s] == o.self)
+	return acting || (o.f.outage && o.f.owner[s] == o.self && o.f.nodes[o.self].owners[s] == o.self)
 }
 
-func (o ownership) Members() []core.Member {
+func (o leaseView) Members() []core.Member {
 	var out []core.Member
 	for _, h := range o.f.hosts {
 		if o.f.nodes[h].alive {
@@ -109,16 +109,16 @@
 
 const (
 	stepTime = 2 * time.Millisecond
-	leaseFor = 3 * time.Second
+	leaseTTL = 3 * time.Second
 )
 
 func newFleet(hosts, engines, slots, batch int) *fleet {
 	f := &fleet{
 		now: core.Instant(time.Hour), nodes: map[core.HostID]*node{}, owner: map[core.Shard]core.HostID{},
-		fence: map[core.Shard]core.Fence{}, engines: map[core.UpstreamID]*engine{}, out: map[core.RequestID]Decision{},
-		orderIn: func(core.AdapterOrder) time.Duration { return 300 * time.Millisecond },
-		packIn:  func(Message) []time.Duration { return []time.Duration{0} },
-		answer:  func(core.AdapterOrder) bool { return true },
+		fence: map[core.Shard]core.Fence{}, engines: map[core.UpstreamID]*engine{}, decisions: map[core.RequestID]Decision{},
+		orderDelay:    func(core.AdapterOrder) time.Duration { return 300 * time.Millisecond },
+		messageDelays: func(Message) []time.Duration { return []time.Duration{0} },
+		orderAnswered: func(core.AdapterOrder) bool { return true },
 	}
 	d := &config.Document{}
 	for i := range engines {
@@ -133,17 +133,17 @@
 		f.hosts = append(f.hosts, h)
 		f.nodes[h] = &node{
 			Machine: New(Settings{Self: h, StoreRate: 100}, core.NewRand(uint64(i))), alive: true,
-			ahead: core.Instant(time.Duration(i) * 1000 * time.Hour), sees: map[core.Shard]core.HostID{},
+			clockOffset: core.Instant(time.Duration(i) * 1000 * time.Hour), owners: map[core.Shard]core.HostID{},
 		}
 	}
-	f.give(LoaderShard, f.hosts[0])
+	f.assign(LoaderShard, f.hosts[0])
 	for i := range engines {
-		f.give(upstreamShard(i), f.hosts[i%hosts])
+		f.assign(upstreamShard(i), f.hosts[i%hosts])
 	}
 	f.renew()
-	f.spread()
+	f.refreshViews()
 	for _, h := range f.hosts {
-		f.do(h, f.nodes[h].Configure(f.clock(h), f.own(h), config.NewSnapshot(1, d)))
+		f.do(h, f.nodes[h].Configure(f.clock(h), f.ownership(h), config.NewSnapshot(1, d)))
 	}
 	return f
 }
@@ -152,55 +152,56 @@
 	return core.Shard{Kind: core.ShardUpstream, Name: fmt.Sprintf("u%d", i)}
 }
 
-// give moves a shard; its former owner must have stopped.
-func (f *fleet) give(s core.Shard, h core.HostID) {
+// assign makes h the owner of a shard; the former owner must have stopped.
+func (f *fleet) assign(s core.Shard, h core.HostID) {
 	f.owner[s] = h
 	f.fence[s]++
 }
 
-// spread lets every host hear who owns what.
-func (f *fleet) spread() {
+// refreshViews updates every host's view of the owners.
+func (f *fleet) refreshViews() {
 	for _, h := range f.hosts {
-		f.hears(h)
+		f.refreshView(h)
 	}
 }
 
-func (f *fleet) hears(h core.HostID) { f.nodes[h].sees = maps.Clone(f.owner) }
+func (f *fleet) refreshView(h core.HostID) { f.nodes[h].owners = maps.Clone(f.owner) }
 
 func (f *fleet) renew() {
 	for _, h := range f.hosts {
 		if n := f.nodes[h]; n.up() && !f.outage {
-			n.until = f.now.Add(leaseFor)
+			n.leaseEnd = f.now.Add(leaseTTL)
 		}
 	}
 }
 
 func (n *node) up() bool { return n.alive && !n.paused }
 
-func (f *fleet) own(h core.HostID) core.Ownership { return ownership{f, h} }
-func (f *fleet) clock(h core.HostID) core.Instant { return f.now + f.nodes[h].ahead }
+func (f *fleet) ownership(h core.HostID) core.Ownership { return leaseView{f, h} }
+func (f *fleet) clock(h core.HostID) core.Instant       { return f.now + f.nodes[h].clockOffset }
 
-// do carries out a result of host h. An order is not sent once its grant ended.
+// do carries out a result of host h. An order whose grant has ended is not
+// sent.
 func (f *fleet) do(h core.HostID, r Result) {
 	for _, s := range r.Sends {
-		for _, in := range f.packIn(s.Message) {
+		for _, in := range f.messageDelays(s.Message) {
 			f.network = append(f.network, packet{f.now.Add(stepTime + in), h, s.To, s.Message})
 		}
 	}
 	for _, o := range r.Orders {
 		if f.clock(h) < o.Grant.Until {
-			f.pending = append(f.pending, pendingOrder{f.now.Add(f.orderIn(o)), h, o})
+			f.pending = append(f.pending, pendingOrder{f.now.Add(f.orderDelay(o)), h, o})
 		}
 	}
 	for _, p := range r.Publish {
 		for _, to := range f.hosts {
 			if to != h && f.nodes[to].up() {
-				f.do(to, f.nodes[to].Learned(f.clock(to), f.own(to), p))
+				f.do(to, f.nodes[to].Learned(f.clock(to), f.ownership(to), p))
 			}
 		}
 	}
 	for _, d := range r.Decisions {
-		f.out[d.Request] = d
+		f.decisions[d.Request] = d
 	}
 }
 
@@ -213,7 +214,7 @@
 		case f.now < p.at || n.paused:
 			f.network = append(f.network, p)
 		case n.alive:
-			f.do(p.to, n.Peer(f.clock(p.to), f.own(p.to), p.from, p.msg))
+			f.do(p.to, n.Peer(f.clock(p.to), f.ownership(p.to), p.from, p.msg))
 		}
 	}
 	orders := f.pending
@@ -226,15 +227,15 @@
 		ok := f.engines[o.Upstream].order(f, o)
 		if n := f.nodes[o.by]; n.up() {
 			done := core.OrderDone{ID: o.ID, OK: ok, Sure: true}
-			if !f.answer(o.AdapterOrder) {
+			if !f.orderAnswered(o.AdapterOrder) {
 				done.OK, done.Sure = false, false
 			}
-			f.do(o.by, n.OrderDone(f.clock(o.by), f.own(o.by), done))
+			f.do(o.by, n.OrderDone(f.clock(o.by), f.ownership(o.by), done))
 		}
 	}
 }
 
-func (f *fleet) each(every time.Duration) bool {
+func (f *fleet) due(every time.Duration) bool {
 	return f.now%core.Instant(every) < core.Instant(stepTime)
 }
 
@@ -243,14 +244,14 @@
 	for end := f.now.Add(d); f.now < end; {
 		f.step()
 		f.renew()
-		if f.each(60 * time.Millisecond) {
+		if f.due(60 * time.Millisecond) {
 			for _, h := range f.hosts {
 				if f.nodes[h].up() {
-					f.do(h, f.nodes[h].Tick(f.clock(h), f.own(h)))
+					f.do(h, f.nodes[h].Tick(f.clock(h), f.ownership(h)))
 				}
 			}
 		}
-		if f.each(time.Second) {
+		if f.due(time.Second) {
 			f.poll()
 		}
 	}
@@ -262,21 +263,22 @@
 			continue
 		}
 		for _, u := range f.nodes[h].Polls() {
-			f.do(h, f.nodes[h].Report(f.clock(h), f.own(h), f.engines[u].report(u, f.clock(h))))
+			f.do(h, f.nodes[h].Report(f.clock(h), f.ownership(h), f.engines[u].report(u, f.clock(h))))
 		}
 	}
 }
 
-// crash ends a host for good; its shards move once its lease has ended.
+// crash ends a host for good; its shards may move once its lease has ended.
 func (f *fleet) crash(h core.HostID) { f.nodes[h].alive = false }
 
-// succeed moves the shards of hosts whose lease has ended to a live one.
-func (f *fleet) succeed() {
+// reassignShards moves the shards of hosts whose lease has ended to a live
+// host.
+func (f *fleet) reassignShards() {
 	for _, s := range slices.SortedFunc(maps.Keys(f.owner), compareShards) {
-		if n := f.nodes[f.owner[s]]; !f.outage && f.now >= n.until {
+		if n := f.nodes[f.owner[s]]; !f.outage && f.now >= n.leaseEnd {
 			for i := range f.hosts {
 				if h := f.hosts[(i+len(s.Name))%len(f.hosts)]; f.nodes[h].up() {
-					f.give(s, h)
+					f.assign(s, h)
 					break
 				}
 			}
@@ -284,8 +286,8 @@
 	}
 	for _, h := range f.hosts {
 		for _, lost := range f.hosts {
-			if f.nodes[h].up() && !f.nodes[lost].alive && f.now >= f.nodes[lost].until {
-				f.do(h, f.nodes[h].HostLost(f.clock(h), f.own(h), lost))
+			if f.nodes[h].up() && !f.nodes[lost].alive && f.now >= f.nodes[lost].leaseEnd {
+				f.do(h, f.nodes[h].HostLost(f.clock(h), f.ownership(h), lost))
 			}
 		}
 	}
@@ -307,8 +309,8 @@
 	return r
 }
 
-// order carries out a load or an unload. An unload under a running request is
-// what must never happen.
+// order carries out a load or an unload. It records an unload under a running
+// request as a violation.
 func (e *engine) order(f *fleet, o pendingOrder) bool {
 	if o.Load {
 		e.loads++
@@ -321,14 +323,14 @@
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(e.running), cmp.Compare) {
 		if e.running[id] == o.Adapter {
-			f.faults = append(f.faults, fmt.Sprintf("%s evicted under %s", o.Adapter, id))
+			f.violations = append(f.violations, fmt.Sprintf("%s was evicted while %s ran on it", o.Adapter, id))
 		}
 	}
 	delete(e.adapters, o.Adapter)
 	return true
 }
 
-// restart empties an engine.
+// restart increments the incarnation and empties the engine.
 func (e *engine) restart() {
 	e.incarnation++
 	clear(e.adapters)
@@ -340,15 +342,15 @@
 }
 
 func (f *fleet) ask(h core.HostID, id core.RequestID, a core.AdapterRef) {
-	f.do(h, f.nodes[h].Ask(f.clock(h), f.own(h), Ask{
+	f.do(h, f.nodes[h].Ask(f.clock(h), f.ownership(h), Ask{
 		Request: id, Pool: "p", Adapter: a, Workspace: "w", Weight: 1, Cost: 100, Deadline: f.clock(h).Add(30 * time.Second),
 	}))
 }
 
-// start dispatches a request that has a ticket, if the ticket is still valid
-// and the engine holds the adapter.
+// start dispatches a request that has a valid ticket and reports whether the
+// engine has the adapter loaded.
 func (f *fleet) start(h core.HostID, id core.RequestID) bool {
-	d := f.out[id]
+	d := f.decisions[id]
 	if d.Ticket == nil || !f.nodes[h].Valid(f.clock(h), id) {
 		return false
 	}
@@ -369,6 +371,6 @@
 		delete(x.running, id)
 	}
 	if f.nodes[h].up() {
-		f.do(h, f.nodes[h].Release(f.clock(h), f.own(h), id, e))
+		f.do(h, f.nodes[h].Release(f.clock(h), f.ownership(h), id, e))
 	}
 }
--- a/internal/core/placement/jobs.go
+++ b/internal/core/placement/jobs.go
@@ -7,93 +7,94 @@
 	"gentiancroft/internal/core"
 )
 
-// job is one load that the loader has asked for.
-type job struct {
+// loadJob is one load that the loader ordered.
+type loadJob struct {
 	LoadMessage
 	from    core.HostID
 	evicted Popular
-	ends    core.Instant // when its order is given up
+	expires core.Instant // when it is abandoned
 }
 
-// order is an adapter order that has not ended.
+// order is an adapter order to a replica whose result has not come.
 type order struct {
-	upstream *owned
-	adapter  core.AdapterRef // of the order
-	job      *job
+	upstream *ownedUpstream
+	adapter  core.AdapterRef // the one to load or unload
+	job      *loadJob
 	load     bool
 }
 
-// load takes a load from the loader: into a free slot, or in place of a victim.
-func (m *Machine) load(from core.HostID, l LoadMessage) {
+// receiveLoad handles a load order of the loader: it loads into a free slot or
+// in place of a victim.
+func (m *Machine) receiveLoad(from core.HostID, l LoadMessage) {
 	o := m.owned.byID[l.Upstream]
-	if o == nil || !m.own.Serving(m.now, o.shard) {
+	if o == nil || !m.ownership.Serving(m.now, o.shard) {
 		m.send(from, Message{LoadDone: &LoadDoneMessage{ID: l.ID, Adapter: l.Adapter, Upstream: l.Upstream, End: LoadNotOwner}})
 		return
 	}
-	j := &job{LoadMessage: l, from: from}
+	j := &loadJob{LoadMessage: l, from: from}
 	if s := o.slots[l.Adapter]; s != nil {
-		m.loadPresent(o, s, j)
+		m.loadPresentAdapter(o, s, j)
 		return
 	}
-	if o.jobs[l.Adapter] != nil {
-		return // doubled, or under way for an earlier loader
+	if o.loadJobs[l.Adapter] != nil {
+		return // a duplicate, or ordered by an earlier loader
 	}
-	if !o.reported || m.leavingNow(o) {
-		m.endJob(o, j, LoadNoSlot)
+	if !o.reported || m.isLeaving(o) {
+		m.endLoadJob(o, j, LoadNoSlot)
 		return
 	}
 	if len(o.slots) < o.config.Slots {
 		m.startLoad(o, j)
-		m.flush()
+		m.publish()
 		return
 	}
-	m.makeRoom(o, j)
-	m.flush()
+	m.evictFor(o, j)
+	m.publish()
 }
 
-func (m *Machine) loadPresent(o *owned, s *slot, j *job) {
+func (m *Machine) loadPresentAdapter(o *ownedUpstream, s *slot, j *loadJob) {
 	switch s.state {
 	case resident:
-		m.endJob(o, j, LoadOK)
+		m.endLoadJob(o, j, LoadOK)
 	case loading:
-		if known := o.jobs[s.adapter]; known != nil {
+		if known := o.loadJobs[s.adapter]; known != nil {
 			known.LoadMessage, known.from = j.LoadMessage, j.from
 		}
 	default:
-		m.endJob(o, j, LoadNoSlot)
+		m.endLoadJob(o, j, LoadNoSlot)
 	}
 }
 
-// makeRoom evicts a victim for a load. Only the acting owner may, for as long
-// as the order certainly arrives before its term ends.
-func (m *Machine) makeRoom(o *owned, j *job) {
+// evictFor evicts a victim for a load. Only the acting owner may, and only
+// while the order is certain to arrive before its lease ends.
+func (m *Machine) evictFor(o *ownedUpstream, j *loadJob) {
 	v := m.victim(o, j.Most)
-	grant, acting := m.own.Acting(m.now, o.shard)
+	grant, acting := m.ownership.Acting(m.now, o.shard)
 	last := grant.Until.Add(-m.settings.OrderLinger)
 	if v == nil || !acting || !m.now.Before(last) {
-		m.note("load.no_slot", string(o.id)+": every slot is pinned, waited for or worth more")
-		m.endJob(o, j, LoadNoSlot)
+		m.logDecision("load.no_slot", string(o.id)+": no slot is free and no adapter may be evicted")
+		m.endLoadJob(o, j, LoadNoSlot)
 		return
 	}
-	v.become(unloading, m.now)
-	j.evicted = m.popular(v)
-	o.jobs[j.Adapter] = j
-	m.note("evict", v.adapter.String()+" from "+string(o.id))
-	m.issue(o, &order{upstream: o, adapter: v.adapter, job: j}, core.Grant{Fence: grant.Fence, Until: last})
-	o.stale = true // whoever asks for the victim meanwhile is turned away
+	v.setState(unloading, m.now)
+	j.evicted = m.popularityOf(v)
+	o.loadJobs[j.Adapter] = j
+	m.logDecision("evict", v.adapter.String()+" from "+string(o.id))
+	m.sendOrder(o, &order{upstream: o, adapter: v.adapter, job: j}, core.Grant{Fence: grant.Fence, Until: last})
+	o.publishSoon = true // publish soon: requests for the victim are rejected from now on
 }
 
-func (m *Machine) startLoad(o *owned, j *job) {
-	o.jobs[j.Adapter] = j
-	o.add(&slot{adapter: j.Adapter, state: loading, since: m.now, score: j.Score, touched: m.now})
-	delete(o.gone, j.Adapter)
+func (m *Machine) startLoad(o *ownedUpstream, j *loadJob) {
+	o.loadJobs[j.Adapter] = j
+	o.addSlot(&slot{adapter: j.Adapter, state: loading, stateSince: m.now, score: j.Score, lastRequest: m.now})
+	delete(o.removedAt, j.Adapter)
 	until := m.now.Add(m.settings.LoadTimeout)
-	m.note("load", j.Adapter.String()+" to "+string(o.id))
-	m.issue(o, &order{upstream: o, adapter: j.Adapter, job: j, load: true}, core.Grant{Fence: o.fence, Until: until})
-	o.stale = true
+	m.logDecision("load", j.Adapter.String()+" to "+string(o.id))
+	m.sendOrder(o, &order{upstream: o, adapter: j.Adapter, job: j, load: true}, core.Grant{Fence: o.fence, Until: until})
+	o.publishSoon = true
 }
 
-func (m *Machine) issue(o *owned, x *order, g core.Grant) {
+func (m *Machine) sendOrder(o *ownedUpstream, x *order, g core.Grant) {
 	timeout := m.settings.OrderLinger
 	if x.load {
 		timeout = m.settings.LoadTimeout
@@ -101,11 +102,11 @@
 	if m.owned.orders == nil {
 		m.owned.orders = map[uint64]*order{}
 	}
-	m.orders++
-	m.owned.orders[m.orders] = x
-	x.job.ends = m.now.Add(timeout + m.settings.OrderLinger)
-	m.out.Orders = append(m.out.Orders, core.AdapterOrder{
-		ID: m.orders, Upstream: o.id, Address: o.config.Address, Load: x.load, Adapter: x.adapter, Grant: g, Timeout: timeout,
+	m.lastOrderID++
+	m.owned.orders[m.lastOrderID] = x
+	x.job.expires = m.now.Add(timeout + m.settings.OrderLinger)
+	m.result.Orders = append(m.result.Orders, core.AdapterOrder{
+		ID: m.lastOrderID, Upstream: o.id, Address: o.config.Address, Load: x.load, Adapter: x.adapter, Grant: g, Timeout: timeout,
 	})
 }
 
@@ -116,7 +117,7 @@
 	}
 	delete(m.owned.orders, d.ID)
 	o := x.upstream
-	if m.owned.byID[o.id] != o || o.jobs[x.job.Adapter] != x.job {
+	if m.owned.byID[o.id] != o || o.loadJobs[x.job.Adapter] != x.job {
 		return
 	}
 	if x.load {
@@ -124,79 +125,80 @@
 	} else {
 		m.unloadEnded(o, x, d)
 	}
-	m.pump(o)
-	m.flush()
+	m.issueTickets(o)
+	m.publish()
 }
 
-func (m *Machine) loadEnded(o *owned, x *order, d core.OrderDone) {
+func (m *Machine) loadEnded(o *ownedUpstream, x *order, d core.OrderDone) {
 	s := o.slots[x.adapter]
 	end := LoadFailed
 	switch {
 	case s == nil:
 	case d.OK:
-		s.become(resident, m.now)
+		s.setState(resident, m.now)
 		end = LoadOK
 	case d.Sure:
 		delete(o.slots, x.adapter)
 	default:
-		s.become(doubtful, m.now)
+		s.setState(uncertain, m.now)
 	}
-	o.dirty = true
-	m.endJob(o, x.job, end)
+	o.publishNow = true
+	m.endLoadJob(o, x.job, end)
 }
 
-func (m *Machine) unloadEnded(o *owned, x *order, d core.OrderDone) {
+func (m *Machine) unloadEnded(o *ownedUpstream, x *order, d core.OrderDone) {
 	v := o.slots[x.adapter]
-	o.stale = true
+	o.publishSoon = true
 	switch {
 	case d.OK || v == nil:
 		delete(o.slots, x.adapter)
-		o.gone[x.adapter] = m.now
+		o.removedAt[x.adapter] = m.now
 		m.startLoad(o, x.job)
 	case d.Sure:
-		v.become(resident, m.now)
-		m.endJob(o, x.job, LoadFailed)
+		v.setState(resident, m.now)
+		m.endLoadJob(o, x.job, LoadFailed)
 	default:
-		v.become(doubtful, m.now)
-		m.endJob(o, x.job, LoadFailed)
+		v.setState(uncertain, m.now)
+		m.endLoadJob(o, x.job, LoadFailed)
 	}
 }
 
-func (m *Machine) endJob(o *owned, j *job, end LoadEnd) {
-	if o.jobs[j.Adapter] == j {
-		delete(o.jobs, j.Adapter)
+func (m *Machine) endLoadJob(o *ownedUpstream, j *loadJob, end LoadEnd) {
+	if o.loadJobs[j.Adapter] == j {
+		delete(o.loadJobs, j.Adapter)
 	}
 	if end == LoadFailed {
-		m.note("load.failed", j.Adapter.String()+" on "+string(o.id))
+		m.logDecision("load.failed", j.Adapter.String()+" on "+string(o.id))
 	}
 	m.send(j.from, Message{LoadDone: &LoadDoneMessage{ID: j.ID, Adapter: j.Adapter, Upstream: o.id, End: end, Evicted: j.evicted}})
 	j.evicted = Popular{}
 }
 
-// tickJobs gives up orders whose end never came.
-func (m *Machine) tickJobs(o *owned) {
-	for _, a := range slices.SortedFunc(maps.Keys(o.jobs), compareRefs) {
-		j := o.jobs[a]
-		if m.now.Before(j.ends) {
+// expireLoadJobs abandons load jobs whose result never came.
+func (m *Machine) expireLoadJobs(o *ownedUpstream) {
+	for _, a := range slices.SortedFunc(maps.Keys(o.loadJobs), compareRefs) {
+		j := o.loadJobs[a]
+		if m.now.Before(j.expires) {
 			continue
 		}
 		for _, s := range o.slots {
 			if s.adapter == a || s.adapter == j.evicted.Adapter && s.state == unloading {
-				s.become(doubtful, m.now)
+				s.setState(uncertain, m.now)
 			}
 		}
-		o.dirty = true
-		m.endJob(o, j, LoadFailed)
+		o.publishNow = true
+		m.endLoadJob(o, j, LoadFailed)
 	}
 }
 
-// doubt stops tickets for an adapter until a report settles where it is.
-func (m *Machine) doubt(o *owned, a core.AdapterRef, why string) {
+// markUncertain stops tickets for an adapter until a report shows whether it is
+// loaded.
+func (m *Machine) markUncertain(o *ownedUpstream, a core.AdapterRef, why string) {
 	s := o.slots[a]
 	if s == nil || s.state != resident {
 		return
 	}
-	s.become(doubtful, m.now)
-	o.dirty = true
-	m.note("adapter.doubt", a.String()+" on "+string(o.id)+": "+why)
+	s.setState(uncertain, m.now)
+	o.publishNow = true
+	m.logDecision("adapter.doubt", a.String()+" on "+string(o.id)+": "+why)
 }
--- a/internal/core/placement/loader.go
+++ b/internal/core/placement/loader.go
@@ -9,219 +9,224 @@
 	"gentiancroft/internal/core"
 )
 
-// need is an adapter that the loader should bring somewhere.
-type need struct {
-	adapter   core.AdapterRef
-	pool      string
-	hosts     map[core.HostID]int // callers that wait, by entry host
-	class     core.Class
-	since     core.Instant
-	avoid     []core.UpstreamID
-	tries     int
-	notBefore core.Instant
-	spread    bool // a further replica of a busy adapter
-	job       uint64
+// loadCandidate is an adapter that the loader should load somewhere.
+type loadCandidate struct {
+	adapter       core.AdapterRef
+	pool          string
+	waitingByHost map[core.HostID]int // waiting callers, by entry host
+	class         core.Class
+	added         core.Instant
+	avoid         []core.UpstreamID
+	failures      int
+	notBefore     core.Instant
+	background    bool // no caller waits for it: a prefetch or a further replica
+	loadID        uint64
 }
 
-func (n *need) waiting() int {
+func (c *loadCandidate) waitingCallers() int {
 	sum := 0
-	for _, w := range n.hosts {
+	for _, w := range c.waitingByHost {
 		sum += w
 	}
 	return sum
 }
 
-// transit is one load under way.
-type transit struct {
+// inFlightLoad is one load under way.
+type inFlightLoad struct {
 	id       uint64
 	adapter  core.AdapterRef
 	upstream core.UpstreamID
-	ends     core.Instant
+	expires  core.Instant
 }
 
-// loader spends the fleet's one budget of adapter loads.
+// loader spends the fleet's budget of adapter loads.
 type loader struct {
-	tokens  float64 // loads that the store's rate allows now
-	accrued core.Instant
-	fence   core.Fence
-	// assumed is how many loads of a former loader may still be under way,
-	// until assumedEnd. Keeps: never more than InTransit at once.
-	assumed    int
-	assumedEnd core.Instant
-	asked      core.Instant         // when members were last asked what they load
-	heard      map[core.HostID]bool // members that told what they load
-	transits   map[uint64]*transit
-	needs      map[core.AdapterRef]*need
-	fame       map[core.AdapterRef]fame
-	lastID     uint64
-	prefetched core.Instant
-	pruned     core.Instant
+	budget      float64 // loads that the weight store's rate allows now
+	lastAccrual core.Instant
+	fence       core.Fence
+	// assumedInFlight is how many loads of a former loader may still be running,
+	// until assumedUntil. Invariant: never more loads run at once than the
+	// settings allow.
+	assumedInFlight int
+	assumedUntil    core.Instant
+	lastQuery       core.Instant         // when members were last asked what they load
+	reported        map[core.HostID]bool // members that reported what they load
+	inFlight        map[uint64]*inFlightLoad
+	candidates      map[core.AdapterRef]*loadCandidate
+	popularity      map[core.AdapterRef]adapterPopularity
+	lastID          uint64
+	lastPrefetch    core.Instant
+	lastPrune       core.Instant
 }
 
-// unbounded lets a load evict whatever is worth least.
-const unbounded = -1.0
+// noCostLimit lets a load evict the adapter with the lowest eviction cost,
+// whatever it is.
+const noCostLimit = -1.0
 
 // Pacing of the loader.
 const (
-	tokenBurst    = 2.0 // loads saved up while nothing is wanted
+	maxBudget     = 2.0 // loads saved up while the loader is idle
 	retryBackoff  = 500 * time.Millisecond
 	maxBackoff    = 8 * time.Second
 	noSlotBackoff = 250 * time.Millisecond
 )
 
-func (m *Machine) scanLoader() {
-	owner, _ := m.own.Owner(LoaderShard)
-	serving := m.own.Serving(m.now, LoaderShard)
-	grant, acting := m.own.Acting(m.now, LoaderShard)
+func (m *Machine) updateLoader() {
+	owner, _ := m.ownership.Owner(LoaderShard)
+	serving := m.ownership.Serving(m.now, LoaderShard)
+	grant, acting := m.ownership.Acting(m.now, LoaderShard)
 	switch {
 	case owner != m.settings.Self && !serving:
 		m.loader = nil
 		return
 	case m.loader != nil && acting && m.loader.fence != grant.Fence:
-		m.loader = nil // another host may have loaded in between
+		m.loader = nil // another host may have started loads in between
 	}
 	if m.loader != nil || !serving {
 		return
 	}
 	m.loader = &loader{
-		fence:      grant.Fence,
-		accrued:    m.now,
-		assumed:    m.settings.InTransit,
-		assumedEnd: m.now.Add(m.settings.LoadTimeout + m.settings.OrderLinger),
-		heard:      map[core.HostID]bool{},
-		transits:   map[uint64]*transit{},
-		needs:      map[core.AdapterRef]*need{},
-		fame:       map[core.AdapterRef]fame{},
-		lastID:     uint64(m.now),
-	}
-	m.note("loader.taken", "")
+		fence:           grant.Fence,
+		lastAccrual:     m.now,
+		assumedInFlight: m.settings.InTransit,
+		assumedUntil:    m.now.Add(m.settings.LoadTimeout + m.settings.OrderLinger),
+		reported:        map[core.HostID]bool{},
+		inFlight:        map[uint64]*inFlightLoad{},
+		candidates:      map[core.AdapterRef]*loadCandidate{},
+		popularity:      map[core.AdapterRef]adapterPopularity{},
+		lastID:          uint64(m.now),
+	}
+	m.logDecision("loader.taken", "")
 }
 
-// greetLoader tells a new loader what this host's upstreams load.
-func (m *Machine) greetLoader() {
-	loader, ok := m.own.Owner(LoaderShard)
-	if !ok || loader == m.greeted {
+// reportLoads sends a new loader the list of loads on this host's upstreams.
+func (m *Machine) reportLoads() {
+	loader, ok := m.ownership.Owner(LoaderShard)
+	if !ok || loader == m.loadsReportedTo {
 		return
 	}
-	m.greeted = loader
+	m.loadsReportedTo = loader
 	msg := LoadingMessage{Adapters: []core.AdapterRef{}}
 	for _, x := range m.owned.list {
-		msg.Adapters = append(msg.Adapters, slices.SortedFunc(maps.Keys(x.jobs), compareRefs)...)
+		msg.Adapters = append(msg.Adapters, slices.SortedFunc(maps.Keys(x.loadJobs), compareRefs)...)
 	}
 	m.send(loader, Message{Loading: &msg})
 }
 
-// answerLoader tells a loader that asks what this host's upstreams load.
-func (m *Machine) answerLoader(loader core.HostID) {
+// sendLoads answers a loader's query for the loads on this host's upstreams.
+func (m *Machine) sendLoads(loader core.HostID) {
 	msg := LoadingMessage{Adapters: []core.AdapterRef{}}
 	for _, x := range m.owned.list {
-		msg.Adapters = append(msg.Adapters, slices.SortedFunc(maps.Keys(x.jobs), compareRefs)...)
+		msg.Adapters = append(msg.Adapters, slices.SortedFunc(maps.Keys(x.loadJobs), compareRefs)...)
 	}
 	m.send(loader, Message{Loading: &msg})
 }
 
-// askLoading asks the members that have not said yet what they load, until all
+// queryLoads queries the members that have not reported their loads, until all
 // have or the assumed loads have ended.
-func (m *Machine) askLoading() {
+func (m *Machine) queryLoads() {
 	l := m.loader
-	if l.assumed == 0 || m.now.Before(l.asked.Add(m.settings.Repeat)) {
+	if l.assumedInFlight == 0 || m.now.Before(l.lastQuery.Add(m.settings.Repeat)) {
 		return
 	}
-	l.asked = m.now
-	for _, h := range m.own.Members() {
-		if !l.heard[h.Host] {
+	l.lastQuery = m.now
+	for _, h := range m.ownership.Members() {
+		if !l.reported[h.Host] {
 			m.send(h.Host, Message{Loading: &LoadingMessage{Ask: true}})
 		}
 	}
 }
 
-func (m *Machine) loadingElsewhere(from core.HostID, msg LoadingMessage) {
+func (m *Machine) receiveLoading(from core.HostID, msg LoadingMessage) {
 	if msg.Ask {
-		m.answerLoader(from)
+		m.sendLoads(from)
 		return
 	}
 	l := m.loader
-	if l == nil || l.heard[from] {
+	if l == nil || l.reported[from] {
 		return
 	}
-	l.heard[from] = true
+	l.reported[from] = true
 	for _, a := range msg.Adapters {
 		l.lastID++
-		l.transits[l.lastID] = &transit{id: l.lastID, adapter: a, ends: l.assumedEnd}
+		l.inFlight[l.lastID] = &inFlightLoad{id: l.lastID, adapter: a, expires: l.assumedUntil}
 	}
 }
 
-func (m *Machine) wanted(from core.HostID, w WantMessage) {
+func (m *Machine) receiveLoadRequest(from core.HostID, msg WantMessage) {
 	l := m.loader
 	if l == nil {
 		return
 	}
-	l.famed(w.Adapter, w.Pool, float64(w.Arrived), m.now, m.settings.HalfLife)
-	n := l.needs[w.Adapter]
-	if n == nil && w.Waiting == 0 {
+	l.countRequests(msg.Adapter, msg.Pool, float64(msg.Arrived), m.now, m.settings.HalfLife)
+	c := l.candidates[msg.Adapter]
+	if c == nil && msg.Waiting == 0 {
 		return
 	}
-	if u, ok := m.holderFor(w); ok {
-		m.send(from, Message{Wanted: &WantedMessage{Adapter: w.Adapter, Upstream: u}})
+	if u, ok := m.loadedUpstream(msg); ok {
+		m.send(from, Message{Wanted: &WantedMessage{Adapter: msg.Adapter, Upstream: u}})
 		return
 	}
-	if n == nil {
-		n = &need{adapter: w.Adapter, pool: w.Pool, hosts: map[core.HostID]int{}, since: m.now, class: core.Overnight}
-		l.needs[w.Adapter] = n
+	if c == nil {
+		c = &loadCandidate{adapter: msg.Adapter, pool: msg.Pool, waitingByHost: map[core.HostID]int{}, added: m.now, class: core.Overnight}
+		l.candidates[msg.Adapter] = c
 	}
-	n.spread = false
-	n.class = min(n.class, w.Class)
-	n.hosts[from] = w.Waiting
-	for _, u := range w.Avoid {
-		if !slices.Contains(n.avoid, u) {
-			n.avoid = append(n.avoid, u)
+	c.background = false
+	c.class = min(c.class, msg.Class)
+	c.waitingByHost[from] = msg.Waiting
+	for _, u := range msg.Avoid {
+		if !slices.Contains(c.avoid, u) {
+			c.avoid = append(c.avoid, u)
 		}
 	}
-	if w.Waiting == 0 {
-		delete(n.hosts, from)
-		l.settleNeed(n)
+	if msg.Waiting == 0 {
+		delete(c.waitingByHost, from)
+		l.removeIfUnneeded(c)
 		return
 	}
-	m.pumpLoader()
+	m.startLoads()
 }
 
-// holderFor is an upstream that the asking host should have known of.
-func (m *Machine) holderFor(w WantMessage) (core.UpstreamID, bool) {
-	for _, x := range m.view.holders[w.Adapter] {
-		usable := x.config.Pool == w.Pool && !m.view.ejected(x) && !x.leaving() && !m.view.listed[x.Upstream]
-		if usable && !slices.Contains(w.Avoid, x.Upstream) {
+// loadedUpstream returns a usable upstream that already has the requested
+// adapter loaded, and false if there is none. The requesting host's view then
+// lags.
+func (m *Machine) loadedUpstream(msg WantMessage) (core.UpstreamID, bool) {
+	for _, x := range m.view.loadedOn[msg.Adapter] {
+		usable := x.config.Pool == msg.Pool && !m.view.ejected(x) && !x.leaving() && !m.view.listedLeaving[x.Upstream]
+		if usable && !slices.Contains(msg.Avoid, x.Upstream) {
 			return x.Upstream, true
 		}
 	}
 	return "", false
 }
 
-// settleNeed forgets a need that nobody has any more.
-func (l *loader) settleNeed(n *need) {
-	if len(n.hosts) == 0 && n.job == 0 && !n.spread {
-		delete(l.needs, n.adapter)
+// removeIfUnneeded removes a candidate without waiting callers or a running
+// load, unless it is background work.
+func (l *loader) removeIfUnneeded(c *loadCandidate) {
+	if len(c.waitingByHost) == 0 && c.loadID == 0 && !c.background {
+		delete(l.candidates, c.adapter)
 	}
 }
 
 func (l *loader) hostLost(h core.HostID) {
-	for _, a := range slices.SortedFunc(maps.Keys(l.needs), compareRefs) {
-		n := l.needs[a]
-		delete(n.hosts, h)
-		l.settleNeed(n)
+	for _, a := range slices.SortedFunc(maps.Keys(l.candidates), compareRefs) {
+		c := l.candidates[a]
+		delete(c.waitingByHost, h)
+		l.removeIfUnneeded(c)
 	}
 }
 
 func (l *loader) accrue(now core.Instant, rate float64) {
-	l.tokens = min(l.tokens+rate*now.Sub(l.accrued).Seconds(), tokenBurst)
-	l.accrued = now
+	l.budget = min(l.budget+rate*now.Sub(l.lastAccrual).Seconds(), maxBudget)
+	l.lastAccrual = now
 }
 
-// room is how many loads may start now.
-func (l *loader) room(now core.Instant, inTransit int) int {
-	if !now.Before(l.assumedEnd) {
-		l.assumed = 0
+// loadsAllowed returns how many loads may start now.
+func (l *loader) loadsAllowed(now core.Instant, maxInFlight int) int {
+	if !now.Before(l.assumedUntil) {
+		l.assumedInFlight = 0
 	}
-	return min(inTransit-l.assumed-len(l.transits), int(l.tokens))
+	return min(maxInFlight-l.assumedInFlight-len(l.inFlight), int(l.budget))
 }
 
 func (m *Machine) tickLoader() {
@@ -229,63 +234,64 @@
 	if l == nil {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(l.transits)) {
-		t := l.transits[id]
-		if m.now.Before(t.ends) {
+	for _, id := range slices.Sorted(maps.Keys(l.inFlight)) {
+		t := l.inFlight[id]
+		if m.now.Before(t.expires) {
 			continue
 		}
-		delete(l.transits, id)
-		if n := l.needs[t.adapter]; n != nil && n.job == id {
-			m.retryNeed(n, t.upstream, true)
+		delete(l.inFlight, id)
+		if c := l.candidates[t.adapter]; c != nil && c.loadID == id {
+			m.retryCandidate(c, t.upstream, true)
 		}
 	}
-	if l.assumed > 0 && m.everyoneHeard() {
-		l.assumed = 0
+	if l.assumedInFlight > 0 && m.allReported() {
+		l.assumedInFlight = 0
 	}
-	m.askLoading()
-	m.pumpLoader()
+	m.queryLoads()
+	m.startLoads()
 	m.prefetch()
 }
 
-func (m *Machine) everyoneHeard() bool {
-	for _, h := range m.own.Members() {
-		if !m.loader.heard[h.Host] {
+func (m *Machine) allReported() bool {
+	for _, h := range m.ownership.Members() {
+		if !m.loader.reported[h.Host] {
 			return false
 		}
 	}
 	return true
 }
 
-// pumpLoader starts loads while the budget allows, the most pressing first.
-func (m *Machine) pumpLoader() {
+// startLoads orders loads of the candidates that are due while the budget
+// allows, the most urgent first.
+func (m *Machine) startLoads() {
 	l := m.loader
-	if !m.own.Serving(m.now, LoaderShard) {
+	if !m.ownership.Serving(m.now, LoaderShard) {
 		return
 	}
 	l.accrue(m.now, m.settings.StoreRate)
-	if l.room(m.now, m.settings.InTransit) <= 0 || len(l.needs) == 0 {
+	if l.loadsAllowed(m.now, m.settings.InTransit) <= 0 || len(l.candidates) == 0 {
 		return
 	}
-	due := make([]*need, 0, len(l.needs))
-	for _, n := range l.needs {
-		if n.job == 0 && !m.now.Before(n.notBefore) {
-			due = append(due, n)
+	due := make([]*loadCandidate, 0, len(l.candidates))
+	for _, c := range l.candidates {
+		if c.loadID == 0 && !m.now.Before(c.notBefore) {
+			due = append(due, c)
 		}
 	}
-	slices.SortFunc(due, func(a, b *need) int { return m.compareNeeds(a, b) })
-	for _, n := range due {
-		if l.room(m.now, m.settings.InTransit) <= 0 {
+	slices.SortFunc(due, func(a, b *loadCandidate) int { return m.compareCandidates(a, b) })
+	for _, c := range due {
+		if l.loadsAllowed(m.now, m.settings.InTransit) <= 0 {
 			return
 		}
-		m.startNeed(n)
+		m.orderLoad(c)
 	}
 }
 
-// compareNeeds puts waiting callers before spreading, urgent classes first,
-// then whoever saves the most waiting.
-func (m *Machine) compareNeeds(a, b *need) int {
-	if a.spread != b.spread {
-		if b.spread {
+// compareCandidates orders candidates: those with waiting callers before
+// background work, then by class, then by urgency.
+func (m *Machine) compareCandidates(a, b *loadCandidate) int {
+	if a.background != b.background {
+		if b.background {
 			return -1
 		}
 		return 1
@@ -293,87 +299,88 @@
 	if c := cmp.Compare(a.class, b.class); c != 0 {
 		return c
 	}
-	if c := cmp.Compare(m.pressure(b), m.pressure(a)); c != 0 {
+	if c := cmp.Compare(m.urgency(b), m.urgency(a)); c != 0 {
 		return c
 	}
 	return compareRefs(a.adapter, b.adapter)
 }
 
-// pressure grows with the callers that wait, with those to be expected, and
-// with the time waited, so that nothing is passed over for ever.
-func (m *Machine) pressure(n *need) float64 {
-	return (float64(n.waiting()) + m.remembered(n.adapter)) * (1 + m.now.Sub(n.since).Seconds())
+// urgency grows with the waiting callers, with those to be expected, and with
+// the time waited, so that no candidate starves.
+func (m *Machine) urgency(c *loadCandidate) float64 {
+	return (float64(c.waitingCallers()) + m.absentPopularity(c.adapter)) * (1 + m.now.Sub(c.added).Seconds())
 }
 
-func (m *Machine) startNeed(n *need) {
+func (m *Machine) orderLoad(c *loadCandidate) {
 	l := m.loader
-	score := m.remembered(n.adapter)
-	most := unbounded
-	if n.spread {
-		most = score / prefetchMargin
+	score := m.absentPopularity(c.adapter)
+	maxCost := noCostLimit
+	if c.background {
+		maxCost = score / prefetchMargin
 	}
-	u, ok := m.loadTarget(n, most)
+	u, ok := m.loadTarget(c, maxCost)
 	if !ok {
-		n.notBefore = m.now.Add(noSlotBackoff)
+		c.notBefore = m.now.Add(noSlotBackoff)
 		return
 	}
-	owner, ok := m.own.Owner(core.Shard{Kind: core.ShardUpstream, Name: string(u)})
+	owner, ok := m.ownership.Owner(core.Shard{Kind: core.ShardUpstream, Name: string(u)})
 	if !ok {
 		return
 	}
-	l.tokens--
+	l.budget--
 	l.lastID++
-	n.job = l.lastID
-	l.transits[n.job] = &transit{id: n.job, adapter: n.adapter, upstream: u, ends: m.now.Add(m.settings.LoadTimeout + 2*m.settings.OrderLinger)}
-	msg := LoadMessage{ID: n.job, Adapter: n.adapter, Upstream: u, Score: score, Most: most}
+	c.loadID = l.lastID
+	l.inFlight[c.loadID] = &inFlightLoad{id: c.loadID, adapter: c.adapter, upstream: u, expires: m.now.Add(m.settings.LoadTimeout + 2*m.settings.OrderLinger)}
+	msg := LoadMessage{ID: c.loadID, Adapter: c.adapter, Upstream: u, Score: score, Most: maxCost}
 	m.send(owner, Message{Load: &msg})
 }
 
-// loadDone ends a load: tell who waits, or try elsewhere.
-func (m *Machine) loadDone(d LoadDoneMessage) {
+// receiveLoadDone ends a load: it informs the waiting hosts, or retries
+// elsewhere after a failure.
+func (m *Machine) receiveLoadDone(d LoadDoneMessage) {
 	l := m.loader
 	if l == nil {
 		return
 	}
-	if x := m.view.seen[d.Upstream]; x != nil && d.Evicted.Adapter != (core.AdapterRef{}) {
-		l.remember(d.Evicted, x.config.Pool, m.now)
+	if x := m.view.upstreams[d.Upstream]; x != nil && d.Evicted.Adapter != (core.AdapterRef{}) {
+		l.setPopularity(d.Evicted, x.config.Pool, m.now)
 	}
-	t := l.transits[d.ID]
+	t := l.inFlight[d.ID]
 	if t == nil {
 		return
 	}
-	delete(l.transits, d.ID)
+	delete(l.inFlight, d.ID)
 	if d.End == LoadNoSlot || d.End == LoadNotOwner {
-		l.tokens = min(l.tokens+1, tokenBurst) // the store was not touched
+		l.budget = min(l.budget+1, maxBudget) // the weight store was not used
 	}
-	n := l.needs[d.Adapter]
-	if n == nil || n.job != d.ID {
+	c := l.candidates[d.Adapter]
+	if c == nil || c.loadID != d.ID {
 		return
 	}
 	if d.End != LoadOK {
-		m.retryNeed(n, d.Upstream, d.End == LoadFailed)
-		m.pumpLoader()
+		m.retryCandidate(c, d.Upstream, d.End == LoadFailed)
+		m.startLoads()
 		return
 	}
-	delete(l.needs, d.Adapter)
-	m.view.gained(d.Upstream, d.Adapter)
-	for _, h := range slices.Sorted(maps.Keys(n.hosts)) {
+	delete(l.candidates, d.Adapter)
+	m.view.markLoaded(d.Upstream, d.Adapter)
+	for _, h := range slices.Sorted(maps.Keys(c.waitingByHost)) {
 		m.send(h, Message{Wanted: &WantedMessage{Adapter: d.Adapter, Upstream: d.Upstream}})
 	}
-	m.pumpLoader()
+	m.startLoads()
 }
 
-func (m *Machine) retryNeed(n *need, u core.UpstreamID, failed bool) {
-	n.job = 0
-	if n.spread {
-		delete(m.loader.needs, n.adapter)
+func (m *Machine) retryCandidate(c *loadCandidate, u core.UpstreamID, failed bool) {
+	c.loadID = 0
+	if c.background {
+		delete(m.loader.candidates, c.adapter)
 		return
 	}
-	n.notBefore = m.now.Add(noSlotBackoff)
+	c.notBefore = m.now.Add(noSlotBackoff)
 	if failed {
-		n.tries++
-		n.avoid = append(n.avoid, u)
-		n.notBefore = m.now.Add(min(retryBackoff<<min(n.tries, 8), maxBackoff))
+		c.failures++
+		c.avoid = append(c.avoid, u)
+		c.notBefore = m.now.Add(min(retryBackoff<<min(c.failures, 8), maxBackoff))
 	}
-	m.loader.settleNeed(n)
+	m.loader.removeIfUnneeded(c)
 }
--- a/internal/core/placement/machine.go
+++ b/internal/core/placement/machine.go
@@ -8,31 +8,33 @@
 	"gentiancroft/internal/core/dispatch/pick"
 )
 
-// scanEvery is the time between two looks at which shards are this host's.
-const scanEvery = 200 * time.Millisecond
+// scanInterval is the time between two checks of which shards this host owns.
+const scanInterval = 200 * time.Millisecond
 
-// Machine is one host's placement. It is not safe for concurrent use.
+// Machine is one host's placement. It does no I/O: its methods return effects
+// as a Result. It is not safe for concurrent use.
 type Machine struct {
 	settings Settings
 	rng      *core.Rand
 	chooser  pick.Chooser
 
-	view   *view
-	entry  entry
-	owned  owners
-	loader *loader // nil unless the loader shard is this host's
-	orders uint64  // last order number
-	// greeted is the loader that has been told what this host loads.
-	greeted core.HostID
+	view        *view
+	entry       entry
+	owned       ownedUpstreams
+	loader      *loader // nil unless this host owns the loader shard
+	lastOrderID uint64  // last order number
+	// loadsReportedTo is the loader that got this host's list of loads.
+	loadsReportedTo core.HostID
 
-	now     core.Instant
-	own     core.Ownership
-	out     Result
-	inbox   []Message // to this host itself
-	scanned core.Instant
+	now       core.Instant
+	ownership core.Ownership
+	result    Result
+	inbox     []Message // from this host to itself
+	lastScan  core.Instant
 }
 
-// New returns the placement of a host without a configuration.
+// New returns the placement of a host without a configuration. It refuses every
+// request until Configure is called.
 func New(s Settings, rng *core.Rand) *Machine {
 	return &Machine{
 		settings: s.withDefaults(),
@@ -40,61 +42,61 @@
 		chooser:  pick.Default(),
 		view:     newView(),
 		entry:    newEntry(),
-		owned:    owners{byID: map[core.UpstreamID]*owned{}},
+		owned:    ownedUpstreams{byID: map[core.UpstreamID]*ownedUpstream{}},
 	}
 }
 
-// step runs one event and what it sends to this host itself.
+// step runs one event and the messages that this host sends to itself.
 func (m *Machine) step(now core.Instant, own core.Ownership, f func()) Result {
-	m.now, m.own, m.out = now, own, Result{}
+	m.now, m.ownership, m.result = now, own, Result{}
 	f()
 	for len(m.inbox) > 0 {
 		next := m.inbox[0]
 		m.inbox = m.inbox[1:]
 		m.receive(m.settings.Self, next)
 	}
-	return m.out
+	return m.result
 }
 
 // Configure puts a configuration in force.
 func (m *Machine) Configure(now core.Instant, own core.Ownership, s *config.Snapshot) Result {
 	return m.step(now, own, func() {
 		m.view.configure(s)
-		m.scan()
+		m.updateOwnership()
 		m.configureOwned()
 	})
 }
 
-// Ask looks for an upstream for a request. The decision may come with this or
-// a later result. Asking again with the same identity replaces the earlier ask.
+// Ask places a request on an upstream. The decision comes in this or a later
+// Result. A second call with the same request ID replaces the first.
 func (m *Machine) Ask(now core.Instant, own core.Ownership, a Ask) Result {
 	return m.step(now, own, func() { m.ask(a) })
 }
 
-// Withdraw ends an ask whose caller has gone, with or without a ticket.
+// Withdraw ends a request whose caller is gone, with or without a ticket.
 func (m *Machine) Withdraw(now core.Instant, own core.Ownership, id core.RequestID) Result {
 	return m.step(now, own, func() { m.release(id, End{NotReached: true}) })
 }
 
-// Release gives a ticket back after its use.
+// Release returns a ticket after its use. It ignores an unknown request.
 func (m *Machine) Release(now core.Instant, own core.Ownership, id core.RequestID, e End) Result {
 	return m.step(now, own, func() { m.release(id, e) })
 }
 
-// Valid reports whether a request's ticket may still be used to dispatch. Ask
-// it immediately before the dispatch, and again after any pause; where it says
-// no, call Renew. Keeps: no request starts on a ticket that has ended.
+// Valid reports whether a request's ticket may still be used to dispatch. Call
+// it immediately before the dispatch and again after any pause; on false
+// request a new one. Invariant: no request starts on an expired ticket.
 func (m *Machine) Valid(now core.Instant, id core.RequestID) bool {
 	r := m.entry.requests[id]
-	return r != nil && r.state == ticketed && now.Before(r.until)
+	return r != nil && r.state == hasTicket && now.Before(r.validUntil)
 }
 
-// Renew asks anew for a request whose ticket ended before it was used.
+// Renew requests a new ticket for a request whose ticket expired unused.
 func (m *Machine) Renew(now core.Instant, own core.Ownership, id core.RequestID) Result {
-	return m.step(now, own, func() { m.renew(id) })
+	return m.step(now, own, func() { m.renewTicket(id) })
 }
 
-// Dispatched says that a request was sent to its upstream.
+// Dispatched records that a request was sent to its upstream.
 func (m *Machine) Dispatched(id core.RequestID) {
 	if r := m.entry.requests[id]; r != nil {
 		r.running = true
@@ -106,14 +108,14 @@
 	return m.step(now, own, func() { m.receive(from, msg) })
 }
 
-// Tick lets time pass; call it every 50 to 250 ms.
+// Tick runs the timers; call it every 50 to 250 ms.
 func (m *Machine) Tick(now core.Instant, own core.Ownership) Result {
 	return m.step(now, own, func() {
-		if now.Sub(m.scanned) >= scanEvery {
-			m.scan()
+		if now.Sub(m.lastScan) >= scanInterval {
+			m.updateOwnership()
 		}
 		m.tickOwned()
-		m.greetLoader()
+		m.reportLoads()
 		m.tickLoader()
 		m.tickEntry()
 	})
@@ -121,21 +123,21 @@
 
 // Report handles a polled report of an upstream that this host owns.
 func (m *Machine) Report(now core.Instant, own core.Ownership, r core.UpstreamReport) Result {
-	return m.step(now, own, func() { m.report(r) })
+	return m.step(now, own, func() { m.applyReport(r) })
 }
 
-// OrderDone handles the end of an adapter order.
+// OrderDone handles the result of an adapter order.
 func (m *Machine) OrderDone(now core.Instant, own core.Ownership, d core.OrderDone) Result {
 	return m.step(now, own, func() { m.orderDone(d) })
 }
 
-// Learned handles a residency that another host has published.
+// Learned handles a residency that another host published.
 func (m *Machine) Learned(now core.Instant, own core.Ownership, r Residency) Result {
-	return m.step(now, own, func() { m.learned(r) })
+	return m.step(now, own, func() { m.receiveResidency(r) })
 }
 
-// HostLost drops what a host that left the membership waits for. Its tickets
-// stay pinned until the upstream's reports clear them.
+// HostLost drops the queued requests and load requests of a host that left the
+// membership. Its tickets stay pinned until the upstream's reports clear them.
 func (m *Machine) HostLost(now core.Instant, own core.Ownership, h core.HostID) Result {
 	return m.step(now, own, func() {
 		for _, o := range m.owned.list {
@@ -147,8 +149,8 @@
 	})
 }
 
-// Leaving takes the platform's list of upstreams that are leaving. The list
-// lags; the configuration and an upstream's own report count as well.
+// Leaving replaces the platform's list of leaving upstreams. The list lags; the
+// configuration and an upstream's own report count as well.
 func (m *Machine) Leaving(now core.Instant, own core.Ownership, upstreams []core.UpstreamID) Result {
 	return m.step(now, own, func() {
 		m.view.setLeaving(upstreams)
@@ -156,7 +158,7 @@
 	})
 }
 
-// Polls lists the upstreams that this host polls, sorted.
+// Polls lists the upstreams that this host has to poll, sorted by ID.
 func (m *Machine) Polls() []core.UpstreamID {
 	ids := make([]core.UpstreamID, 0, len(m.owned.list))
 	for _, o := range m.owned.list {
@@ -165,7 +167,7 @@
 	return ids
 }
 
-// Idle reports whether no caller of this host waits or holds a ticket.
+// Idle reports whether no request of this host's callers is open.
 func (m *Machine) Idle() bool { return len(m.entry.requests) == 0 }
 
 func (m *Machine) send(to core.HostID, msg Message) {
@@ -173,45 +175,45 @@
 		m.inbox = append(m.inbox, msg)
 		return
 	}
-	m.out.Send(to, msg)
+	m.result.Send(to, msg)
 }
 
-func (m *Machine) note(name, reason string) {
-	m.out.Notes = append(m.out.Notes, Note{Name: name, Reason: reason})
+func (m *Machine) logDecision(name, reason string) {
+	m.result.Notes = append(m.result.Notes, Note{Name: name, Reason: reason})
 }
 
 func (m *Machine) receive(from core.HostID, msg Message) {
 	switch {
 	case msg.Ask != nil:
-		m.asked(from, *msg.Ask)
+		m.receiveTicketRequest(from, *msg.Ask)
 	case msg.Answer != nil:
-		m.answered(from, *msg.Answer)
+		m.receiveTicketReply(from, *msg.Answer)
 	case msg.Release != nil:
-		m.released(from, *msg.Release)
+		m.receiveRelease(from, *msg.Release)
 	case msg.Hold != nil:
-		m.held(from, *msg.Hold)
+		m.receiveOutstandingList(from, *msg.Hold)
 	case msg.Want != nil:
-		m.wanted(from, *msg.Want)
+		m.receiveLoadRequest(from, *msg.Want)
 	case msg.Wanted != nil:
-		m.located(*msg.Wanted)
+		m.receiveLoadReply(*msg.Wanted)
 	case msg.Load != nil:
-		m.load(from, *msg.Load)
+		m.receiveLoad(from, *msg.Load)
 	case msg.LoadDone != nil:
-		m.loadDone(*msg.LoadDone)
+		m.receiveLoadDone(*msg.LoadDone)
 	case msg.Loading != nil:
-		m.loadingElsewhere(from, *msg.Loading)
+		m.receiveLoading(from, *msg.Loading)
 	case msg.Spread != nil:
-		m.spread(*msg.Spread)
+		m.receiveReplicaRequest(*msg.Spread)
 	}
 }
 
-// scan takes up the shards that have come to this host and drops those that
-// have gone.
-func (m *Machine) scan() {
-	m.scanned = m.now
+// updateOwnership adds the shards that this host now owns and drops those it no
+// longer does.
+func (m *Machine) updateOwnership() {
+	m.lastScan = m.now
 	if m.view.snapshot == nil {
 		return
 	}
-	m.scanOwned()
-	m.scanLoader()
+	m.updateOwned()
+	m.updateLoader()
 }
--- a/internal/core/placement/messages.go
+++ b/internal/core/placement/messages.go
@@ -6,8 +6,8 @@
 	"gentiancroft/internal/core"
 )
 
-// Message is what placement on one host tells another; one field is set. Any
-// of them may be lost, doubled or reordered.
+// Message is what the placement of one host sends to that of another; exactly
+// one field is set. A message may be lost, duplicated or reordered.
 type Message struct {
 	Ask      *AskMessage      `cbor:"1,keyasint,omitempty"`
 	Answer   *AnswerMessage   `cbor:"2,keyasint,omitempty"`
@@ -21,8 +21,8 @@
 	Spread   *SpreadMessage   `cbor:"10,keyasint,omitempty"`
 }
 
-// AskMessage asks an upstream's owner for a ticket, or with Running restates
-// one that is in use. Seq rises with every change of upstream or owner.
+// AskMessage is a ticket request to an upstream's owner, or the restatement of a
+// ticket in use. Seq rises with every change of upstream or owner.
 type AskMessage struct {
 	Request   core.RequestID   `cbor:"1,keyasint"`
 	Seq       uint64           `cbor:"2,keyasint"`
@@ -32,28 +32,28 @@
 	Weight    int              `cbor:"6,keyasint"`
 	Class     core.Class       `cbor:"7,keyasint"`
 	Cost      core.Tokens      `cbor:"8,keyasint"`
-	Remaining time.Duration    `cbor:"9,keyasint"`  // until the request's deadline
-	Sent      core.Instant     `cbor:"10,keyasint"` // asker's clock; comes back in the answer
-	Running   bool             `cbor:"11,keyasint,omitempty"`
-	Counted   bool             `cbor:"12,keyasint,omitempty"` // the loader has counted it for the popularity
+	Remaining time.Duration    `cbor:"9,keyasint"`            // until the request's deadline
+	Sent      core.Instant     `cbor:"10,keyasint"`           // requester's clock; returned in the answer
+	Running   bool             `cbor:"11,keyasint,omitempty"` // restatement of a ticket in use
+	Counted   bool             `cbor:"12,keyasint,omitempty"` // the loader has already counted the request for the popularity
 }
 
-// AnswerKind is an owner's answer to an ask.
+// AnswerKind is an owner's answer to a ticket request.
 type AnswerKind uint8
 
-// Answers to an ask.
+// Answers to a ticket request.
 const (
 	AnswerTicket      AnswerKind = iota + 1
-	AnswerNotOwner               // ask the present owner
-	AnswerNotResident            // the upstream does not hold the adapter
-	AnswerLeaving                // the upstream takes no new work
+	AnswerNotOwner               // ask the current owner
+	AnswerNotResident            // the adapter is not loaded on the upstream
+	AnswerLeaving                // the upstream accepts no new work
 	AnswerOverloaded             // the queue is full; final
-	AnswerElsewhere              // a further replica has room, this one has not
-	AnswerUnknown                // the owner has nothing of it; state it again
+	AnswerElsewhere              // another replica has room, this one is full
+	AnswerUnknown                // the owner has no record of the request; send it again
 )
 
-// AnswerMessage answers an ask. A ticket is valid for Valid from the instant
-// Sent of the asker's clock.
+// AnswerMessage answers a ticket request. A ticket's lifetime starts when its
+// request was sent, by the requester's clock.
 type AnswerMessage struct {
 	Request  core.RequestID  `cbor:"1,keyasint"`
 	Seq      uint64          `cbor:"2,keyasint"`
@@ -65,7 +65,7 @@
 	Load     int             `cbor:"8,keyasint,omitempty"` // requests running and waiting at the upstream
 }
 
-// ReleaseMessage gives a ticket back, or takes back an ask.
+// ReleaseMessage returns a ticket or cancels a ticket request.
 type ReleaseMessage struct {
 	Request  core.RequestID  `cbor:"1,keyasint"`
 	Seq      uint64          `cbor:"2,keyasint"`
@@ -73,48 +73,49 @@
 	End      End             `cbor:"4,keyasint"`
 }
 
-// End is how a ticket's use ended.
+// End is how the use of a ticket ended.
 type End struct {
 	Used       core.Tokens `cbor:"1,keyasint,omitempty"`
 	OK         bool        `cbor:"2,keyasint,omitempty"`
-	Missing    bool        `cbor:"3,keyasint,omitempty"` // the engine did not hold the adapter
-	Crashed    bool        `cbor:"4,keyasint,omitempty"` // the upstream died
+	Missing    bool        `cbor:"3,keyasint,omitempty"` // the adapter was not loaded on the engine
+	Crashed    bool        `cbor:"4,keyasint,omitempty"` // the upstream crashed
 	NotReached bool        `cbor:"5,keyasint,omitempty"` // the request never reached the upstream
 }
 
-// HoldMessage lists every request that the sender still has at the receiver.
-// What it has there with a Seq up to Upto and not listed is over.
+// HoldMessage lists the sender's outstanding requests at the receiver: those
+// with a ticket and those waiting for one. A request of the sender with a Seq
+// up to the given one that is not listed has ended.
 type HoldMessage struct {
 	Upto     uint64           `cbor:"1,keyasint"`
 	Requests []core.RequestID `cbor:"2,keyasint"`
 }
 
-// WantMessage tells the loader how many callers of one host wait for an
-// adapter; none waiting takes the want back.
+// WantMessage is a load request: how many callers of one host wait for an
+// adapter. Zero waiting callers cancel it.
 type WantMessage struct {
 	Adapter core.AdapterRef   `cbor:"1,keyasint"`
 	Pool    string            `cbor:"2,keyasint"`
 	Waiting int               `cbor:"3,keyasint"`
-	Class   core.Class        `cbor:"4,keyasint"` // the most urgent
-	Arrived int               `cbor:"5,keyasint"` // callers since the last want, for the popularity
+	Class   core.Class        `cbor:"4,keyasint"` // the most urgent of the waiting callers
+	Arrived int               `cbor:"5,keyasint"` // callers since the last load request, for the popularity
 	Avoid   []core.UpstreamID `cbor:"6,keyasint,omitempty"`
 }
 
-// WantedMessage tells a waiting host where its adapter is now, or with no
-// upstream when to expect it.
+// WantedMessage answers a load request with the upstream that has the adapter
+// loaded, or without an upstream with the expected wait.
 type WantedMessage struct {
 	Adapter  core.AdapterRef `cbor:"1,keyasint"`
 	Upstream core.UpstreamID `cbor:"2,keyasint,omitempty"`
 	Wait     time.Duration   `cbor:"3,keyasint,omitempty"`
 }
 
-// LoadMessage is the loader's order to an upstream's owner.
+// LoadMessage orders an upstream's owner to load an adapter.
 type LoadMessage struct {
 	ID       uint64          `cbor:"1,keyasint"`
 	Adapter  core.AdapterRef `cbor:"2,keyasint"`
 	Upstream core.UpstreamID `cbor:"3,keyasint"`
 	Score    float64         `cbor:"4,keyasint"` // popularity, requests within one half-life
-	Most     float64         `cbor:"5,keyasint"` // evict nothing worth more; negative: no bound
+	Most     float64         `cbor:"5,keyasint"` // maximum eviction cost of the victim; negative: no limit
 }
 
 // LoadEnd is how a load ended.
@@ -123,12 +124,13 @@
 // Ends of a load.
 const (
 	LoadOK       LoadEnd = iota + 1
-	LoadFailed           // the store or the engine failed it
-	LoadNoSlot           // every slot is pinned or worth more
-	LoadNotOwner         // not this owner's upstream
+	LoadFailed           // the weight store or the engine failed
+	LoadNoSlot           // no slot was free and no adapter could be evicted within the cost limit
+	LoadNotOwner         // the receiver does not own the upstream
 )
 
-// LoadDoneMessage ends a load and hands back what was known of its victim.
+// LoadDoneMessage reports the end of a load, and the popularity of the adapter
+// evicted for it.
 type LoadDoneMessage struct {
 	ID       uint64          `cbor:"1,keyasint"`
 	Adapter  core.AdapterRef `cbor:"2,keyasint"`
@@ -144,13 +146,14 @@
 	Idle    time.Duration   `cbor:"3,keyasint"` // since its last request
 }
 
-// LoadingMessage tells a new loader what the sender's upstreams are loading.
+// LoadingMessage reports to the loader which adapters the sender's upstreams
+// are loading, or is the loader's query for that report.
 type LoadingMessage struct {
 	Adapters []core.AdapterRef `cbor:"1,keyasint"`
-	Ask      bool              `cbor:"2,keyasint,omitempty"` // a new loader wants to know
+	Ask      bool              `cbor:"2,keyasint,omitempty"` // query by a new loader
 }
 
-// SpreadMessage asks the loader for one more replica of a busy adapter.
+// SpreadMessage requests one more replica of a busy adapter from the loader.
 type SpreadMessage struct {
 	Adapter core.AdapterRef `cbor:"1,keyasint"`
 	Pool    string          `cbor:"2,keyasint"`
--- a/internal/core/placement/owner.go
+++ b/internal/core/placement/owner.go
@@ -11,70 +11,71 @@
 	"gentiancroft/internal/core/dispatch/health"
 )
 
-// queued is an ask that waits for its ticket.
-type queued struct {
+// queuedRequest is a ticket request that waits at the owner.
+type queuedRequest struct {
 	AskMessage
-	from  core.HostID
-	heard core.Instant
+	from     core.HostID
+	received core.Instant
 }
 
-// owned is one upstream whose shard is this host's.
-type owned struct {
-	id     core.UpstreamID
-	shard  core.Shard
-	config *config.Upstream
-	fence  core.Fence
-	since  core.Instant // when this host took it up
+// ownedUpstream is one upstream whose shard this host owns.
+type ownedUpstream struct {
+	id         core.UpstreamID
+	shard      core.Shard
+	config     *config.Upstream
+	fence      core.Fence
+	ownedSince core.Instant // when this host became owner, or got a new fencing number
 
-	// settled: every ticket of former owners has ended, or its request shows
-	// in the reports. Keeps: a new owner evicts nothing it can't know idle.
-	settled     bool
-	reported    bool // a report has come since then
-	incarnation string
-	running     int // by the last report
+	// reconciled: every ticket of former owners has ended, or its request shows
+	// in the reports. Invariant: a new owner evicts nothing before.
+	reconciled      bool
+	reported        bool // a report has come since ownedSince
+	incarnation     string
+	reportedRunning int // requests running, by the last report
 
-	slots  map[core.AdapterRef]*slot
-	gone   map[core.AdapterRef]core.Instant // when it was unloaded or lost
-	pins   map[core.RequestID]*pin
-	asks   map[core.RequestID]*queued
-	queue  *admission.Queue
-	jobs   map[core.AdapterRef]*job
-	health *health.Tracker
+	slots          map[core.AdapterRef]*slot
+	removedAt      map[core.AdapterRef]core.Instant // when the adapter was unloaded
+	pins           map[core.RequestID]*pin
+	ticketRequests map[core.RequestID]*queuedRequest
+	queue          *admission.Queue
+	loadJobs       map[core.AdapterRef]*loadJob
+	health         *health.Tracker
 
-	dirty     bool // publish at once
-	stale     bool // publish within settleTime
-	seq       uint64
-	published core.Instant
-	lastLoad  int
-	full      bool         // as published: no slot to be had
-	tight     bool         // as published: few
-	crowded   core.Instant // since when it has been too busy; zero: it is not
+	publishNow      bool // publish the residency at once
+	publishSoon     bool // publish it within publishDelay
+	seq             uint64
+	lastPublished   core.Instant
+	publishedLoad   int
+	publishedFull   bool         // as published: no free slot and no victim
+	publishedScarce bool         // as published: few free slots and victims
+	saturatedSince  core.Instant // when the load became too high; zero: it is not
 }
 
-// owners are the upstreams of this host, sorted by identity.
-type owners struct {
-	list   []*owned
-	byID   map[core.UpstreamID]*owned
-	orders map[uint64]*order
-	early  []earlyState
+// ownedUpstreams are the upstreams that this host owns, with their adapter
+// orders; list is sorted by ID.
+type ownedUpstreams struct {
+	list          []*ownedUpstream
+	byID          map[core.UpstreamID]*ownedUpstream
+	orders        map[uint64]*order
+	earlyHandoffs []earlyHandoff
 }
 
-// Publication of load, which structural changes do not wait for.
+// Intervals of publication. Changes of residency are published sooner.
 const (
-	publishEvery = 10 * time.Second // load alone: every answer carries it as well
-	publishTight = 2 * time.Second  // where few slots are to be had: the loader goes by them
-	settleTime   = 500 * time.Millisecond
+	publishInterval       = 10 * time.Second // load alone: every answer to a ticket request carries it too
+	scarcePublishInterval = 2 * time.Second  // few slots available: the loader chooses by them
+	publishDelay          = 500 * time.Millisecond
 )
 
-func (m *Machine) scanOwned() {
+func (m *Machine) updateOwned() {
 	kept := m.owned.list[:0]
 	for _, o := range m.owned.list {
-		owner, _ := m.own.Owner(o.shard)
-		if m.view.seen[o.id] != nil && (owner == m.settings.Self || m.own.Serving(m.now, o.shard)) {
+		owner, _ := m.ownership.Owner(o.shard)
+		if m.view.upstreams[o.id] != nil && (owner == m.settings.Self || m.ownership.Serving(m.now, o.shard)) {
 			kept = append(kept, o)
 			continue
 		}
-		m.note("owner.dropped", string(o.id))
+		m.logDecision("owner.dropped", string(o.id))
 		delete(m.owned.byID, o.id)
 	}
 	clear(m.owned.list[len(kept):])
@@ -82,122 +83,123 @@
 	for i := range m.view.snapshot.Document.Upstreams {
 		u := &m.view.snapshot.Document.Upstreams[i]
 		shard := core.Shard{Kind: core.ShardUpstream, Name: string(u.ID)}
-		if m.owned.byID[u.ID] == nil && m.own.Serving(m.now, shard) {
-			m.takeUp(shard, u)
+		if m.owned.byID[u.ID] == nil && m.ownership.Serving(m.now, shard) {
+			m.addOwned(shard, u)
 		}
 	}
-	if len(m.owned.early) > 0 {
-		m.adoptEarly()
+	if len(m.owned.earlyHandoffs) > 0 {
+		m.adoptEarlyHandoffs()
 	}
 }
 
-func (m *Machine) takeUp(shard core.Shard, u *config.Upstream) *owned {
-	o := &owned{
-		id: u.ID, shard: shard, config: u, since: m.now,
-		slots:  map[core.AdapterRef]*slot{},
-		gone:   map[core.AdapterRef]core.Instant{},
-		pins:   map[core.RequestID]*pin{},
-		asks:   map[core.RequestID]*queued{},
-		jobs:   map[core.AdapterRef]*job{},
-		queue:  admission.NewQueue(admission.QueueSettings{Bound: m.settings.QueueLimit}),
-		health: health.NewTracker(health.Settings{}),
+func (m *Machine) addOwned(shard core.Shard, u *config.Upstream) *ownedUpstream {
+	o := &ownedUpstream{
+		id: u.ID, shard: shard, config: u, ownedSince: m.now,
+		slots:          map[core.AdapterRef]*slot{},
+		removedAt:      map[core.AdapterRef]core.Instant{},
+		pins:           map[core.RequestID]*pin{},
+		ticketRequests: map[core.RequestID]*queuedRequest{},
+		loadJobs:       map[core.AdapterRef]*loadJob{},
+		queue:          admission.NewQueue(admission.QueueSettings{Bound: m.settings.QueueLimit}),
+		health:         health.NewTracker(health.Settings{}),
 	}
-	if g, ok := m.own.Acting(m.now, shard); ok {
+	if g, ok := m.ownership.Acting(m.now, shard); ok {
 		o.fence = g.Fence
 	}
 	m.owned.byID[u.ID] = o
 	m.owned.list = append(m.owned.list, o)
-	slices.SortFunc(m.owned.list, func(a, b *owned) int { return cmp.Compare(a.id, b.id) })
-	m.note("owner.taken", string(u.ID))
+	slices.SortFunc(m.owned.list, func(a, b *ownedUpstream) int { return cmp.Compare(a.id, b.id) })
+	m.logDecision("owner.taken", string(u.ID))
 	return o
 }
 
-// refence takes a change of the fencing number as a new ownership: between two
-// terms another host may have handed out tickets and evicted. What is pinned
-// stays pinned; what is resident has to be reported anew.
-func (m *Machine) refence(o *owned) {
-	g, ok := m.own.Acting(m.now, o.shard)
+// checkFence treats a new fencing number as a new ownership: between two leases
+// another host may have issued tickets and evicted adapters. Pins stay; what is
+// loaded has to be reported anew.
+func (m *Machine) checkFence(o *ownedUpstream) {
+	g, ok := m.ownership.Acting(m.now, o.shard)
 	if !ok || g.Fence == o.fence {
 		return
 	}
-	m.note("owner.refenced", string(o.id))
+	m.logDecision("owner.refenced", string(o.id))
 	o.fence, o.seq = g.Fence, 0
-	o.since, o.settled, o.reported = m.now, false, false
+	o.ownedSince, o.reconciled, o.reported = m.now, false, false
 	clear(o.slots)
-	clear(o.gone)
-	clear(o.jobs)
-	o.dirty = true
+	clear(o.removedAt)
+	clear(o.loadJobs)
+	o.publishNow = true
 }
 
 func (m *Machine) configureOwned() {
 	for _, o := range m.owned.list {
-		if x := m.view.seen[o.id]; x != nil {
+		if x := m.view.upstreams[o.id]; x != nil {
 			o.config = x.config
-			o.dirty = true
+			o.publishNow = true
 		}
 	}
-	m.flush()
+	m.publish()
 }
 
-func (m *Machine) leavingNow(o *owned) bool {
-	x := m.view.seen[o.id]
-	return o.config.Leaving || m.view.listed[o.id] || (x != nil && x.Leaving)
+func (m *Machine) isLeaving(o *ownedUpstream) bool {
+	x := m.view.upstreams[o.id]
+	return o.config.Leaving || m.view.listedLeaving[o.id] || (x != nil && x.Leaving)
 }
 
-// asked handles an entry host's ask or restatement. Keeps: one pin for one
-// request, however often it is asked for.
-func (m *Machine) asked(from core.HostID, a AskMessage) {
+// receiveTicketRequest handles a ticket request or a restatement. Invariant:
+// one pin per request, however often the message arrives.
+func (m *Machine) receiveTicketRequest(from core.HostID, a AskMessage) {
 	o := m.owned.byID[a.Upstream]
-	if o == nil || !m.own.Serving(m.now, o.shard) {
-		m.answer(nil, from, &a, AnswerNotOwner)
+	if o == nil || !m.ownership.Serving(m.now, o.shard) {
+		m.reply(nil, from, &a, AnswerNotOwner)
 		return
 	}
 	if p := o.pins[a.Request]; p != nil {
 		if a.Seq < p.seq {
-			return // an earlier attempt's, late
+			return // late message of an earlier attempt
 		}
 		if a.Seq == p.seq || a.Running {
-			p.seq, p.heard, p.lost = a.Seq, m.now, false
-			m.answer(o, from, &a, AnswerTicket)
+			p.seq, p.lastConfirmed, p.entryLost = a.Seq, m.now, false
+			m.reply(o, from, &a, AnswerTicket)
 			return
 		}
 		m.unpin(o, a.Request, End{NotReached: true})
 	}
 	if a.Running {
-		m.pin(o, from, &a, item(from, &a, m.now))
-		m.answer(o, from, &a, AnswerTicket)
+		m.pin(o, from, &a, queueItem(from, &a, m.now))
+		m.reply(o, from, &a, AnswerTicket)
 		return
 	}
-	if q := o.asks[a.Request]; q != nil {
+	if q := o.ticketRequests[a.Request]; q != nil {
 		if a.Seq >= q.Seq {
-			q.AskMessage, q.from, q.heard = a, from, m.now
+			q.AskMessage, q.from, q.received = a, from, m.now
 		}
 		return
 	}
 	m.enqueue(o, from, a)
 }
 
-func (m *Machine) enqueue(o *owned, from core.HostID, a AskMessage) {
-	if m.leavingNow(o) {
-		m.answer(o, from, &a, AnswerLeaving)
+func (m *Machine) enqueue(o *ownedUpstream, from core.HostID, a AskMessage) {
+	if m.isLeaving(o) {
+		m.reply(o, from, &a, AnswerLeaving)
 		return
 	}
 	if s := o.slots[a.Adapter]; s != nil && !a.Counted {
-		s.touch(m.now, m.settings.HalfLife)
+		s.countRequest(m.now, m.settings.HalfLife)
 	}
-	if o.reported && !m.comes(o, a.Adapter) {
-		m.answer(o, from, &a, AnswerNotResident)
+	if o.reported && !m.residentOrLoading(o, a.Adapter) {
+		m.reply(o, from, &a, AnswerNotResident)
 		return
 	}
-	o.asks[a.Request] = &queued{AskMessage: a, from: from, heard: m.now}
-	for _, shed := range o.queue.Push(m.now, item(from, &a, m.now)) {
-		m.answerQueued(o, shed.Request, AnswerOverloaded)
+	o.ticketRequests[a.Request] = &queuedRequest{AskMessage: a, from: from, received: m.now}
+	for _, shed := range o.queue.Push(m.now, queueItem(from, &a, m.now)) {
+		m.replyQueued(o, shed.Request, AnswerOverloaded)
 	}
-	m.pump(o)
+	m.issueTickets(o)
 }
 
-// comes reports whether an adapter is resident or on its way.
-func (m *Machine) comes(o *owned, a core.AdapterRef) bool {
+// residentOrLoading reports whether an adapter is loaded or being loaded. It is
+// true for the zero adapter.
+func (m *Machine) residentOrLoading(o *ownedUpstream, a core.AdapterRef) bool {
 	if a == (core.AdapterRef{}) {
 		return true
 	}
@@ -205,17 +207,17 @@
 	return s != nil && (s.state == resident || s.state == loading)
 }
 
-func item(from core.HostID, a *AskMessage, now core.Instant) admission.Item {
+func queueItem(from core.HostID, a *AskMessage, now core.Instant) admission.Item {
 	return admission.Item{
 		Request: a.Request, Entry: from, Workspace: a.Workspace, Weight: a.Weight,
 		Class: a.Class, Cost: a.Cost, Adapter: a.Adapter, Deadline: now.Add(a.Remaining),
 	}
 }
 
-func (m *Machine) answer(o *owned, to core.HostID, a *AskMessage, k AnswerKind) {
+func (m *Machine) reply(o *ownedUpstream, to core.HostID, a *AskMessage, k AnswerKind) {
 	msg := AnswerMessage{Request: a.Request, Seq: a.Seq, Upstream: a.Upstream, Kind: k, Sent: a.Sent}
 	if o != nil {
-		msg.Load = m.loadOf(o)
+		msg.Load = m.currentLoad(o)
 		msg.Fence = o.fence
 	}
 	if k == AnswerTicket {
@@ -224,142 +226,148 @@
 	m.send(to, Message{Answer: &msg})
 }
 
-func (m *Machine) answerQueued(o *owned, id core.RequestID, k AnswerKind) {
-	q := o.asks[id]
+func (m *Machine) replyQueued(o *ownedUpstream, id core.RequestID, k AnswerKind) {
+	q := o.ticketRequests[id]
 	if q == nil {
 		return
 	}
-	delete(o.asks, id)
-	m.answer(o, q.from, &q.AskMessage, k)
+	delete(o.ticketRequests, id)
+	m.reply(o, q.from, &q.AskMessage, k)
 }
 
-func (m *Machine) loadOf(o *owned) int { return m.occupied(o) + o.queue.Len() }
+func (m *Machine) currentLoad(o *ownedUpstream) int { return m.occupiedPlaces(o) + o.queue.Len() }
 
-// occupied is how many batch places are taken. A lost holder's pin counts only
-// as far as the upstream reports more running than is accounted for.
-func (m *Machine) occupied(o *owned) int {
+// occupiedPlaces returns how many places of the batch are taken. A pin of a
+// lost entry host counts only while the upstream reports more running requests
+// than the other pins explain.
+func (m *Machine) occupiedPlaces(o *ownedUpstream) int {
 	lost := 0
 	for _, p := range o.pins {
-		if p.lost {
+		if p.entryLost {
 			lost++
 		}
 	}
 	live := len(o.pins) - lost
-	unexplained := max(o.running-live, 0)
-	if !o.settled {
+	unexplained := max(o.reportedRunning-live, 0)
+	if !o.reconciled {
 		return live + unexplained
 	}
 	return live + min(lost, unexplained)
 }
 
-// open reports whether tickets may be given at all: what an engine holds has
-// to be known first, a plain service holds nothing.
-func (o *owned) open() bool { return o.reported || o.config.Kind == config.UpstreamService }
+// ticketsAllowed reports whether tickets may be issued: an engine's loaded
+// adapters have to be reported first; a plain service has none.
+func (o *ownedUpstream) ticketsAllowed() bool {
+	return o.reported || o.config.Kind == config.UpstreamService
+}
 
-// pump hands out tickets while the batch has room. An ask whose asker has been
-// silent for a ticket's whole validity could not use one.
-func (m *Machine) pump(o *owned) {
-	if !o.open() || !m.own.Serving(m.now, o.shard) {
+// issueTickets issues tickets while the batch has room. It drops a request that
+// has not been repeated for a ticket's validity: the ticket would arrive
+// expired.
+func (m *Machine) issueTickets(o *ownedUpstream) {
+	if !o.ticketsAllowed() || !m.ownership.Serving(m.now, o.shard) {
 		return
 	}
-	if m.leavingNow(o) {
-		m.turnAway(o) // Keeps: a leaving upstream receives no new work
+	if m.isLeaving(o) {
+		m.rejectWaiting(o) // Invariant: a leaving upstream receives no new work.
 		return
 	}
 	ready := func(a core.AdapterRef) bool { return a == (core.AdapterRef{}) || o.slots[a].ready() }
-	for room := o.config.Batch - m.occupied(o); room > 0 && o.queue.Len() > 0; {
-		it, ok := o.next(m.now, room, ready)
+	for room := o.config.Batch - m.occupiedPlaces(o); room > 0 && o.queue.Len() > 0; {
+		it, ok := o.nextItem(m.now, room, ready)
 		if !ok {
 			return
 		}
-		q := o.asks[it.Request]
-		if m.now.Sub(q.heard) >= m.settings.Validity {
-			delete(o.asks, it.Request)
+		q := o.ticketRequests[it.Request]
+		if m.now.Sub(q.received) >= m.settings.Validity {
+			delete(o.ticketRequests, it.Request)
 			continue
 		}
 		m.pin(o, q.from, &q.AskMessage, it)
-		m.answerQueued(o, it.Request, AnswerTicket)
+		m.replyQueued(o, it.Request, AnswerTicket)
 		room--
 	}
 }
 
-// Parts of a batch's places that are kept free.
+// Places of a batch that are reserved, as divisors of its size.
 const (
-	keptUrgent = 4  // 1/keptUrgent of overnight work
-	keptWithin = 16 // 1/keptWithin of workspaces that took more than their share
+	urgentReserveDivisor = 4  // 1/urgentReserveDivisor closed to overnight work
+	shareReserveDivisor  = 16 // 1/shareReserveDivisor closed to workspaces that used more than their share
 )
 
-// next is the item that may take one of the free places. The last ones are
-// kept for callers who wait, and the very last for workspaces within their
-// share, so that these don't wait for the end of another's request.
-func (o *owned) next(now core.Instant, room int, ready func(core.AdapterRef) bool) (admission.Item, bool) {
-	least := core.Overnight
-	if room <= o.config.Batch/keptUrgent {
-		least = core.Normal
+// nextItem pops the item that gets one of the free places. The last places are
+// reserved for classes above overnight, and the very last for workspaces within
+// their share, so that these don't wait for the end of another's request.
+func (o *ownedUpstream) nextItem(now core.Instant, room int, ready func(core.AdapterRef) bool) (admission.Item, bool) {
+	minClass := core.Overnight
+	if room <= o.config.Batch/urgentReserveDivisor {
+		minClass = core.Normal
 	}
-	if room <= o.config.Batch/keptWithin {
-		return o.queue.PopWithin(now, least, ready)
+	if room <= o.config.Batch/shareReserveDivisor {
+		return o.queue.PopWithin(now, minClass, ready)
 	}
-	return o.queue.PopUpTo(now, least, ready)
+	return o.queue.PopUpTo(now, minClass, ready)
 }
 
 func (m *Machine) tickOwned() {
 	for _, o := range m.owned.list {
-		m.refence(o)
+		m.checkFence(o)
 		for _, it := range o.queue.Expire(m.now) {
-			delete(o.asks, it.Request) // its entry host refuses it by its own clock
+			delete(o.ticketRequests, it.Request) // its entry host refuses it by its own clock
 		}
 		for _, p := range o.pins {
-			p.lost = p.lost || m.now.Sub(p.heard) >= m.settings.Silence
+			p.entryLost = p.entryLost || m.now.Sub(p.lastConfirmed) >= m.settings.Silence
 		}
-		m.tickJobs(o)
-		m.pump(o)
-		m.relieve(o)
-		m.nowRoom(o)
-		if o.stale && m.now.Sub(o.published) >= settleTime {
-			o.dirty = true
+		m.expireLoadJobs(o)
+		m.issueTickets(o)
+		m.requestReplica(o)
+		m.publishIfRoom(o)
+		if o.publishSoon && m.now.Sub(o.lastPublished) >= publishDelay {
+			o.publishNow = true
 		}
-		every := publishEvery
-		if o.tight {
-			every = publishTight
+		interval := publishInterval
+		if o.publishedScarce {
+			interval = scarcePublishInterval
 		}
-		if m.loadMoved(o) && m.now.Sub(o.published) >= every {
-			o.dirty = true
+		if m.loadChanged(o) && m.now.Sub(o.lastPublished) >= interval {
+			o.publishNow = true
 		}
 	}
-	m.flush()
+	m.publish()
 }
 
-// In a fleet of more than smallFleet upstreams a load has to move by
-// 1/loadStep of a batch before that alone is worth a message to every host.
+// In a fleet of more than smallFleetUpstreams upstreams a load has to change by
+// 1/loadStepDivisor of a batch to be published, which costs a message to every
+// host.
 const (
-	smallFleet = 64
-	loadStep   = 8
+	smallFleetUpstreams = 64
+	loadStepDivisor     = 8
 )
 
-// loadMoved reports whether the load differs enough from what was published.
-func (m *Machine) loadMoved(o *owned) bool {
+// loadChanged reports whether the load differs enough from the published one.
+func (m *Machine) loadChanged(o *ownedUpstream) bool {
 	step := 1
-	if len(m.view.seen) > smallFleet {
-		step = max(1, o.config.Batch/loadStep)
+	if len(m.view.upstreams) > smallFleetUpstreams {
+		step = max(1, o.config.Batch/loadStepDivisor)
 	}
-	moved := m.loadOf(o) - o.lastLoad
-	return max(moved, -moved) >= step
+	change := m.currentLoad(o) - o.publishedLoad
+	return max(change, -change) >= step
 }
 
-// flush publishes the upstreams whose residency has changed.
-func (m *Machine) flush() {
+// publish publishes the upstreams marked publishNow and applies them to this
+// host's own view.
+func (m *Machine) publish() {
 	for _, o := range m.owned.list {
-		if !o.dirty {
+		if !o.publishNow {
 			continue
 		}
-		o.dirty, o.stale = false, false
+		o.publishNow, o.publishSoon = false, false
 		o.seq++
-		o.published, o.lastLoad = m.now, m.loadOf(o)
+		o.lastPublished, o.publishedLoad = m.now, m.currentLoad(o)
 		r := m.residency(o)
-		o.full = r.Free <= 0 && len(r.Victims) == 0
-		o.tight = r.Free+len(r.Victims) < victimsPublished
-		m.out.Publish = append(m.out.Publish, r)
-		m.learn(r)
+		o.publishedFull = r.Free <= 0 && len(r.Victims) == 0
+		o.publishedScarce = r.Free+len(r.Victims) < maxPublishedVictims
+		m.result.Publish = append(m.result.Publish, r)
+		m.applyResidency(r)
 	}
 }
--- a/internal/core/placement/pins.go
+++ b/internal/core/placement/pins.go
@@ -7,19 +7,19 @@
 	"gentiancroft/internal/core/admission"
 )
 
-// pin keeps an adapter on its upstream for one ticket.
+// pin keeps an adapter from being evicted while one ticket is outstanding.
 type pin struct {
-	from    core.HostID
-	seq     uint64
-	adapter core.AdapterRef
-	item    admission.Item
-	heard   core.Instant // last word of its holder
-	lost    bool         // the holder is gone or silent
+	from          core.HostID
+	seq           uint64
+	adapter       core.AdapterRef
+	item          admission.Item
+	lastConfirmed core.Instant // last message about the ticket from its entry host
+	entryLost     bool         // the entry host left or is unresponsive
 }
 
-// add puts an adapter on the upstream. Tickets that outlived its former stay
-// there, as over an engine's restart, pin it from the start.
-func (o *owned) add(s *slot) {
+// addSlot adds an adapter to the upstream. Tickets for it that are still
+// outstanding, as after an engine's restart, pin it from the start.
+func (o *ownedUpstream) addSlot(s *slot) {
 	s.pins = 0
 	for _, p := range o.pins {
 		if p.adapter == s.adapter {
@@ -29,14 +29,14 @@
 	o.slots[s.adapter] = s
 }
 
-func (m *Machine) pin(o *owned, from core.HostID, a *AskMessage, it admission.Item) {
-	o.pins[a.Request] = &pin{from: from, seq: a.Seq, adapter: a.Adapter, item: it, heard: m.now}
+func (m *Machine) pin(o *ownedUpstream, from core.HostID, a *AskMessage, it admission.Item) {
+	o.pins[a.Request] = &pin{from: from, seq: a.Seq, adapter: a.Adapter, item: it, lastConfirmed: m.now}
 	if s := o.slots[a.Adapter]; s != nil {
 		s.pins++
 	}
 }
 
-func (m *Machine) unpin(o *owned, id core.RequestID, e End) {
+func (m *Machine) unpin(o *ownedUpstream, id core.RequestID, e End) {
 	p := o.pins[id]
 	delete(o.pins, id)
 	if s := o.slots[p.adapter]; s != nil {
@@ -47,13 +47,13 @@
 	}
 }
 
-func (m *Machine) released(from core.HostID, r ReleaseMessage) {
+func (m *Machine) receiveRelease(from core.HostID, r ReleaseMessage) {
 	o := m.owned.byID[r.Upstream]
 	if o == nil {
 		return
 	}
-	if q := o.asks[r.Request]; q != nil && q.Seq <= r.Seq {
-		delete(o.asks, r.Request)
+	if q := o.ticketRequests[r.Request]; q != nil && q.Seq <= r.Seq {
+		delete(o.ticketRequests, r.Request)
 		o.queue.Remove(r.Request)
 	}
 	p := o.pins[r.Request]
@@ -62,21 +62,22 @@
 	}
 	m.unpin(o, r.Request, r.End)
 	if r.End.Missing {
-		m.doubt(o, p.adapter, "an engine did not hold it")
+		m.markUncertain(o, p.adapter, "the engine did not have it loaded")
 	}
 	if !r.End.NotReached || r.End.Crashed {
 		o.health.Served(m.now, !r.End.Crashed)
 	}
-	m.pump(o)
-	m.nowRoom(o)
-	m.flush()
+	m.issueTickets(o)
+	m.publishIfRoom(o)
+	m.publish()
 }
 
-// held compares an entry host's account with what this host has from it.
-func (m *Machine) held(from core.HostID, h HoldMessage) {
+// receiveOutstandingList compares an entry host's list of outstanding requests
+// with the pins and queued requests that this host has from it.
+func (m *Machine) receiveOutstandingList(from core.HostID, h HoldMessage) {
 	known := make(map[core.RequestID]bool, len(h.Requests))
 	for _, o := range m.owned.list {
-		m.heldAt(o, from, h, known)
+		m.reconcileOutstanding(o, from, h, known)
 	}
 	for _, id := range h.Requests {
 		if !known[id] {
@@ -85,8 +86,8 @@
 	}
 }
 
-func (m *Machine) heldAt(o *owned, from core.HostID, h HoldMessage, known map[core.RequestID]bool) {
-	var over []core.RequestID
+func (m *Machine) reconcileOutstanding(o *ownedUpstream, from core.HostID, h HoldMessage, known map[core.RequestID]bool) {
+	var ended []core.RequestID
 	for id, p := range o.pins {
 		if p.from != from {
 			continue
@@ -96,39 +97,39 @@
 			continue
 		}
 		if _, listed := slices.BinarySearch(h.Requests, id); listed {
-			p.heard, p.lost = m.now, false
+			p.lastConfirmed, p.entryLost = m.now, false
 			continue
 		}
-		over = append(over, id)
+		ended = append(ended, id)
 	}
-	for id, q := range o.asks {
+	for id, q := range o.ticketRequests {
 		if q.from != from {
 			continue
 		}
 		known[id] = true
 		if _, listed := slices.BinarySearch(h.Requests, id); q.Seq <= h.Upto && !listed {
-			delete(o.asks, id)
+			delete(o.ticketRequests, id)
 			o.queue.Remove(id)
 		}
 	}
-	for _, id := range over {
+	for _, id := range ended {
 		m.unpin(o, id, End{})
-		m.note("pin.settled", "its release was lost")
+		m.logDecision("pin.settled", "the release of its ticket was lost")
 	}
-	if len(over) > 0 {
-		m.pump(o)
+	if len(ended) > 0 {
+		m.issueTickets(o)
 	}
 }
 
-func (o *owned) hostLost(h core.HostID) {
+func (o *ownedUpstream) hostLost(h core.HostID) {
 	for _, p := range o.pins {
 		if p.from == h {
-			p.lost = true
+			p.entryLost = true
 		}
 	}
-	for id, q := range o.asks {
+	for id, q := range o.ticketRequests {
 		if q.from == h {
-			delete(o.asks, id)
+			delete(o.ticketRequests, id)
 			o.queue.Remove(id)
 		}
 	}
--- a/internal/core/placement/result.go
+++ b/internal/core/placement/result.go
@@ -14,46 +14,47 @@
 	Cost      core.Tokens
 	Deadline  core.Instant
 	Prefix    uint64            // hash of the prompt's head; 0 for none
-	Avoid     []core.UpstreamID // tried already
+	Avoid     []core.UpstreamID // upstreams already tried
 }
 
-// Ticket is the right to dispatch one request to one upstream. Check it with
-// Machine.Valid immediately before the dispatch.
+// Ticket is the right to dispatch one request to one upstream. Check
+// that it is still valid immediately before the dispatch.
 type Ticket struct {
 	Upstream core.UpstreamID
 	Address  string // ip:port
 	Adapter  core.AdapterRef
-	Grant    core.Grant // Until is of this host's clock
+	Grant    core.Grant // Until is by this host's clock
 	Stalled  bool       // the request waited for a load
 }
 
-// Decision ends an ask: a ticket or a refusal.
+// Decision ends a placement: exactly one of Ticket and Refusal is set.
 type Decision struct {
 	Request core.RequestID
 	Ticket  *Ticket
 	Refusal *core.Refusal
 }
 
-// Note is a decision with its reason, for the log and the metrics.
+// Note is a decision log entry, also counted as a metric.
 type Note struct {
-	Name   string // the metric
+	Name   string // the metric's name, without its prefix
 	Reason string
 }
 
-// Residency is what an owner publishes of an upstream. Of two the one with the
-// higher Fence, then the higher Seq, is newer.
+// Residency is what an owner publishes about an upstream: loaded adapters, free
+// slots, load and health. Of two, that with the higher Fence, then the higher
+// Seq, is newer.
 type Residency struct {
 	Upstream core.UpstreamID   `cbor:"1,keyasint"`
 	Fence    core.Fence        `cbor:"2,keyasint"`
 	Seq      uint64            `cbor:"3,keyasint"`
-	Adapters []Popular         `cbor:"4,keyasint"` // resident
+	Adapters []Popular         `cbor:"4,keyasint"` // loaded
 	Loading  []core.AdapterRef `cbor:"5,keyasint,omitempty"`
 	Free     int               `cbor:"6,keyasint"`           // empty slots
-	Victims  []float64         `cbor:"7,keyasint,omitempty"` // worth of what could be evicted, rising
+	Victims  []float64         `cbor:"7,keyasint,omitempty"` // lowest eviction costs, ascending
 	Load     int               `cbor:"8,keyasint"`           // requests running and waiting
 	Suspect  bool              `cbor:"9,keyasint,omitempty"`
 	Leaving  bool              `cbor:"10,keyasint,omitempty"`
-	Warmth   float64           `cbor:"11,keyasint"` // share of a full load it may take, in (0, 1]
+	Warmth   float64           `cbor:"11,keyasint"` // fraction of a full load it may take, in (0, 1]
 }
 
 // Newer reports whether r replaces o.
@@ -64,7 +65,7 @@
 	return r.Seq > o.Seq
 }
 
-// Result is what one event led to.
+// Result is the effects of one event.
 type Result struct {
 	core.Output[Message]
 	Orders    []core.AdapterOrder
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -8,124 +8,126 @@
 	"gentiancroft/internal/core"
 )
 
-// slotState is where an adapter stands on an upstream.
+// slotState is the state of an adapter on an upstream.
 type slotState uint8
 
 const (
 	loading   slotState = iota + 1
-	resident            // tickets may be given
-	unloading           // no tickets; an order is on its way
-	doubtful            // no tickets until a report settles it
+	resident            // tickets may be issued
+	unloading           // no tickets; an unload order is under way
+	uncertain           // no tickets until a report shows whether it is loaded
 )
 
 // slot is one adapter on an upstream.
 type slot struct {
-	adapter core.AdapterRef
-	state   slotState
-	pins    int
-	foreign int          // requests of a former owner's tickets, by the reports
-	since   core.Instant // of the state
-	score   float64      // requests within one half-life, as of touched
-	touched core.Instant
+	adapter             core.AdapterRef
+	state               slotState
+	pins                int
+	formerOwnerRequests int // requests on a former owner's tickets, by the reports
+	stateSince          core.Instant
+	score               float64 // requests within one half-life, as of lastRequest
+	lastRequest         core.Instant
 }
 
-// ready reports whether tickets may be given for the adapter.
+// ready reports whether tickets may be issued for the adapter.
 func (s *slot) ready() bool { return s != nil && s.state == resident }
 
-func (s *slot) become(state slotState, now core.Instant) { s.state, s.since = state, now }
+func (s *slot) setState(state slotState, now core.Instant) { s.state, s.stateSince = state, now }
 
-// popularity decays the score to now.
+// popularity returns the score decayed to now.
 func (s *slot) popularity(now core.Instant, halfLife time.Duration) float64 {
-	return core.Decay(s.score, now.Sub(s.touched), halfLife)
+	return core.Decay(s.score, now.Sub(s.lastRequest), halfLife)
 }
 
-// touch counts one request.
-func (s *slot) touch(now core.Instant, halfLife time.Duration) {
+// countRequest adds one request to the score.
+func (s *slot) countRequest(now core.Instant, halfLife time.Duration) {
 	s.score = s.popularity(now, halfLife) + 1
-	s.touched = now
+	s.lastRequest = now
 }
 
-func (m *Machine) popular(s *slot) Popular {
-	return Popular{Adapter: s.adapter, Score: s.popularity(m.now, m.settings.HalfLife), Idle: m.now.Sub(s.touched)}
+func (m *Machine) popularityOf(s *slot) Popular {
+	return Popular{Adapter: s.adapter, Score: s.popularity(m.now, m.settings.HalfLife), Idle: m.now.Sub(s.lastRequest)}
 }
 
-// replicaDiscount is what an adapter is worth on one upstream while another
-// holds it too, relative to the only copy.
+// replicaDiscount is the factor on an adapter's eviction cost while another
+// upstream has it loaded too.
 const replicaDiscount = 0.3
 
-// idleBound is the score of an adapter that is used once per idle time. A
-// formerly busy adapter that has gone quiet is worth no more.
-func idleBound(idle, halfLife time.Duration) float64 {
+// maxIdleScore is the score of an adapter that gets one request per idle time.
+// It bounds the eviction cost of a formerly popular adapter that has become
+// idle.
+func maxIdleScore(idle, halfLife time.Duration) float64 {
 	return float64(halfLife) / math.Ln2 / float64(max(idle, 1))
 }
 
-// worth is what evicting an adapter would cost: its popularity, less where
-// another upstream holds it too.
-func (m *Machine) worth(o *owned, s *slot) float64 {
-	w := s.popularity(m.now, m.settings.HalfLife)
-	w = min(w, idleBound(m.now.Sub(s.touched), m.settings.HalfLife))
-	if len(m.view.holders[s.adapter]) > 1 {
-		w *= replicaDiscount
+// evictionCost returns the adapter's popularity, bounded by maxIdleScore and
+// discounted while another upstream has it loaded too.
+func (m *Machine) evictionCost(o *ownedUpstream, s *slot) float64 {
+	cost := s.popularity(m.now, m.settings.HalfLife)
+	cost = min(cost, maxIdleScore(m.now.Sub(s.lastRequest), m.settings.HalfLife))
+	if len(m.view.loadedOn[s.adapter]) > 1 {
+		cost *= replicaDiscount
 	}
-	return w
+	return cost
 }
 
-// evictable reports whether an adapter may be taken away. Keeps: an adapter
+// evictable reports whether an adapter may be evicted. Invariant: an adapter
 // that serves a request, or may by an outstanding ticket, is never evicted.
-func (m *Machine) evictable(o *owned, s *slot) bool {
-	return o.settled && s.state == resident && s.pins == 0 && s.foreign == 0 && o.queue.Waiting(s.adapter) == 0
+func (m *Machine) evictable(o *ownedUpstream, s *slot) bool {
+	return o.reconciled && s.state == resident && s.pins == 0 && s.formerOwnerRequests == 0 && o.queue.Waiting(s.adapter) == 0
 }
 
-// victim is the least worth adapter that may be evicted, or nil.
-func (m *Machine) victim(o *owned, most float64) *slot {
+// victim returns the evictable adapter with the lowest eviction cost, or nil if
+// there is none within maxCost. A negative maxCost is no limit.
+func (m *Machine) victim(o *ownedUpstream, maxCost float64) *slot {
 	var best *slot
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, s := range o.slots {
 		if !m.evictable(o, s) {
 			continue
 		}
-		w := m.worth(o, s)
-		if w < least || (w == least && compareRefs(s.adapter, best.adapter) < 0) {
-			best, least = s, w
+		cost := m.evictionCost(o, s)
+		if cost < lowest || (cost == lowest && compareRefs(s.adapter, best.adapter) < 0) {
+			best, lowest = s, cost
 		}
 	}
-	if best == nil || (most >= 0 && least > most) {
+	if best == nil || (maxCost >= 0 && lowest > maxCost) {
 		return nil
 	}
 	return best
 }
 
-// nowRoom has a slot published as soon as there is one on a full upstream:
-// loads may be waiting for it.
-func (m *Machine) nowRoom(o *owned) {
-	if o.full && (len(o.slots) < o.config.Slots || m.victim(o, unbounded) != nil) {
-		o.dirty = true
+// publishIfRoom marks a full upstream for publication as soon as it has a slot
+// available: loads may wait for it.
+func (m *Machine) publishIfRoom(o *ownedUpstream) {
+	if o.publishedFull && (len(o.slots) < o.config.Slots || m.victim(o, noCostLimit) != nil) {
+		o.publishNow = true
 	}
 }
 
-// victimsPublished is how many of the least worth are told to the loader.
-const victimsPublished = 3
+// maxPublishedVictims is how many of the lowest eviction costs are published.
+const maxPublishedVictims = 3
 
-func (m *Machine) residency(o *owned) Residency {
+func (m *Machine) residency(o *ownedUpstream) Residency {
 	r := Residency{
 		Upstream: o.id, Fence: o.fence, Seq: o.seq,
-		Load: o.lastLoad, Suspect: o.health.Suspect(), Leaving: m.leavingNow(o), Warmth: o.health.Warmth(m.now),
+		Load: o.publishedLoad, Suspect: o.health.Suspect(), Leaving: m.isLeaving(o), Warmth: o.health.Warmth(m.now),
 		Free: o.config.Slots - len(o.slots),
 	}
 	for _, s := range o.slots {
 		switch s.state {
 		case resident:
-			r.Adapters = append(r.Adapters, m.popular(s))
+			r.Adapters = append(r.Adapters, m.popularityOf(s))
 		case loading:
 			r.Loading = append(r.Loading, s.adapter)
 		}
 		if m.evictable(o, s) {
-			r.Victims = append(r.Victims, m.worth(o, s))
+			r.Victims = append(r.Victims, m.evictionCost(o, s))
 		}
 	}
 	slices.SortFunc(r.Adapters, func(a, b Popular) int { return compareRefs(a.Adapter, b.Adapter) })
 	slices.SortFunc(r.Loading, compareRefs)
 	slices.Sort(r.Victims)
-	r.Victims = slices.Clip(r.Victims[:min(len(r.Victims), victimsPublished)])
+	r.Victims = slices.Clip(r.Victims[:min(len(r.Victims), maxPublishedVictims)])
 	return r
 }
--- a/internal/core/placement/target.go
+++ b/internal/core/placement/target.go
@@ -6,43 +6,44 @@
 	"gentiancroft/internal/core"
 )
 
-// Cost of a slot, in the worth of a victim, that load and failure domain add.
+// Additions to the cost of a slot, in units of a victim's eviction cost.
 const (
-	loadCost   = 0.5 // of a whole batch
-	domainCost = 0.1 // of a failure domain that holds the adapter already
+	loadCost   = 0.5 // times the load as a fraction of the batch
+	domainCost = 0.1 // if the adapter is loaded in the same failure domain already
 )
 
-// loadTarget chooses the upstream that loads an adapter: a free slot or the
-// least worth victim, little load, and a failure domain of its own.
-func (m *Machine) loadTarget(n *need, most float64) (core.UpstreamID, bool) {
-	for _, avoid := range [][]core.UpstreamID{n.avoid, nil} {
-		if u, ok := m.cheapest(n, avoid, most); ok {
+// loadTarget chooses the upstream that loads an adapter: one with a free slot
+// or a low eviction cost, little load, and in a failure domain without the
+// adapter. It returns false if no upstream has a slot within maxCost.
+func (m *Machine) loadTarget(c *loadCandidate, maxCost float64) (core.UpstreamID, bool) {
+	for _, avoid := range [][]core.UpstreamID{c.avoid, nil} {
+		if u, ok := m.cheapestUpstream(c, avoid, maxCost); ok {
 			return u, true
 		}
 	}
 	return "", false
 }
 
-func (m *Machine) cheapest(n *need, avoid []core.UpstreamID, most float64) (core.UpstreamID, bool) {
-	var best *seen
-	var least float64
-	for _, x := range m.view.pools[n.pool] {
-		if x.leaving() || m.view.ejected(x) || m.view.listed[x.Upstream] || slices.Contains(avoid, x.Upstream) {
+func (m *Machine) cheapestUpstream(c *loadCandidate, avoid []core.UpstreamID, maxCost float64) (core.UpstreamID, bool) {
+	var best *upstreamView
+	var lowest float64
+	for _, x := range m.view.pools[c.pool] {
+		if x.leaving() || m.view.ejected(x) || m.view.listedLeaving[x.Upstream] || slices.Contains(avoid, x.Upstream) {
 			continue
 		}
-		if m.view.holds(x.Upstream, n.adapter) {
+		if m.view.hasAdapter(x.Upstream, c.adapter) {
 			continue
 		}
-		cost, ok := m.slotCost(x, most)
+		cost, ok := m.slotCost(x, maxCost)
 		if !ok {
 			continue
 		}
-		cost += loadCost * float64(x.estimate()) / float64(max(x.config.Batch, 1))
-		if m.domainHolds(n.adapter, x.config.Domain) {
+		cost += loadCost * float64(x.estimatedLoad()) / float64(max(x.config.Batch, 1))
+		if m.domainHasAdapter(c.adapter, x.config.Domain) {
 			cost += domainCost
 		}
-		if best == nil || cost < least {
-			best, least = x, cost
+		if best == nil || cost < lowest {
+			best, lowest = x, cost
 		}
 	}
 	if best == nil {
@@ -51,11 +52,11 @@
 	return best.Upstream, true
 }
 
-// slotCost is what the next slot of an upstream costs, after the loads that
-// are on their way to it.
-func (m *Machine) slotCost(x *seen, most float64) (float64, bool) {
+// slotCost returns the eviction cost of an upstream's next slot after the loads
+// under way to it, 0 for a free slot, and false if none is within maxCost.
+func (m *Machine) slotCost(x *upstreamView, maxCost float64) (float64, bool) {
 	taken := 0
-	for _, t := range m.loader.transits {
+	for _, t := range m.loader.inFlight {
 		if t.upstream == x.Upstream && !slices.Contains(x.Loading, t.adapter) {
 			taken++
 		}
@@ -64,12 +65,12 @@
 		return 0, true
 	}
 	i := taken - max(x.Free, 0)
-	if i >= len(x.Victims) || (most >= 0 && x.Victims[i] > most) {
+	if i >= len(x.Victims) || (maxCost >= 0 && x.Victims[i] > maxCost) {
 		return 0, false
 	}
 	return x.Victims[i], true
 }
 
-func (m *Machine) domainHolds(a core.AdapterRef, d core.Domain) bool {
-	return slices.ContainsFunc(m.view.holders[a], func(x *seen) bool { return x.config.Domain == d })
+func (m *Machine) domainHasAdapter(a core.AdapterRef, d core.Domain) bool {
+	return slices.ContainsFunc(m.view.loadedOn[a], func(x *upstreamView) bool { return x.config.Domain == d })
 }
--- a/internal/core/placement/view.go
+++ b/internal/core/placement/view.go
@@ -8,132 +8,137 @@
 	"gentiancroft/internal/core/dispatch/pick"
 )
 
-// seen is what this host knows of one upstream.
-type seen struct {
+// upstreamView is this host's view of one upstream.
+type upstreamView struct {
 	Residency
-	config  *config.Upstream
-	mine    int // this host's own requests asked or running there
-	load    int // at its owner's last word
-	counted int // of load, this host's own at that time
+	config       *config.Upstream
+	ownRequests  int // this host's requests that wait or run there
+	reportedLoad int // as last reported by its owner
+	ownAtReport  int // ownRequests at that time
 }
 
-// estimate is the load at the owner's last word, corrected for the lag by what
-// this host itself has sent or ended since.
-func (s *seen) estimate() int { return max(s.load-s.counted, 0) + s.mine }
+// estimatedLoad returns the load last reported by the owner, corrected by what
+// this host has sent or ended since.
+func (s *upstreamView) estimatedLoad() int {
+	return max(s.reportedLoad-s.ownAtReport, 0) + s.ownRequests
+}
 
-func (s *seen) leaving() bool { return s.Leaving || s.config.Leaving }
+func (s *upstreamView) leaving() bool { return s.Leaving || s.config.Leaving }
 
-// view is this host's picture of all upstreams, fed by their owners.
+// view is this host's view of all upstreams, as published by their owners.
 type view struct {
-	snapshot *config.Snapshot
-	pools    map[string][]*seen
-	seen     map[core.UpstreamID]*seen
-	holders  map[core.AdapterRef][]*seen
-	listed   map[core.UpstreamID]bool // leaving, by the platform's list
-	scratch  []pick.Candidate
+	snapshot      *config.Snapshot
+	pools         map[string][]*upstreamView
+	upstreams     map[core.UpstreamID]*upstreamView
+	loadedOn      map[core.AdapterRef][]*upstreamView
+	listedLeaving map[core.UpstreamID]bool // leaving, by the platform's list
+	scratch       []pick.Candidate
 }
 
 func newView() *view {
 	return &view{
-		pools:   map[string][]*seen{},
-		seen:    map[core.UpstreamID]*seen{},
-		holders: map[core.AdapterRef][]*seen{},
-		listed:  map[core.UpstreamID]bool{},
+		pools:         map[string][]*upstreamView{},
+		upstreams:     map[core.UpstreamID]*upstreamView{},
+		loadedOn:      map[core.AdapterRef][]*upstreamView{},
+		listedLeaving: map[core.UpstreamID]bool{},
 	}
 }
 
 func (v *view) configure(s *config.Snapshot) {
 	v.snapshot = s
-	v.pools = map[string][]*seen{}
-	old := v.seen
-	v.seen = make(map[core.UpstreamID]*seen, len(s.Document.Upstreams))
+	v.pools = map[string][]*upstreamView{}
+	old := v.upstreams
+	v.upstreams = make(map[core.UpstreamID]*upstreamView, len(s.Document.Upstreams))
 	for i := range s.Document.Upstreams {
 		u := &s.Document.Upstreams[i]
 		x := old[u.ID]
 		if x == nil {
-			x = &seen{Residency: Residency{Upstream: u.ID, Warmth: 1}}
+			x = &upstreamView{Residency: Residency{Upstream: u.ID, Warmth: 1}}
 		}
 		x.config = u
-		v.seen[u.ID] = x
+		v.upstreams[u.ID] = x
 		v.pools[u.Pool] = append(v.pools[u.Pool], x)
 	}
 	for id, x := range old {
-		if v.seen[id] == nil {
-			v.unindex(x)
+		if v.upstreams[id] == nil {
+			v.dropAdapters(x)
 		}
 	}
 }
 
-// learn takes a newer residency and returns what it adds and no longer holds.
-func (v *view) learn(r Residency) (added []core.AdapterRef, removed []Popular) {
-	x := v.seen[r.Upstream]
+// apply replaces an upstream's residency if r is newer and returns the adapters
+// it adds and removes.
+func (v *view) apply(r Residency) (added []core.AdapterRef, removed []Popular) {
+	x := v.upstreams[r.Upstream]
 	if x == nil || !r.Newer(x.Residency) {
 		return nil, nil
 	}
 	before := x.Adapters
-	v.unindex(x)
+	v.dropAdapters(x)
 	x.Residency = r
-	x.load, x.counted = r.Load, x.mine
+	x.reportedLoad, x.ownAtReport = r.Load, x.ownRequests
 	for _, a := range r.Adapters {
-		v.holders[a.Adapter] = append(v.holders[a.Adapter], x)
+		v.loadedOn[a.Adapter] = append(v.loadedOn[a.Adapter], x)
 		if !slices.ContainsFunc(before, func(p Popular) bool { return p.Adapter == a.Adapter }) {
 			added = append(added, a.Adapter)
 		}
 	}
 	for _, p := range before {
-		if !slices.Contains(v.holders[p.Adapter], x) {
+		if !slices.Contains(v.loadedOn[p.Adapter], x) {
 			removed = append(removed, p)
 		}
 	}
 	return added, removed
 }
 
-func (v *view) unindex(x *seen) {
+func (v *view) dropAdapters(x *upstreamView) {
 	for _, a := range x.Adapters {
-		v.dropHolder(a.Adapter, x)
+		v.dropAdapter(a.Adapter, x)
 	}
 }
 
-func (v *view) dropHolder(a core.AdapterRef, x *seen) {
-	left := slices.DeleteFunc(v.holders[a], func(h *seen) bool { return h == x })
+func (v *view) dropAdapter(a core.AdapterRef, x *upstreamView) {
+	left := slices.DeleteFunc(v.loadedOn[a], func(h *upstreamView) bool { return h == x })
 	if len(left) == 0 {
-		delete(v.holders, a)
+		delete(v.loadedOn, a)
 		return
 	}
-	v.holders[a] = left
+	v.loadedOn[a] = left
 }
 
-// lost notes that an upstream does not hold an adapter, ahead of the feed.
-func (v *view) lost(u core.UpstreamID, a core.AdapterRef) {
-	if x := v.seen[u]; x != nil {
-		v.dropHolder(a, x)
+// markAbsent records that an adapter is not loaded on an upstream, before its
+// owner publishes it.
+func (v *view) markAbsent(u core.UpstreamID, a core.AdapterRef) {
+	if x := v.upstreams[u]; x != nil {
+		v.dropAdapter(a, x)
 		x.Adapters = slices.DeleteFunc(slices.Clone(x.Adapters), func(p Popular) bool { return p.Adapter == a })
 	}
 }
 
-// gained notes that an upstream holds an adapter, ahead of the feed.
-func (v *view) gained(u core.UpstreamID, a core.AdapterRef) {
-	x := v.seen[u]
-	if x == nil || slices.Contains(v.holders[a], x) {
+// markLoaded records that an adapter is loaded on an upstream, before its owner
+// publishes it.
+func (v *view) markLoaded(u core.UpstreamID, a core.AdapterRef) {
+	x := v.upstreams[u]
+	if x == nil || slices.Contains(v.loadedOn[a], x) {
 		return
 	}
-	v.holders[a] = append(v.holders[a], x)
+	v.loadedOn[a] = append(v.loadedOn[a], x)
 	x.Adapters = append(slices.Clone(x.Adapters), Popular{Adapter: a})
 }
 
 func (v *view) setLeaving(upstreams []core.UpstreamID) {
-	clear(v.listed)
+	clear(v.listedLeaving)
 	for _, u := range upstreams {
-		v.listed[u] = true
+		v.listedLeaving[u] = true
 	}
 }
 
-// candidates lists the upstreams of a pool that hold an adapter, or all of the
-// pool for the zero adapter. The slice is good until the next call.
+// candidates lists the upstreams of a pool that have an adapter loaded, or all
+// of the pool for the zero adapter. The slice is valid until the next call.
 func (v *view) candidates(pool string, a core.AdapterRef) []pick.Candidate {
 	from := v.pools[pool]
 	if a != (core.AdapterRef{}) {
-		from = v.holders[a]
+		from = v.loadedOn[a]
 	}
 	v.scratch = v.scratch[:0]
 	for _, x := range from {
@@ -143,27 +148,27 @@
 		v.scratch = append(v.scratch, pick.Candidate{
 			Upstream: x.Upstream,
 			Domain:   x.config.Domain,
-			Load:     x.estimate(),
+			Load:     x.estimatedLoad(),
 			Batch:    x.config.Batch,
 			Warmth:   x.Warmth,
 			Suspect:  v.ejected(x),
-			Leaving:  x.leaving() || v.listed[x.Upstream],
+			Leaving:  x.leaving() || v.listedLeaving[x.Upstream],
 		})
 	}
 	return v.scratch
 }
 
-// usable reports whether a pool has an upstream that takes work and is not one
-// of those to avoid.
+// usable reports whether a pool has an upstream that accepts work and is not in
+// avoid.
 func (v *view) usable(pool string, avoid []core.UpstreamID) bool {
-	return slices.ContainsFunc(v.pools[pool], func(x *seen) bool {
-		return !x.leaving() && !v.listed[x.Upstream] && !slices.Contains(avoid, x.Upstream)
+	return slices.ContainsFunc(v.pools[pool], func(x *upstreamView) bool {
+		return !x.leaving() && !v.listedLeaving[x.Upstream] && !slices.Contains(avoid, x.Upstream)
 	})
 }
 
-// ejected reports whether an upstream is left out for its health. Keeps: no
-// more than half of a pool is left out, however bad the probes are.
-func (v *view) ejected(x *seen) bool {
+// ejected reports whether an upstream is skipped for its health. Invariant: at
+// most half of a pool is skipped, even if more probes fail; otherwise none is.
+func (v *view) ejected(x *upstreamView) bool {
 	if !x.Suspect {
 		return false
 	}
@@ -176,6 +181,6 @@
 	return suspects*2 <= len(pool)
 }
 
-func (v *view) holds(u core.UpstreamID, a core.AdapterRef) bool {
-	return slices.ContainsFunc(v.holders[a], func(x *seen) bool { return x.Upstream == u })
+func (v *view) hasAdapter(u core.UpstreamID, a core.AdapterRef) bool {
+	return slices.ContainsFunc(v.loadedOn[a], func(x *upstreamView) bool { return x.Upstream == u })
 }
