--- a/internal/core/lease/faults_test.go
+++ b/internal/core/lease/faults_test.go
@@ -13,17 +13,17 @@
 	"gentiancroft/internal/measure/membership"
 )
 
-// fault is one thing that goes wrong for a time.
+// fault is a failure that lasts until it is ended.
 type fault struct {
 	name  string
 	apply func(f *membership.Fleet, hosts []*membership.Host, r *core.Rand)
 }
 
-func onCalls(of func(h *membership.Host, c core.ObjectCall, r *core.Rand) membership.Fault) func(*membership.Fleet, []*membership.Host, *core.Rand) {
+func onCalls(faultFor func(h *membership.Host, c core.ObjectCall, r *core.Rand) membership.Fault) func(*membership.Fleet, []*membership.Host, *core.Rand) {
 	return func(f *membership.Fleet, _ []*membership.Host, r *core.Rand) {
 		before := f.Fault
 		f.Fault = func(h *membership.Host, c core.ObjectCall) membership.Fault {
-			x := of(h, c, r)
+			x := faultFor(h, c, r)
 			if before != nil {
 				y := before(h, c)
 				x.Drop, x.Lose, x.Stale, x.Delay = x.Drop || y.Drop, x.Lose || y.Lose, x.Stale || y.Stale, x.Delay+y.Delay
@@ -33,11 +33,11 @@
 	}
 }
 
-func onLinks(of func(a, b *membership.Host, r *core.Rand) (bool, bool)) func(*membership.Fleet, []*membership.Host, *core.Rand) {
+func onLinks(faultFor func(a, b *membership.Host, r *core.Rand) (bool, bool)) func(*membership.Fleet, []*membership.Host, *core.Rand) {
 	return func(f *membership.Fleet, _ []*membership.Host, r *core.Rand) {
 		before := f.Link
 		f.Link = func(a, b *membership.Host) (bool, bool) {
-			cut, twice := of(a, b, r)
+			cut, twice := faultFor(a, b, r)
 			if before != nil {
 				c, t := before(a, b)
 				cut, twice = cut || c, twice || t
@@ -47,7 +47,7 @@
 	}
 }
 
-func mendAll(f *membership.Fleet, hosts []*membership.Host) {
+func endFaults(f *membership.Fleet, hosts []*membership.Host) {
 	f.Fault, f.Link = nil, nil
 	for _, h := range hosts {
 		if h.Paused {
@@ -87,7 +87,7 @@
 	{name: "messages lost and doubled", apply: onLinks(func(_, _ *membership.Host, r *core.Rand) (bool, bool) {
 		return r.IntN(3) == 0, r.IntN(3) == 0
 	})},
-	{name: "a holder paused", apply: func(f *membership.Fleet, hosts []*membership.Host, r *core.Rand) { f.Pause(hosts[r.IntN(len(hosts))]) }},
+	{name: "an owner paused", apply: func(f *membership.Fleet, hosts []*membership.Host, r *core.Rand) { f.Pause(hosts[r.IntN(len(hosts))]) }},
 	{name: "a host leaving", apply: func(f *membership.Fleet, hosts []*membership.Host, r *core.Rand) {
 		h := hosts[r.IntN(len(hosts))]
 		f.Do(h, h.Lease.Leave)
@@ -102,10 +102,11 @@
 	}},
 }
 
-// recovered checks that the fleet works again after a fault.
+// recovered checks that no rule was broken and that every shard has a host that
+// acts on it after a fault.
 func recovered(t *testing.T, f *membership.Fleet, shards int) {
 	t.Helper()
-	quiet(t, f)
+	noViolations(t, f)
 	if n := f.Trace.Acted(f.Now); n != shards {
 		t.Errorf("%d of %d shards have an actor after the fault", n, shards)
 	}
@@ -118,7 +119,7 @@
 				f, hosts := start(uint64(i), 6, 30)
 				x.apply(f, hosts, core.NewRand(uint64(i)))
 				f.Run(length)
-				mendAll(f, hosts)
+				endFaults(f, hosts)
 				f.Run(25 * time.Second)
 				recovered(t, f, 30)
 			})
@@ -136,7 +137,7 @@
 				f.Run(3 * time.Second)
 				y.apply(f, hosts, r)
 				f.Run(12 * time.Second)
-				mendAll(f, hosts)
+				endFaults(f, hosts)
 				f.Run(30 * time.Second)
 				recovered(t, f, 20)
 			})
@@ -152,10 +153,10 @@
 			faults[rapid.IntRange(0, len(faults)-1).Draw(rt, "fault")].apply(f, hosts, r)
 			f.Run(time.Duration(rapid.IntRange(10, 9000).Draw(rt, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(rt, "mend") {
-				mendAll(f, hosts)
+				endFaults(f, hosts)
 			}
 		}
-		mendAll(f, hosts)
+		endFaults(f, hosts)
 		f.Run(20 * time.Second)
 		if len(f.Trace.Violations) > 0 {
 			rt.Fatal(f.Trace.Violations)
@@ -175,7 +176,7 @@
 		hosts = append(hosts, h)
 	}
 	f.Run(10 * time.Second)
-	f.Pause(hosts[0]) // slow clock: its lease ends last in real time
+	f.Pause(hosts[0]) // slow clock: its lease expires last in real time
 	f.Run(20 * time.Second)
 	f.Resume(hosts[0])
 	f.Run(10 * time.Second)
@@ -183,8 +184,8 @@
 	recovered(t, f, 30)
 }
 
-func TestStoreOutageFreezesAndReturnsWithoutAStampede(t *testing.T) {
-	for _, n := range []int{6, 20} { // all read for themselves; most do not
+func TestStoreOutageStopsActingAndEndsWithoutALoadSpike(t *testing.T) {
+	for _, n := range []int{6, 20} { // small: every host polls; large: most don't
 		outage(t, n)
 	}
 }
@@ -207,12 +208,12 @@
 				serving++
 			}
 		}
-		is.Equal(serving, 1) // the one that acted when the store went
+		is.Equal(serving, 1) // the one that acted when the store became unavailable
 	}
 	f.Fault = nil
 	before = f.Store.Total()
 	f.Run(time.Second)
-	is.True(f.Store.Total()-before < steady/60*4) // the first second back
+	is.True(f.Store.Total()-before < steady/60*4) // the first second after the outage
 	f.Run(20 * time.Second)
 	is.Equal(len(hosts[0].Lease.Members()), n) // nobody was removed
 	recovered(t, f, 30)
@@ -233,14 +234,14 @@
 	is.Equal(len(hosts[15].Lease.Members()), 16)
 }
 
-// TestTwoProcessesWithOneLease runs two machines with the same memory, as after
-// a copy of a virtual machine, and then lets them live on apart.
+// TestTwoProcessesWithOneLease runs two machines with the same state, as after
+// a copy of a virtual machine, and then lets them run independently.
 func TestTwoProcessesWithOneLease(t *testing.T) {
 	is := is.New(t)
 	store := membership.NewStore()
-	var twins [2]*lease.Machine
-	for i := range twins {
-		twins[i] = lease.New(lease.Settings{Self: core.Member{Host: "h", Domain: "d"}}, core.NewRand(1))
+	var machines [2]*lease.Machine
+	for i := range machines {
+		machines[i] = lease.New(lease.Settings{Self: core.Member{Host: "h", Domain: "d"}}, core.NewRand(1))
 	}
 	var results []core.ObjectResult
 	do := func(out lease.Output) {
@@ -258,15 +259,15 @@
 		pending := results
 		results = nil
 		for _, r := range pending {
-			do(twins[0].Object(now, r))
-			twins[1].Object(now, r)
+			do(machines[0].Object(now, r))
+			machines[1].Object(now, r)
 		}
-		do(twins[0].Tick(now))
-		twins[1].Tick(now)
+		do(machines[0].Tick(now))
+		machines[1].Tick(now)
 	}
-	is.True(twins[0].Holding(now) && twins[1].Holding(now))
+	is.True(machines[0].Holding(now) && machines[1].Holding(now))
 	for end := now.Add(8 * time.Second); now < end; now = now.Add(100 * time.Millisecond) {
-		for i, m := range twins {
+		for i, m := range machines {
 			results = nil
 			do(m.Tick(now.Add(time.Duration(i))))
 			for len(results) > 0 {
@@ -276,6 +277,6 @@
 			}
 		}
 	}
-	is.True(twins[0].Lost() || twins[1].Lost())
-	is.True(!(twins[0].Holding(now) && twins[1].Holding(now)))
+	is.True(machines[0].Lost() || machines[1].Lost())
+	is.True(!(machines[0].Holding(now) && machines[1].Holding(now)))
 }
--- a/internal/core/lease/handover.go
+++ b/internal/core/lease/handover.go
@@ -6,127 +6,134 @@
 	"gentiancroft/internal/core"
 )
 
-// Resending of what is handed over.
+// Resending of a HandOver message until it is acknowledged.
 const (
-	handAgain = 300 * time.Millisecond
-	handTries = 20
+	handoffResendInterval = 300 * time.Millisecond
+	maxHandoffSends       = 20
 )
 
-// hands is what this host gives away.
-type hands struct {
-	going []*departure
+// handoffs holds the shards that this host is handing over to other hosts.
+type handoffs struct {
+	outgoing []*handoff
 }
 
-// departure is a shard on its way to its next owner.
-type departure struct {
-	shard   core.Shard
-	to      core.HostID
-	view    uint64
-	custody bool
-	given   bool // the node has handed its state over
-	state   []byte
-	next    core.Instant
-	tries   int
+// handoff is one shard on its way to its next owner.
+type handoff struct {
+	shard         core.Shard
+	to            core.HostID
+	view          uint64
+	senderStopped bool // this host was entitled to act and has stopped
+	stateReady    bool // the caller has passed the shard's state to HandOver
+	state         []byte
+	nextSend      core.Instant
+	sends         int
 }
 
-// depart stops acting on a shard that belongs to another host from a view on.
-func (m *Machine) depart(s *shard, view uint64, entitled bool) {
+// startHandoff ends this host's right to a shard that another host owns from
+// view on. entitled says whether this host could act on it until now.
+func (m *Machine) startHandoff(s *shard, view uint64, entitled bool) {
 	if s.owner == "" {
 		m.shards.changes = append(m.shards.changes, Change{Shard: s.id, Kind: Lost, View: view})
 		return
 	}
-	m.hand.going = append(m.hand.going, &departure{shard: s.id, to: s.owner, view: view, custody: entitled})
+	m.handoffs.outgoing = append(m.handoffs.outgoing, &handoff{shard: s.id, to: s.owner, view: view, senderStopped: entitled})
 	m.shards.changes = append(m.shards.changes, Change{Shard: s.id, Kind: Departing, Host: s.owner, View: view})
 }
 
-// HandOver gives the state of a departing shard to its next owner. The caller
-// has stopped acting on it, also for what it had begun.
+// HandOver sends the state of a departing shard to its next owner. The caller
+// must have stopped acting on the shard, including operations that were already
+// in progress.
 func (m *Machine) HandOver(now core.Instant, id core.Shard, state []byte) Output {
-	for _, d := range m.hand.going {
-		if d.shard == id && !d.given {
-			d.given, d.state, d.next = true, state, now
+	for _, d := range m.handoffs.outgoing {
+		if d.shard == id && !d.stateReady {
+			d.stateReady, d.state, d.nextSend = true, state, now
 		}
 	}
 	return m.finish(now)
 }
 
-// Departures is how many shards are not yet with their next owner.
-func (m *Machine) Departures() int { return len(m.hand.going) }
+// Departures returns the number of shards whose next owner has not yet
+// acknowledged them.
+func (m *Machine) Departures() int { return len(m.handoffs.outgoing) }
 
-// workHands sends and resends what is handed over.
-func (m *Machine) workHands(now core.Instant) {
-	keep := m.hand.going[:0]
-	for _, d := range m.hand.going {
-		if d.given && now >= d.next {
-			d.tries++
-			d.next = now.Add(handAgain)
+// sendHandoffs sends the states of departing shards and resends those that are
+// not acknowledged. A handoff is dropped after maxHandoffSends attempts.
+func (m *Machine) sendHandoffs(now core.Instant) {
+	keep := m.handoffs.outgoing[:0]
+	for _, d := range m.handoffs.outgoing {
+		if d.stateReady && now >= d.nextSend {
+			d.sends++
+			d.nextSend = now.Add(handoffResendInterval)
 			if _, in := m.head.find(d.to); !in {
 				m.redirect(d)
 			}
-			m.out.Send(d.to, Message{HandOver: &HandOver{Shard: d.shard, View: d.view, Custody: d.custody, State: d.state}})
+			m.out.Send(d.to, Message{HandOver: &HandOver{Shard: d.shard, View: d.view, Custody: d.senderStopped, State: d.state}})
 		}
-		if d.tries < handTries {
+		if d.sends < maxHandoffSends {
 			keep = append(keep, d)
 		}
 	}
-	m.hand.going = keep
+	m.handoffs.outgoing = keep
 }
 
-// redirect sends a shard's state to the owner in force where the one it was
-// meant for is gone. The right to act does not go with it.
-func (m *Machine) redirect(d *departure) {
+// redirect sends a shard's state to its present owner where the intended one is
+// no longer a member. That owner may not act on the strength of this message:
+// it waits until its view is the lowest applied one.
+func (m *Machine) redirect(d *handoff) {
 	if s := m.shards.index[d.shard]; s != nil && s.owner != "" && s.owner != m.Self() {
-		d.to, d.view, d.custody = s.owner, m.head.Version, false
+		d.to, d.view, d.senderStopped = s.owner, m.head.Version, false
 	}
 }
 
-// received ends the resending.
-func (h *hands) received(id core.Shard, view uint64) {
-	keep := h.going[:0]
-	for _, d := range h.going {
+// acknowledge ends the resending of a handoff.
+func (h *handoffs) acknowledge(id core.Shard, view uint64) {
+	keep := h.outgoing[:0]
+	for _, d := range h.outgoing {
 		if d.shard != id || d.view != view {
 			keep = append(keep, d)
 		}
 	}
-	h.going = keep
+	h.outgoing = keep
 }
 
-// handOverFrom takes a shard. Each is taken once: a repeat is only
-// acknowledged, so state is never credited twice.
-func (m *Machine) handOverFrom(now core.Instant, from core.HostID, h HandOver) {
+// receiveHandOver accepts a shard's state. A repeat is acknowledged but not
+// applied, so state is never credited twice.
+func (m *Machine) receiveHandOver(now core.Instant, from core.HostID, h HandOver) {
 	s := m.shards.index[h.Shard]
 	if s == nil || m.number == 0 {
-		return // the sender tries again
+		return // not ready yet: the sender retries
 	}
 	m.out.Send(from, Message{Received: &Received{Shard: h.Shard, View: h.View}})
-	if h.View <= s.handed {
+	if h.View <= s.receivedView {
 		return
 	}
-	s.handed = h.View
+	s.receivedView = h.View
 	m.shards.changes = append(m.shards.changes, Change{Shard: h.Shard, Kind: State, Host: from, View: h.View, State: h.State})
 	if h.Custody {
-		s.pending = h.View
+		s.claimView = h.View
 	}
-	m.hint(now, h.View, 0)
+	m.noteNewerView(now, h.View, 0)
 	m.claim(s)
 }
 
-// claimPending claims what was handed over under views that have come since.
+// claimPending claims the shards that were handed over under a view that this
+// host has adopted since.
 func (m *Machine) claimPending(core.Instant) {
 	for _, s := range m.shards.list {
 		m.claim(s)
 	}
 }
 
-// claim turns custody into the right to act, once this host has adopted the
-// view that it was given under and has owned the shard in every view since.
+// claim lets this host act on a shard whose previous owner has stopped. It
+// requires that this host has adopted the view of the handoff and has owned the
+// shard in every view since.
 func (m *Machine) claim(s *shard) {
-	if s.pending == 0 || m.head.Version < s.pending {
+	if s.claimView == 0 || m.head.Version < s.claimView {
 		return
 	}
-	if s.owner == m.Self() && s.since <= s.pending {
-		s.custody = true
+	if s.owner == m.Self() && s.ownerSince <= s.claimView {
+		s.predecessorStopped = true
 		m.shards.dirty = true
 	}
-	s.pending = 0
+	s.claimView = 0
 }
--- a/internal/core/lease/head.go
+++ b/internal/core/lease/head.go
@@ -19,32 +19,32 @@
 	BeatsPrefix = "members/beats/"
 )
 
-// Head is the membership in force, with the changes that led to it.
+// Head is the current membership, with the latest changes that led to it.
 type Head struct {
-	Version uint64         `cbor:"1,keyasint"` // of the view; rises by one with each update
+	Version uint64         `cbor:"1,keyasint"` // of the view; each update increments it
 	Members []Entry        `cbor:"2,keyasint"` // sorted by host
 	Log     []MemberChange `cbor:"3,keyasint"` // oldest first
 	LogFrom uint64         `cbor:"4,keyasint"` // Log holds every change from this version on
 }
 
-// Entry is one member.
+// Entry is one member of the head.
 type Entry struct {
 	core.Member `cbor:"1,keyasint"`
-	Number      uint64 `cbor:"2,keyasint"` // the version that it joined in; names it in heartbeats
-	Batch       int    `cbor:"3,keyasint,omitempty"`
+	Number      uint64 `cbor:"2,keyasint"`           // version of the head that the host joined in; identifies it in heartbeats
+	Batch       int    `cbor:"3,keyasint,omitempty"` // number of its heartbeat batch within the failure domain
 }
 
-// MemberChangeKind tells what happened to a member.
+// MemberChangeKind is the kind of a change to a member.
 type MemberChangeKind uint8
 
-// Kinds of change.
+// Kinds of membership change.
 const (
 	Joined  MemberChangeKind = iota + 1
-	Marked                   // as leaving: it owns nothing from here on
-	Removed                  // gone: its lease has ended or it has stopped of its own accord
+	Marked                   // as leaving: the host owns no shards from this version on
+	Removed                  // its lease has expired or it has released its membership
 )
 
-// MemberChange is one member's change in one version.
+// MemberChange is one member's change in one version of the head.
 type MemberChange struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
@@ -52,17 +52,18 @@
 	Host    core.HostID
 }
 
-// EncodeHead returns the stored form.
+// EncodeHead returns the stored form of a head.
 func EncodeHead(h Head) ([]byte, error) { return cbor.Marshal(h) }
 
-// DecodeHead reads the stored form.
+// DecodeHead decodes the stored form of a head.
 func DecodeHead(b []byte) (Head, error) {
 	var h Head
 	err := cbor.Unmarshal(b, &h)
 	return h, Error.Wrap(err)
 }
 
-// find returns the index of a host.
+// find returns the index of a host in Members, or where it would be inserted
+// and false.
 func (h *Head) find(id core.HostID) (int, bool) {
 	return slices.BinarySearchFunc(h.Members, id, func(e Entry, id core.HostID) int {
 		if e.Host < id {
@@ -75,7 +76,7 @@
 	})
 }
 
-// clone copies what next may change.
+// clone copies the head, including the slices that an update changes.
 func (h *Head) clone() Head {
 	c := *h
 	c.Members = slices.Clone(h.Members)
@@ -83,7 +84,8 @@
 	return c
 }
 
-// batchFor is the first batch of a failure domain with room.
+// batchFor returns the lowest-numbered batch of a failure domain that has fewer
+// than size members.
 func (h *Head) batchFor(d core.Domain, size int) int {
 	counts := map[int]int{}
 	for _, e := range h.Members {
@@ -98,6 +100,7 @@
 	return batch
 }
 
+// join adds a host that is not a member yet.
 func (h *Head) join(m core.Member, size int) {
 	i, found := h.find(m.Host)
 	if found {
@@ -109,13 +112,15 @@
 	h.Log = append(h.Log, MemberChange{Version: h.Version, Kind: Joined, Host: m.Host})
 }
 
-func (h *Head) mark(id core.HostID) {
+// markLeaving marks a member as leaving.
+func (h *Head) markLeaving(id core.HostID) {
 	if i, ok := h.find(id); ok && !h.Members[i].Leaving {
 		h.Members[i].Leaving = true
 		h.Log = append(h.Log, MemberChange{Version: h.Version, Kind: Marked, Host: id})
 	}
 }
 
+// remove removes a member.
 func (h *Head) remove(id core.HostID) {
 	if i, ok := h.find(id); ok {
 		h.Members = slices.Delete(h.Members, i, i+1)
@@ -123,12 +128,13 @@
 	}
 }
 
-// trim bounds the log. A version is dropped whole.
-func (h *Head) trim(most int) {
+// trimLog drops the oldest changes beyond the limit, always all changes of a
+// version together.
+func (h *Head) trimLog(maxChanges int) {
 	if h.LogFrom == 0 {
 		h.LogFrom = 1
 	}
-	for len(h.Log) > most {
+	for len(h.Log) > maxChanges {
 		h.LogFrom = h.Log[0].Version + 1
 		for len(h.Log) > 0 && h.Log[0].Version < h.LogFrom {
 			h.Log = h.Log[1:]
@@ -136,42 +142,44 @@
 	}
 }
 
-// batchKey names the heartbeat object of a batch.
+// batchKey returns the key of a batch's heartbeat object.
 func batchKey(d core.Domain, batch int) string {
 	return BeatsPrefix + string(d) + "/" + strconv.Itoa(batch)
 }
 
-// key names the heartbeat object that carries a member.
+// key returns the key of the heartbeat object that holds this member's
+// heartbeat.
 func (e *Entry) key() string { return batchKey(e.Domain, e.Batch) }
 
-// Beat is the heartbeats of one batch.
+// Beat is the stored object with the heartbeats of one batch.
 type Beat struct {
 	Leader  core.HostID `cbor:"1,keyasint"`
-	Head    uint64      `cbor:"2,keyasint"` // no leader with an older head may write
-	Token   uint64      `cbor:"3,keyasint"` // of the leader's last write; a fencing host leaves it
+	Head    uint64      `cbor:"2,keyasint"` // newest head that a leader of the batch has used; one with an older head must not write
+	Token   uint64      `cbor:"3,keyasint"` // random number of the leader's last write; a fencing host leaves it unchanged
 	Entries []Pulse     `cbor:"4,keyasint"` // sorted by number
 }
 
-// Pulse is one member's heartbeat as written.
+// Pulse is the stored heartbeat of one member.
 type Pulse struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Seq    uint64
-	Ack    uint64 // the view that the member acts under
-	Fenced bool   // for good: no later heartbeat of this member counts
+	Ack    uint64 // view that the member acts under
+	Fenced bool   // permanent: no later heartbeat of this member counts
 }
 
-// EncodeBeat returns the stored form.
+// EncodeBeat returns the stored form of a batch.
 func EncodeBeat(b Beat) ([]byte, error) { return cbor.Marshal(b) }
 
-// DecodeBeat reads the stored form.
+// DecodeBeat decodes the stored form of a batch.
 func DecodeBeat(b []byte) (Beat, error) {
 	var v Beat
 	err := cbor.Unmarshal(b, &v)
 	return v, Error.Wrap(err)
 }
 
-// find returns the index of a member's heartbeat.
+// find returns the index of a member's heartbeat, or where it would be inserted
+// and false.
 func (b *Beat) find(number uint64) (int, bool) {
 	return slices.BinarySearchFunc(b.Entries, number, func(p Pulse, n uint64) int {
 		if p.Number < n {
@@ -184,16 +192,16 @@
 	})
 }
 
-// pulse returns a member's heartbeat, or an empty one.
-func (b *Beat) pulse(number uint64) Pulse {
+// record returns a member's heartbeat, or an empty one.
+func (b *Beat) record(number uint64) Pulse {
 	if i, ok := b.find(number); ok {
 		return b.Entries[i]
 	}
 	return Pulse{Number: number}
 }
 
-// put sets a member's heartbeat.
-func (b *Beat) put(p Pulse) {
+// set adds or replaces a member's heartbeat.
+func (b *Beat) set(p Pulse) {
 	i, ok := b.find(p.Number)
 	if ok {
 		b.Entries[i] = p
--- a/internal/core/lease/leader.go
+++ b/internal/core/lease/leader.go
@@ -7,265 +7,277 @@
 	"gentiancroft/internal/core"
 )
 
-// Limits of a leader.
+// Limits of a batch leader.
 const (
-	ownTokens    = 16                     // of its latest writes, to know them again
-	writeSpacing = 250 * time.Millisecond // between writes when views change
+	maxRecentTokens  = 16                     // latest write tokens kept, to recognize this host's earlier writes
+	minWriteInterval = 250 * time.Millisecond // between writes when a member reports a newer view
 )
 
-// leader is the part of a host that writes its batch's heartbeats.
-type leader struct {
-	leading  bool
-	resolve  bool // a write is in doubt: read before anything else
-	beside   bool // the write in flight leaves the leader as it is
-	object   uint64
-	beat     Beat // as last read or written
-	inbox    map[uint64]Heartbeat
-	batch    []Entry
-	writing  Beat
-	included []Heartbeat
-	tokens   [ownTokens]uint64
-	writes   int
-	next     core.Instant
-	written  core.Instant
-	resignAt core.Instant
+// leadership is what a host keeps to write the heartbeats of its batch. Every
+// host has one; leading says whether it is the leader.
+type leadership struct {
+	leading       bool
+	unresolved    bool // the result of a write is unknown: read the object before anything else
+	ownOnly       bool // the write in flight changes only this host's heartbeat, not the leader
+	objectVersion uint64
+	stored        Beat // as last read or written
+	inbox         map[uint64]Heartbeat
+	members       []Entry
+	pending       Beat
+	included      []Heartbeat
+	recentTokens  [maxRecentTokens]uint64
+	writes        int
+	nextWrite     core.Instant
+	writtenAt     core.Instant
+	nextResign    core.Instant
 }
 
-// workLeader writes the batch's heartbeats when due.
-func (m *Machine) workLeader(now core.Instant) {
-	l := &m.lead
-	if !l.leading || !m.calls.ready(now, callBeatWrite) {
+// writeDueBatch writes the batch's heartbeats if this host leads the batch and
+// a write is due.
+func (m *Machine) writeDueBatch(now core.Instant) {
+	l := &m.leadership
+	if !l.leading || !m.calls.ready(now, callBatchWrite) {
 		return
 	}
-	if l.resolve {
-		if m.calls.ready(now, callBeat) {
-			m.call(now, callBeat, core.ObjectCall{Op: core.ObjectGet, Key: m.batch})
+	if l.unresolved {
+		if m.calls.ready(now, callBatch) {
+			m.call(now, callBatch, core.ObjectCall{Op: core.ObjectGet, Key: m.ownBatchKey})
 		}
 		return
 	}
-	if m.calls.flights[callBeat].busy || now < l.next {
+	if m.calls.byKind[callBatch].busy || now < l.nextWrite {
 		return
 	}
 	if m.leaving {
 		m.resign(now)
 	}
-	m.writeBeat(now, l.beat, l.object)
+	m.writeBatch(now, l.stored, l.objectVersion)
 }
 
-// resign asks another host of the batch to take over at once.
+// resign asks another host of the batch, one that isn't leaving, to take over
+// at once.
 func (m *Machine) resign(now core.Instant) {
-	const again = 2 * time.Second
-	if now < m.lead.resignAt {
+	const resendInterval = 2 * time.Second
+	if now < m.leadership.nextResign {
 		return
 	}
-	m.lead.resignAt = now.Add(again)
-	var stay []core.HostID
-	for i := range m.lead.batch {
-		if !m.lead.batch[i].Leaving {
-			stay = append(stay, m.lead.batch[i].Host)
+	m.leadership.nextResign = now.Add(resendInterval)
+	var candidates []core.HostID
+	for i := range m.leadership.members {
+		if !m.leadership.members[i].Leaving {
+			candidates = append(candidates, m.leadership.members[i].Host)
 		}
 	}
 	const kindRank = 0xff
-	if next := core.RendezvousN(stay, kindRank, m.batch, 1); len(next) == 1 && next[0] != m.Self() {
+	if next := core.RendezvousN(candidates, kindRank, m.ownBatchKey, 1); len(next) == 1 && next[0] != m.Self() {
 		m.out.Send(next[0], Message{Leading: &Leading{Leader: m.Self(), Next: next[0]}})
 	}
 }
 
-// heartbeatFrom takes a member's heartbeat.
-func (m *Machine) heartbeatFrom(now core.Instant, from core.HostID, hb Heartbeat) {
-	l := &m.lead
+// receiveHeartbeat handles a member's heartbeat. The leader keeps it for the
+// next write, or answers that the member is fenced or the store is down. Any
+// other host answers with the leader that it follows.
+func (m *Machine) receiveHeartbeat(now core.Instant, from core.HostID, hb Heartbeat) {
+	l := &m.leadership
 	if !l.leading {
 		if m.member.leader != "" && m.member.leader != m.Self() && m.member.leader != from {
 			m.out.Send(from, Message{Leading: &Leading{Leader: m.member.leader}})
 		}
 		return
 	}
-	m.hint(now, hb.View, 0)
-	if l.beat.pulse(hb.Number).Fenced {
+	m.noteNewerView(now, hb.View, 0)
+	if l.stored.record(hb.Number).Fenced {
 		m.out.Send(from, Message{Ack: &Ack{Seq: hb.Seq, Nonce: hb.Nonce, Fenced: true}})
 		return
 	}
 	if m.calls.failing {
-		m.out.Send(from, Message{Ack: &Ack{Down: true, Settled: m.settled, Head: m.head.Version}})
+		m.out.Send(from, Message{Ack: &Ack{Down: true, Settled: m.lowestApplied, Head: m.head.Version}})
 	}
 	if hb.Seq <= l.inbox[hb.Number].Seq {
 		return
 	}
 	l.inbox[hb.Number] = hb
-	if hb.View > l.beat.pulse(hb.Number).Ack {
-		l.next = min(l.next, l.written.Add(writeSpacing))
+	if hb.View > l.stored.record(hb.Number).Ack {
+		l.nextWrite = min(l.nextWrite, l.writtenAt.Add(minWriteInterval))
 	}
 }
 
-// compose is the batch's next value: new heartbeats, members gone left out,
-// and those silent for too long fenced.
-func (m *Machine) compose(now core.Instant, b Beat) (Beat, []Heartbeat) {
-	l := &m.lead
+// composeBatch returns the next value of the batch's object and the heartbeats
+// that it includes. It leaves out removed members, and fences those whose
+// leases have expired.
+func (m *Machine) composeBatch(now core.Instant, b Beat) (Beat, []Heartbeat) {
+	l := &m.leadership
 	next := Beat{Leader: m.Self(), Head: m.head.Version}
 	var included []Heartbeat
-	for i := range l.batch {
-		e := &l.batch[i]
-		p := b.pulse(e.Number)
-		hb, fresh := l.inbox[e.Number]
+	for i := range l.members {
+		e := &l.members[i]
+		p := b.record(e.Number)
+		hb, received := l.inbox[e.Number]
 		switch {
 		case p.Fenced:
-		case fresh && hb.Seq > p.Seq:
+		case received && hb.Seq > p.Seq:
 			p.Seq, p.Ack = hb.Seq, max(p.Ack, hb.View)
 			included = append(included, hb)
-		case m.overdue(now, e) && m.Holding(now):
+		case m.leaseExpired(now, e) && m.Holding(now):
 			p.Fenced = true
 		}
 		if p.Seq > 0 || p.Fenced {
-			next.put(p)
+			next.set(p)
 		}
 	}
 	return next, included
 }
 
-// writeBeat writes the batch with this host as its leader. A host whose head
-// is older than one that a leader of the batch has used must read it first:
-// else it could revive a member that has been removed.
-func (m *Machine) writeBeat(now core.Instant, b Beat, object uint64) {
-	l := &m.lead
+// writeBatch writes the batch's object with this host as leader. A host whose
+// head is older than one that a leader of the batch has used must read the
+// newer head first: otherwise it could write heartbeats for a member that has
+// been removed.
+func (m *Machine) writeBatch(now core.Instant, b Beat, objectVersion uint64) {
+	l := &m.leadership
 	if b.Head > m.head.Version {
-		m.hint(now, b.Head, 0)
+		m.noteNewerView(now, b.Head, 0)
 		return
 	}
-	l.inbox[m.number] = m.beatNow(now) // own lease: from just before this write
-	l.writing, l.included = m.compose(now, b)
-	l.beside = false
-	m.send(now, object)
+	l.inbox[m.number] = m.newHeartbeat(now) // the own lease counts from just before this write
+	l.pending, l.included = m.composeBatch(now, b)
+	l.ownOnly = false
+	m.issueBatchWrite(now, objectVersion)
 }
 
-// writeBeside writes only the own heartbeat and leaves the leader in place.
-func (m *Machine) writeBeside(now core.Instant, b Beat, object uint64) {
-	l := &m.lead
-	hb := m.beatNow(now)
-	l.writing = b
-	l.writing.Entries = slices.Clone(b.Entries)
-	l.writing.put(Pulse{Number: m.number, Seq: hb.Seq, Ack: hb.View})
+// writeOwnHeartbeat writes only this host's heartbeat and keeps the leader.
+func (m *Machine) writeOwnHeartbeat(now core.Instant, b Beat, objectVersion uint64) {
+	l := &m.leadership
+	hb := m.newHeartbeat(now)
+	l.pending = b
+	l.pending.Entries = slices.Clone(b.Entries)
+	l.pending.set(Pulse{Number: m.number, Seq: hb.Seq, Ack: hb.View})
 	l.included = []Heartbeat{hb}
-	l.beside = true
-	value, err := EncodeBeat(l.writing)
+	l.ownOnly = true
+	value, err := EncodeBeat(l.pending)
 	if err == nil {
-		m.call(now, callBeatWrite, core.ObjectCall{Op: core.ObjectUpdate, Key: m.batch, Value: value, IfVersion: object})
+		m.call(now, callBatchWrite, core.ObjectCall{Op: core.ObjectUpdate, Key: m.ownBatchKey, Value: value, IfVersion: objectVersion})
 	}
 }
 
-// send issues the write of l.writing under a new token.
-func (m *Machine) send(now core.Instant, object uint64) {
-	l := &m.lead
-	const odd = 0x9e3779b97f4a7c15
-	l.writing.Token = m.rng.Uint64() ^ uint64(now)*odd
-	l.tokens[l.writes%ownTokens] = l.writing.Token
+// issueBatchWrite starts the write of the pending batch under a new token.
+func (m *Machine) issueBatchWrite(now core.Instant, objectVersion uint64) {
+	l := &m.leadership
+	const hashMultiplier = 0x9e3779b97f4a7c15
+	l.pending.Token = m.rng.Uint64() ^ uint64(now)*hashMultiplier
+	l.recentTokens[l.writes%maxRecentTokens] = l.pending.Token
 	l.writes++
-	l.written, l.next = now, now.Add(m.set.Renew)
-	value, err := EncodeBeat(l.writing)
+	l.writtenAt, l.nextWrite = now, now.Add(m.settings.Renew)
+	value, err := EncodeBeat(l.pending)
 	if err != nil {
 		return
 	}
-	call := core.ObjectCall{Op: core.ObjectUpdate, Key: m.batch, Value: value, IfVersion: object}
-	if object == 0 {
-		call = core.ObjectCall{Op: core.ObjectCreate, Key: m.batch, Value: value}
+	call := core.ObjectCall{Op: core.ObjectUpdate, Key: m.ownBatchKey, Value: value, IfVersion: objectVersion}
+	if objectVersion == 0 {
+		call = core.ObjectCall{Op: core.ObjectCreate, Key: m.ownBatchKey, Value: value}
 	}
-	m.call(now, callBeatWrite, call)
+	m.call(now, callBatchWrite, call)
 }
 
-// takeOver makes this host the leader of its batch if nobody else is quicker.
-func (m *Machine) takeOver(now core.Instant, b Beat, object uint64) {
-	if m.leaving && !m.alone() {
+// takeOver writes the batch with this host as leader; the conditional update
+// fails if another host took over first. A leaving host takes over only if the
+// whole batch leaves.
+func (m *Machine) takeOver(now core.Instant, b Beat, objectVersion uint64) {
+	if m.leaving && !m.allLeaving() {
 		return
 	}
-	m.member.direct = false
-	m.writeBeat(now, b, object)
+	m.member.takeOverNow = false
+	m.writeBatch(now, b, objectVersion)
 }
 
-// alone reports that no host of the batch stays.
-func (m *Machine) alone() bool {
-	for i := range m.lead.batch {
-		if !m.lead.batch[i].Leaving {
+// allLeaving reports whether every host of the batch is leaving.
+func (m *Machine) allLeaving() bool {
+	for i := range m.leadership.members {
+		if !m.leadership.members[i].Leaving {
 			return false
 		}
 	}
 	return true
 }
 
-// beatWritten takes the end of a write of the own batch.
-func (m *Machine) beatWritten(now core.Instant, r core.ObjectResult) {
-	l := &m.lead
+// batchWriteDone handles the result of a write to this host's batch.
+func (m *Machine) batchWriteDone(now core.Instant, r core.ObjectResult) {
+	l := &m.leadership
 	switch {
-	case r.Status == core.ObjectOK && l.beside:
-		m.member.object, m.member.beat = r.Object.Version, l.writing
-		m.renewed(now, l.included[0].Seq, l.included[0].Nonce)
+	case r.Status == core.ObjectOK && l.ownOnly:
+		m.member.objectVersion, m.member.stored = r.Object.Version, l.pending
+		m.extendLease(now, l.included[0].Seq, l.included[0].Nonce)
 	case r.Status == core.ObjectOK:
-		m.confirmed(now, l.writing, r.Object.Version)
-	case l.beside:
-		m.member.known = false
+		m.writeConfirmed(now, l.pending, r.Object.Version)
+	case l.ownOnly:
+		m.member.hasRead = false
 	default:
-		l.resolve = true
+		l.unresolved = true
 	}
 }
 
-// confirmed takes a write that surely took effect, and acknowledges it.
-func (m *Machine) confirmed(now core.Instant, b Beat, object uint64) {
-	l := &m.lead
-	began := !l.leading
-	l.leading, l.resolve = true, false
-	l.beat, l.object, m.member.object = b, object, object
+// writeConfirmed handles a write that has taken effect: it extends the own lease
+// and acknowledges the heartbeats that the write included.
+func (m *Machine) writeConfirmed(now core.Instant, b Beat, objectVersion uint64) {
+	l := &m.leadership
+	newLeader := !l.leading
+	l.leading, l.unresolved = true, false
+	l.stored, l.objectVersion, m.member.objectVersion = b, objectVersion, objectVersion
 	m.member.leader = m.Self()
 	for _, hb := range l.included {
-		p := b.pulse(hb.Number)
+		p := b.record(hb.Number)
 		if p.Fenced {
 			continue
 		}
 		if hb.Number == m.number {
-			m.renewed(now, hb.Seq, hb.Nonce)
+			m.extendLease(now, hb.Seq, hb.Nonce)
 			continue
 		}
 		if to, ok := m.batchHost(hb.Number); ok {
-			m.out.Send(to, Message{Ack: &Ack{Seq: hb.Seq, Nonce: hb.Nonce, Settled: m.settled, Head: m.head.Version}})
+			m.out.Send(to, Message{Ack: &Ack{Seq: hb.Seq, Nonce: hb.Nonce, Settled: m.lowestApplied, Head: m.head.Version}})
 		}
 	}
 	l.included = nil
-	if began {
-		for i := range l.batch {
-			if l.batch[i].Host != m.Self() {
-				m.out.Send(l.batch[i].Host, Message{Leading: &Leading{Leader: m.Self()}})
+	if newLeader {
+		for i := range l.members {
+			if l.members[i].Host != m.Self() {
+				m.out.Send(l.members[i].Host, Message{Leading: &Leading{Leader: m.Self()}})
 			}
 		}
 	}
 }
 
+// batchHost returns the host of a member of this host's batch by its number.
 func (m *Machine) batchHost(number uint64) (core.HostID, bool) {
-	for i := range m.lead.batch {
-		if m.lead.batch[i].Number == number {
-			return m.lead.batch[i].Host, true
+	for i := range m.leadership.members {
+		if m.leadership.members[i].Number == number {
+			return m.leadership.members[i].Host, true
 		}
 	}
 	return "", false
 }
 
-// resolve settles a write in doubt by what the object holds now.
-func (m *Machine) resolve(now core.Instant, b Beat, object uint64) {
-	l := &m.lead
-	l.resolve = false
+// resolveWrite settles a write with an unknown result by what the object holds
+// now.
+func (m *Machine) resolveWrite(now core.Instant, b Beat, objectVersion uint64) {
+	l := &m.leadership
+	l.unresolved = false
 	switch {
-	case b.pulse(m.number).Fenced:
-		m.lose()
-	case b.Leader == m.Self() && b.Token == l.writing.Token:
-		m.confirmed(now, b, object)
-	case b.Leader == m.Self() && slices.Contains(l.tokens[:], b.Token):
-		// An earlier write of this host, perhaps with members fenced since.
+	case b.record(m.number).Fenced:
+		m.loseIdentity()
+	case b.Leader == m.Self() && b.Token == l.pending.Token:
+		m.writeConfirmed(now, b, objectVersion)
+	case b.Leader == m.Self() && slices.Contains(l.recentTokens[:], b.Token):
+		// An earlier write of this host; members may have been fenced since.
 		l.leading = true
-		l.beat, l.object, m.member.object = b, object, object
+		l.stored, l.objectVersion, m.member.objectVersion = b, objectVersion, objectVersion
 		m.member.leader = m.Self()
-		l.next = now
+		l.nextWrite = now
 	case b.Leader == m.Self():
-		m.lose() // another process writes under this identity
+		m.loseIdentity() // another process writes under this identity
 	default:
 		l.leading = false
 		clear(l.inbox)
-		m.member.known = false
-		m.member.leader, m.member.ackAt, m.member.next = b.Leader, now, now
+		m.member.hasRead = false
+		m.member.leader, m.member.lastAck, m.member.nextHeartbeat = b.Leader, now, now
 	}
 }
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -29,7 +29,8 @@
 	return list
 }
 
-// start returns a fleet of n hosts over three failure domains after a settling time.
+// start returns a fleet of n hosts over three failure domains, after 10 s in
+// which it forms.
 func start(seed uint64, n, count int) (*membership.Fleet, []*membership.Host) {
 	f := membership.NewFleet(seed)
 	f.Shards = shards(count)
@@ -41,7 +42,7 @@
 	return f, hosts
 }
 
-func quiet(t *testing.T, f *membership.Fleet) {
+func noViolations(t *testing.T, f *membership.Fleet) {
 	t.Helper()
 	for _, v := range f.Trace.Violations {
 		t.Error(v)
@@ -52,7 +53,7 @@
 	for _, n := range []int{1, 2, 3, 8} {
 		is := is.New(t)
 		f, hosts := start(1, n, 40)
-		quiet(t, f)
+		noViolations(t, f)
 		is.Equal(f.Trace.Acted(f.Now), 40) // every shard has an owner that acts
 		for _, h := range hosts {
 			is.True(h.Lease.Joined())
@@ -66,7 +67,7 @@
 	f, hosts := start(2, 6, 40)
 	f.Kill(hosts[4])
 	f.Run(12 * time.Second)
-	quiet(t, f)
+	noViolations(t, f)
 	is.Equal(f.Trace.Acted(f.Now), 40)
 	t.Log("gap", f.Trace.LongestGap())
 	is.Equal(len(hosts[0].Lease.Members()), 5)
@@ -88,9 +89,9 @@
 	f.Run(2 * time.Second)
 	is.True(h.Lease.Left())
 	f.Run(8 * time.Second)
-	quiet(t, f)
+	noViolations(t, f)
 	is.Equal(f.Trace.Acted(f.Now), 40)
-	is.True(f.Trace.LongestGap() < 50*time.Millisecond) // a few messages
+	is.True(f.Trace.LongestGap() < 50*time.Millisecond) // the time of a few messages
 	states := 0
 	for _, o := range hosts {
 		for _, c := range o.Took {
--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -7,53 +7,54 @@
 	"gentiancroft/internal/core"
 )
 
-// Machine is one host's part in membership and ownership. It lives for one
-// process lifetime under one identity.
+// Machine is the state machine of one host's membership, lease and shard
+// ownership. It serves one process under one identity.
 type Machine struct {
-	set   Settings
-	rng   *core.Rand
-	calls calls
-	out   Output
-
-	head       Head
-	headBytes  []byte
-	headObject uint64 // store version of exactly this head; 0: not known
-	headSeen   uint64 // highest store version of a head seen
-	headAbsent bool   // the store holds no head
-	writing    Head   // the head in flight
-	wanted     uint64 // a newer view is known to exist
-	wantedAt   core.Instant
-
-	number  uint64 // 0: not a member yet
-	batch   string
-	settled uint64
-	leaving bool // asked to leave
-	release bool // asked to give the membership up
-	left    bool
-	lost    bool // fenced, or another process has this identity
-
-	member member
-	lead   leader
-	watch  watcher
-	shards table
-	hand   hands
+	settings Settings
+	rng      *core.Rand
+	calls    calls
+	out      Output
+
+	head                Head
+	headBytes           []byte
+	headObjectVersion   uint64 // store version of exactly this head; 0 if unknown
+	newestObjectVersion uint64 // highest store version of a head that was read
+	headAbsent          bool   // the store holds no head
+	pendingHead         Head   // the head being written
+	knownView           uint64 // newest view known to exist
+	readHeadAt          core.Instant
+
+	number        uint64 // 0 until this host is a member
+	ownBatchKey   string
+	lowestApplied uint64
+	leaving       bool // Leave was called
+	releasing     bool // Release was called
+	released      bool
+	identityLost  bool // this host was fenced, or another process uses its identity
+
+	member     member
+	leadership leadership
+	poller     poller
+	shards     shardTable
+	handoffs   handoffs
 }
 
-// New returns the machine of a host that is not a member yet; it asks to join
-// at its first Tick.
+// New returns the machine of a host that is not a member yet; it requests
+// membership at the first Tick.
 func New(s Settings, rng *core.Rand) *Machine {
-	m := &Machine{set: s.withDefaults(), rng: rng}
+	m := &Machine{settings: s.withDefaults(), rng: rng}
 	m.shards.index = map[core.Shard]*shard{}
-	m.watch.seen = map[uint64]*seen{}
-	m.watch.objects = map[string]observed{}
-	m.lead.inbox = map[uint64]Heartbeat{}
+	m.poller.heartbeats = map[uint64]*memberHeartbeat{}
+	m.poller.objects = map[string]batchObject{}
+	m.leadership.inbox = map[uint64]Heartbeat{}
 	return m
 }
 
-// Tick does what has become due. Call it every 50 to 250 ms.
+// Tick does the work that is due and times out object calls. Call it every 50
+// to 250 ms.
 func (m *Machine) Tick(now core.Instant) Output {
 	for {
-		tag, ok := m.calls.overdue(now, &m.set)
+		tag, ok := m.calls.overdue(now, &m.settings)
 		if !ok {
 			break
 		}
@@ -62,102 +63,103 @@
 	return m.finish(now)
 }
 
-// Object takes the end of an object call.
+// Object handles the result of an object call.
 func (m *Machine) Object(now core.Instant, r core.ObjectResult) Output {
 	m.result(now, r)
 	return m.finish(now)
 }
 
-// Peer takes a message from another host. A message may come late, twice or
+// Peer handles a message from another host. Messages may be late, duplicated or
 // out of order.
 func (m *Machine) Peer(now core.Instant, from core.HostID, msg Message) Output {
 	switch {
 	case msg.Heartbeat != nil:
-		m.heartbeatFrom(now, from, *msg.Heartbeat)
+		m.receiveHeartbeat(now, from, *msg.Heartbeat)
 	case msg.Ack != nil:
-		m.ackFrom(now, from, *msg.Ack)
+		m.receiveAck(now, from, *msg.Ack)
 	case msg.Leading != nil:
-		m.leadingFrom(now, from, *msg.Leading)
+		m.receiveLeading(now, from, *msg.Leading)
 	case msg.HandOver != nil:
-		m.handOverFrom(now, from, *msg.HandOver)
+		m.receiveHandOver(now, from, *msg.HandOver)
 	case msg.Received != nil:
-		m.hand.received(msg.Received.Shard, msg.Received.View)
+		m.handoffs.acknowledge(msg.Received.Shard, msg.Received.View)
 	}
 	return m.finish(now)
 }
 
-// Learn takes a head and a settled view that came through the feed. Older ones
-// change nothing.
-func (m *Machine) Learn(now core.Instant, head []byte, settled uint64) Output {
+// Learn applies a head and a lowest applied view received through the feed.
+// Older ones change nothing.
+func (m *Machine) Learn(now core.Instant, head []byte, lowestApplied uint64) Output {
 	if h, err := DecodeHead(head); err == nil && h.Version > m.head.Version {
 		m.adopt(now, h, head, 0)
 	}
-	m.settle(settled)
+	m.raiseLowestApplied(lowestApplied)
 	return m.finish(now)
 }
 
-// Leave marks this host as leaving: it will own nothing, and its shards come
-// out of Changes as Departing. Its lease goes on until Release.
+// Leave marks this host as leaving: it owns no shards from the next view on,
+// and Changes reports those it acted on as Departing. It keeps its lease until
+// Release.
 func (m *Machine) Leave(now core.Instant) Output {
 	m.leaving = true
 	return m.finish(now)
 }
 
-// Release gives the membership up. Call it once nothing is in flight and all is
-// handed over; Left reports when it is done.
+// Release gives up the membership. Call it once nothing is in flight and every
+// shard has been handed over; Left reports when it is done.
 func (m *Machine) Release(now core.Instant) Output {
-	m.leaving, m.release = true, true
+	m.leaving, m.releasing = true, true
 	return m.finish(now)
 }
 
-// finish does due work after any event and collects the effects.
+// finish does the work that is due after an event and returns the effects.
 func (m *Machine) finish(now core.Instant) Output {
-	if !m.left && !m.lost {
-		m.workHead(now)
-		m.workMember(now)
-		m.workLeader(now)
-		m.workWatch(now)
-		m.workHands(now)
+	if !m.released && !m.identityLost {
+		m.syncHead(now)
+		m.syncLease(now)
+		m.writeDueBatch(now)
+		m.readHeartbeats(now)
+		m.sendHandoffs(now)
 	}
-	m.refresh(now)
+	m.updateRights(now)
 	out := m.out
 	m.out = Output{}
 	return out
 }
 
-// result hands an object result to the call's part of the machine.
+// result passes an object result to the handler of its call.
 func (m *Machine) result(now core.Instant, r core.ObjectResult) {
-	k, ok := m.calls.end(now, r, &m.set, m.rng)
-	if !ok || m.left || m.lost {
+	k, ok := m.calls.end(now, r, &m.settings, m.rng)
+	if !ok || m.released || m.identityLost {
 		return
 	}
 	switch k {
 	case callHead:
-		m.headRead(now, r)
+		m.headReadDone(now, r)
 	case callHeadWrite:
-		m.headWritten(now, r)
+		m.headWriteDone(now, r)
 	case callWatch:
 		for _, o := range r.Objects {
-			m.headObjectSeen(now, o)
+			m.receiveHead(now, o)
 		}
-	case callBeat:
-		m.beatRead(now, r)
-	case callBeatWrite:
-		m.beatWritten(now, r)
-	case callBeats:
-		m.beatsListed(now, r)
+	case callBatch:
+		m.batchReadDone(now, r)
+	case callBatchWrite:
+		m.batchWriteDone(now, r)
+	case callBatchList:
+		m.batchListDone(now, r)
 	case callFence:
-		m.fenceWritten(now, r)
+		m.fenceWriteDone(now, r)
 	}
 }
 
-// call makes an object call.
+// call starts an object call.
 func (m *Machine) call(now core.Instant, k callKind, c core.ObjectCall) {
 	m.out.Call(m.calls.start(now, k, c))
 }
 
 // Self implements core.Ownership.
-func (m *Machine) Self() core.HostID { return m.set.Self.Host }
+func (m *Machine) Self() core.HostID { return m.settings.Self.Host }
 
 // Members implements core.Ownership.
 func (m *Machine) Members() []core.Member {
@@ -168,92 +170,97 @@
 	return members
 }
 
-// View is the version of the membership that this host acts under.
+// View returns the version of the membership that this host acts under.
 func (m *Machine) View() uint64 { return m.head.Version }
 
-// Settled is a view that no live host acts before.
-func (m *Machine) Settled() uint64 { return m.settled }
+// Settled returns the lowest applied view: no live host acts under an older
+// one.
+func (m *Machine) Settled() uint64 { return m.lowestApplied }
 
-// Head is the stored form of the membership in force, for the feed.
+// Head returns the stored form of the current membership, for the feed.
 func (m *Machine) Head() []byte { return m.headBytes }
 
 // Joined reports whether this host is a member.
-func (m *Machine) Joined() bool { return m.number != 0 && !m.left && !m.lost }
+func (m *Machine) Joined() bool { return m.number != 0 && !m.released && !m.identityLost }
 
-// Left reports whether the membership has been given up, surely.
-func (m *Machine) Left() bool { return m.left }
+// Left reports whether the store has confirmed that this host is no longer a
+// member, after Release.
+func (m *Machine) Left() bool { return m.released }
 
-// Lost reports that this identity has been fenced or is used by another
-// process too. It never acts again; the process must join under a new one.
-func (m *Machine) Lost() bool { return m.lost }
+// Lost reports whether this identity has been fenced or is used by another
+// process too. It can never act again; the process must join under a new one.
+func (m *Machine) Lost() bool { return m.identityLost }
 
-// Polls reports whether this host reads the heartbeats itself.
-func (m *Machine) Polls() bool { return m.watch.polls }
+// Polls reports whether this host reads the heartbeats of all batches.
+func (m *Machine) Polls() bool { return m.poller.polls }
 
 // Leads reports whether this host writes its batch's heartbeats.
-func (m *Machine) Leads() bool { return m.lead.leading }
+func (m *Machine) Leads() bool { return m.leadership.leading }
 
-// Holding reports whether the lease runs at now.
+// Holding reports whether this host's lease is valid at now.
 func (m *Machine) Holding(now core.Instant) bool {
-	return m.Joined() && !m.release && m.member.leased && now < m.leaseEnd()
+	return m.Joined() && !m.releasing && m.member.leased && now < m.leaseEnd()
 }
 
-// leaseEnd is when the lease ends unless renewed.
-func (m *Machine) leaseEnd() core.Instant { return m.member.leaseFrom.Add(m.set.Term) }
+// leaseEnd returns when the lease expires unless it is renewed.
+func (m *Machine) leaseEnd() core.Instant { return m.member.leaseStart.Add(m.settings.Term) }
 
-// Outage reports whether the store does not answer this host, nor its leader.
+// Outage reports whether the store doesn't answer this host, or didn't answer
+// its batch leader in the last few seconds.
 func (m *Machine) Outage(now core.Instant) bool {
-	const fresh = 3 * time.Second
-	return m.calls.failing || (m.member.down && now.Sub(m.member.downAt) < fresh)
+	const maxAge = 3 * time.Second
+	return m.calls.failing || (m.member.storeDown && now.Sub(m.member.storeDownAt) < maxAge)
 }
 
-// Suspected lists members whose heartbeats have stopped, as far as this host
-// reads them itself.
+// Suspected returns the members whose heartbeats have stopped, as read by this
+// host. It is nil if the host doesn't poll or its latest poll failed.
 func (m *Machine) Suspected(now core.Instant) []core.HostID {
 	var hosts []core.HostID
-	if !m.watch.polls || m.watch.broken {
+	if !m.poller.polls || m.poller.readFailed {
 		return nil
 	}
 	for i := range m.head.Members {
 		e := &m.head.Members[i]
-		s := m.watch.seen[e.Number]
-		if s != nil && e.Host != m.Self() && (s.fenced || m.watch.silence(now, s) > m.set.SuspectAfter) {
+		s := m.poller.heartbeats[e.Number]
+		if s != nil && e.Host != m.Self() && (s.fenced || m.poller.unchangedFor(now, s) > m.settings.SuspectAfter) {
 			hosts = append(hosts, e.Host)
 		}
 	}
 	return hosts
 }
 
-// settle raises the settled view. Each value was true when it was computed and
-// stays true, so the highest counts.
-func (m *Machine) settle(v uint64) {
-	if v > m.settled {
-		m.settled = v
+// raiseLowestApplied raises the lowest applied view. Hosts' views never
+// decrease, so a computed value stays a valid lower bound and the highest one
+// counts.
+func (m *Machine) raiseLowestApplied(v uint64) {
+	if v > m.lowestApplied {
+		m.lowestApplied = v
 		m.shards.dirty = true
 	}
 }
 
-// hint says that a newer view exists. A patient host leaves the feed time to
-// bring it.
-func (m *Machine) hint(now core.Instant, view uint64, patience time.Duration) {
+// noteNewerView records that a newer view exists. With a delay, the feed has
+// that long to deliver it before the head is read from the store.
+func (m *Machine) noteNewerView(now core.Instant, view uint64, delay time.Duration) {
 	if view <= m.head.Version {
 		return
 	}
-	at := now.Add(patience)
-	if m.wanted <= m.head.Version || at < m.wantedAt {
-		m.wantedAt = at
+	at := now.Add(delay)
+	if m.knownView <= m.head.Version || at < m.readHeadAt {
+		m.readHeadAt = at
 	}
-	m.wanted = max(m.wanted, view)
+	m.knownView = max(m.knownView, view)
 }
 
-// lose ends this identity.
-func (m *Machine) lose() {
-	m.lost = true
-	m.lead.leading = false
+// loseIdentity ends this identity; the machine never acts again.
+func (m *Machine) loseIdentity() {
+	m.identityLost = true
+	m.leadership.leading = false
 	m.shards.dirty = true
 }
 
-// rank is this host's place in an order that all hosts compute alike.
+// rank returns self's position in a rendezvous order, the same on every host,
+// or the number of hosts if self is not one of them.
 func rank(hosts []core.HostID, self core.HostID, name string) int {
 	const kindRank = 0xff
 	ordered := core.RendezvousN(hosts, kindRank, name, len(hosts))
--- a/internal/core/lease/member.go
+++ b/internal/core/lease/member.go
@@ -6,178 +6,183 @@
 	"gentiancroft/internal/core"
 )
 
-// sentBeats is how many heartbeats may wait for their acknowledgement.
-const sentBeats = 8
+// maxUnacknowledged is the number of heartbeats that may wait for an
+// acknowledgement.
+const maxUnacknowledged = 8
 
-// member is a host's own lease and its search for a leader.
+// member is the state of a host's own lease and of its search for a leader.
 type member struct {
-	seq       uint64
-	sent      [sentBeats]sentBeat
-	leased    bool
-	leaseFrom core.Instant // just before the acknowledged heartbeat was sent
-	next      core.Instant // of the next heartbeat
-	ackAt     core.Instant // of the latest acknowledgement, or of the latest change of leader
-	leader    core.HostID
-	rank      int // in the batch
-	down      bool
-	downAt    core.Instant
+	seq           uint64
+	sent          [maxUnacknowledged]sentHeartbeat
+	leased        bool
+	leaseStart    core.Instant // when the acknowledged heartbeat was made
+	nextHeartbeat core.Instant
+	lastAck       core.Instant // latest acknowledgement or change of leader
+	leader        core.HostID
+	rank          int // in the batch
+	storeDown     bool
+	storeDownAt   core.Instant
 
-	object uint64 // the batch's object as last read
-	since  core.Instant
-	beat   Beat
-	known  bool // object and beat have been read
-	absent bool // there is no such object
-	direct bool // the leader asked this host to take over at once
+	objectVersion  uint64 // store version of the batch's object as last read
+	unchangedSince core.Instant
+	stored         Beat
+	hasRead        bool // objectVersion and stored have been read
+	objectAbsent   bool // the batch's object doesn't exist
+	takeOverNow    bool // the leader has asked this host to take over at once
 }
 
-type sentBeat struct {
+// sentHeartbeat is a heartbeat that waits for its acknowledgement.
+type sentHeartbeat struct {
 	seq, nonce uint64
 	at         core.Instant
 }
 
-// workMember sends the heartbeat that is due, and looks for a leader where
-// acknowledgements stop.
-func (m *Machine) workMember(now core.Instant) {
+// syncLease sends the heartbeat that is due, and reads the batch's object to
+// find a leader if acknowledgements have stopped.
+func (m *Machine) syncLease(now core.Instant) {
 	if m.number == 0 {
 		return
 	}
-	if now >= m.member.next && !m.lead.leading {
-		hb := m.beatNow(now)
+	if now >= m.member.nextHeartbeat && !m.leadership.leading {
+		hb := m.newHeartbeat(now)
 		if m.member.leader != "" && m.member.leader != m.Self() {
 			m.out.Send(m.member.leader, Message{Heartbeat: &hb})
 		}
 	}
-	if m.lead.leading || m.calls.flights[callBeatWrite].busy {
+	if m.leadership.leading || m.calls.byKind[callBatchWrite].busy {
 		return
 	}
-	if m.searching(now) && m.calls.ready(now, callBeat) {
-		m.call(now, callBeat, core.ObjectCall{Op: core.ObjectGet, Key: m.batch})
+	if m.needsBatchRead(now) && m.calls.ready(now, callBatch) {
+		m.call(now, callBatch, core.ObjectCall{Op: core.ObjectGet, Key: m.ownBatchKey})
 	}
 }
 
-// beatNow makes a heartbeat. The lease that it may bring counts from now.
-func (m *Machine) beatNow(now core.Instant) Heartbeat {
+// newHeartbeat returns the next heartbeat. A lease that it renews counts from
+// now.
+func (m *Machine) newHeartbeat(now core.Instant) Heartbeat {
 	m.member.seq++
-	m.member.next = now.Add(m.set.Renew)
-	const odd = 0x9e3779b97f4a7c15
-	nonce := m.rng.Uint64() ^ uint64(now)*odd
-	m.member.sent[m.member.seq%sentBeats] = sentBeat{seq: m.member.seq, nonce: nonce, at: now}
+	m.member.nextHeartbeat = now.Add(m.settings.Renew)
+	const hashMultiplier = 0x9e3779b97f4a7c15
+	nonce := m.rng.Uint64() ^ uint64(now)*hashMultiplier
+	m.member.sent[m.member.seq%maxUnacknowledged] = sentHeartbeat{seq: m.member.seq, nonce: nonce, at: now}
 	return Heartbeat{Number: m.number, Seq: m.member.seq, Nonce: nonce, View: m.head.Version}
 }
 
-// searching reports whether this host should read its batch's object: it knows
-// no leader, or has heard nothing from it. The first in rank goes first.
-func (m *Machine) searching(now core.Instant) bool {
-	if m.member.direct || m.member.leader == "" || m.lead.resolve {
+// needsBatchRead reports whether this host should read its batch's object: its
+// leader is unknown, or acknowledgements have stopped for too long. The wait grows
+// with the rank, so that not all members try to take over at once.
+func (m *Machine) needsBatchRead(now core.Instant) bool {
+	if m.member.takeOverNow || m.member.leader == "" || m.leadership.unresolved {
 		return true
 	}
-	patience := m.set.Renew*3/2 + time.Duration(m.member.rank)*m.set.Stagger
-	return now.Sub(m.member.ackAt) > min(patience, m.set.Term/2)
+	timeout := m.settings.Renew*3/2 + time.Duration(m.member.rank)*m.settings.Stagger
+	return now.Sub(m.member.lastAck) > min(timeout, m.settings.Term/2)
 }
 
-// renewed extends the lease by an acknowledged heartbeat. A nonce that is not
-// this process's own means that another one has its identity.
-func (m *Machine) renewed(now core.Instant, seq, nonce uint64) {
-	s := &m.member.sent[seq%sentBeats]
+// extendLease renews the lease by an acknowledged heartbeat. A nonce that this
+// process did not send means that another process has its identity.
+func (m *Machine) extendLease(now core.Instant, seq, nonce uint64) {
+	s := &m.member.sent[seq%maxUnacknowledged]
 	if s.seq != seq {
 		return
 	}
 	if s.nonce != nonce {
-		m.lose()
+		m.loseIdentity()
 		return
 	}
-	m.member.ackAt, m.member.down = now, false
-	if !m.member.leased || s.at > m.member.leaseFrom {
-		m.member.leased, m.member.leaseFrom = true, s.at
+	m.member.lastAck, m.member.storeDown = now, false
+	if !m.member.leased || s.at > m.member.leaseStart {
+		m.member.leased, m.member.leaseStart = true, s.at
 		m.shards.dirty = true
 	}
 }
 
-// ackFrom takes the leader's answer.
-func (m *Machine) ackFrom(now core.Instant, from core.HostID, a Ack) {
-	m.settle(a.Settled)
-	const patience = 3 * time.Second // the feed brings the head sooner
-	m.hint(now, a.Head, patience+time.Duration(m.rng.Int64N(int64(patience))))
+// receiveAck handles the leader's answer to a heartbeat.
+func (m *Machine) receiveAck(now core.Instant, from core.HostID, a Ack) {
+	m.raiseLowestApplied(a.Settled)
+	const feedDelay = 3 * time.Second // the feed usually delivers the head sooner
+	m.noteNewerView(now, a.Head, feedDelay+time.Duration(m.rng.Int64N(int64(feedDelay))))
 	switch {
 	case a.Fenced:
-		if s := m.member.sent[a.Seq%sentBeats]; s.seq == a.Seq && s.nonce == a.Nonce {
-			m.lose()
+		if s := m.member.sent[a.Seq%maxUnacknowledged]; s.seq == a.Seq && s.nonce == a.Nonce {
+			m.loseIdentity()
 		}
 	case a.Down:
-		m.member.down, m.member.downAt = true, now
+		m.member.storeDown, m.member.storeDownAt = true, now
 	default:
-		m.renewed(now, a.Seq, a.Nonce)
+		m.extendLease(now, a.Seq, a.Nonce)
 		m.member.leader = from
-		// The next heartbeat comes just before the leader's next write.
-		m.member.next = now.Add(m.set.Renew * 4 / 5)
+		// Send the next heartbeat just before the leader's next write.
+		m.member.nextHeartbeat = now.Add(m.settings.Renew * 4 / 5)
 	}
 }
 
-// leadingFrom takes a new leader's announcement, or a resignation.
-func (m *Machine) leadingFrom(now core.Instant, from core.HostID, l Leading) {
+// receiveLeading handles the announcement of a new leader, or a leader's
+// request to take over from it.
+func (m *Machine) receiveLeading(now core.Instant, from core.HostID, l Leading) {
 	if l.Next == m.Self() {
-		m.member.direct = m.number != 0 && !m.leaving && !m.lead.leading
+		m.member.takeOverNow = m.number != 0 && !m.leaving && !m.leadership.leading
 		return
 	}
-	if l.Leader == from && !m.lead.leading && from != m.member.leader {
-		m.member.leader, m.member.ackAt, m.member.next = from, now, now
-		m.member.known = false
+	if l.Leader == from && !m.leadership.leading && from != m.member.leader {
+		m.member.leader, m.member.lastAck, m.member.nextHeartbeat = from, now, now
+		m.member.hasRead = false
 	}
 }
 
-// beatRead takes the batch's object, read because this host leads it and must
-// settle a doubtful write, or because it looks for a leader.
-func (m *Machine) beatRead(now core.Instant, r core.ObjectResult) {
+// batchReadDone handles the result of reading the batch's object. It was read
+// to settle a write with an unknown result, or to find the leader.
+func (m *Machine) batchReadDone(now core.Instant, r core.ObjectResult) {
 	if m.number == 0 {
 		return
 	}
 	switch r.Status {
 	case core.ObjectNotFound:
-		m.member.absent = m.member.object == 0
-		if m.member.absent {
+		m.member.objectAbsent = m.member.objectVersion == 0
+		if m.member.objectAbsent {
 			m.takeOver(now, Beat{}, 0)
 		}
 	case core.ObjectOK:
 		b, err := DecodeBeat(r.Object.Value)
-		if err != nil || r.Object.Version < m.member.object {
-			m.spread(now, callBeat) // an old read
+		if err != nil || r.Object.Version < m.member.objectVersion {
+			m.delayRetry(now, callBatch) // an outdated read
 			return
 		}
-		m.hint(now, b.Head, 0)
-		if m.lead.resolve || m.lead.leading {
-			m.resolve(now, b, r.Object.Version)
+		m.noteNewerView(now, b.Head, 0)
+		if m.leadership.unresolved || m.leadership.leading {
+			m.resolveWrite(now, b, r.Object.Version)
 			return
 		}
-		m.consider(now, b, r.Object.Version)
+		m.reviewLeader(now, b, r.Object.Version)
 	}
 }
 
-// consider decides what a member does about the leader that it reads: trust a
-// new one, take over from one whose object stands still, or, where the leader
-// is alive but does not answer this host, write its own heartbeat beside it.
-func (m *Machine) consider(now core.Instant, b Beat, object uint64) {
-	if b.pulse(m.number).Fenced {
-		m.lose()
+// reviewLeader acts on the leader named in the batch's object: it follows a new
+// leader, takes over from one that no longer writes the object, or writes its
+// own heartbeat if the leader writes but doesn't acknowledge this host.
+func (m *Machine) reviewLeader(now core.Instant, b Beat, objectVersion uint64) {
+	if b.record(m.number).Fenced {
+		m.loseIdentity()
 		return
 	}
-	moved := !m.member.known || m.member.object != object
-	if moved {
-		m.member.known, m.member.since = true, now
+	changed := !m.member.hasRead || m.member.objectVersion != objectVersion
+	if changed {
+		m.member.hasRead, m.member.unchangedSince = true, now
 	}
-	m.member.object, m.member.beat = object, b
-	m.calls.flights[callBeat].after = now.Add(m.set.Renew / 2)
+	m.member.objectVersion, m.member.stored = objectVersion, b
+	m.calls.byKind[callBatch].retryAt = now.Add(m.settings.Renew / 2)
 	switch {
-	case b.Leader != m.member.leader && b.Leader != "" && b.Leader != m.Self() && !m.gone(b.Leader):
-		m.member.leader, m.member.ackAt, m.member.next = b.Leader, now, now
-	case m.member.direct || m.gone(b.Leader) || now.Sub(m.member.since) >= m.set.Renew*3/2:
-		m.takeOver(now, b, object)
-	case now.Sub(m.member.ackAt) > m.set.Term/3:
-		m.writeBeside(now, b, object)
+	case b.Leader != m.member.leader && b.Leader != "" && b.Leader != m.Self() && !m.notInBatch(b.Leader):
+		m.member.leader, m.member.lastAck, m.member.nextHeartbeat = b.Leader, now, now
+	case m.member.takeOverNow || m.notInBatch(b.Leader) || now.Sub(m.member.unchangedSince) >= m.settings.Renew*3/2:
+		m.takeOver(now, b, objectVersion)
+	case now.Sub(m.member.lastAck) > m.settings.Term/3:
+		m.writeOwnHeartbeat(now, b, objectVersion)
 	}
 }
 
-// gone reports that a host is no member of this host's batch, or leaves.
-func (m *Machine) gone(id core.HostID) bool {
+// notInBatch reports whether a host is not a member of this host's batch.
+func (m *Machine) notInBatch(id core.HostID) bool {
 	i, ok := m.head.find(id)
-	return !ok || m.head.Members[i].key() != m.batch
+	return !ok || m.head.Members[i].key() != m.ownBatchKey
 }
--- a/internal/core/lease/floor_test.go
+++ b/internal/core/lease/old_head_test.go
@@ -11,9 +11,9 @@
 	"gentiancroft/internal/measure/membership"
 )
 
-// TestLeaderWithAnOldHeadDoesNotWrite keeps a host from reading the head. It
-// must not write a heartbeat object that a newer head has been used for: a
-// member that it still knows may have been removed since.
+// TestLeaderWithAnOldHeadDoesNotWrite keeps a leader from reading the head. The
+// leader must not write a heartbeat object that a newer head has been used for:
+// a member that its old head lists may have been removed since.
 func TestLeaderWithAnOldHeadDoesNotWrite(t *testing.T) {
 	is := is.New(t)
 	f := membership.NewFleet(1)
--- a/internal/core/lease/settings.go
+++ b/internal/core/lease/settings.go
@@ -1,16 +1,19 @@
-// Package lease decides which hosts are members, who owns each shard, and when
-// a host may act on it.
+// Package lease decides which hosts are members, which host owns each shard,
+// and when a host may act on it. Its inputs are time, the results of object
+// calls, messages of other hosts, and heads that the feed delivers. Its caller
+// carries out the calls, sends the messages and moves the shards' state.
 //
-// Two kinds of objects in the object API carry it. members/head is the ordered
-// list of views: each change of membership makes the next version by one
-// conditional update. members/beats/DOMAIN/N holds the heartbeats of one batch
-// of hosts in one failure domain; a leader, one of these hosts, writes them all
-// in one conditional update, so writes grow with batches, not with hosts.
+// It keeps two kinds of objects in the object API. members/head is the
+// membership with its version, the view: each change makes the next version by
+// one conditional update. members/beats/DOMAIN/N holds the heartbeats of one
+// batch of hosts in one failure domain. A leader, one of these hosts, writes
+// them all in one conditional update, so the number of writes grows with the
+// batches, not with the hosts.
 //
-// A host acts on a shard only while its lease runs on its own clock and while
-// it has owned the shard in every view that some live host may still act under
-// (or has been handed it by the one that did). docs/design/ownership.md has the
-// argument, spec/ownership the model.
+// A host acts on a shard only while its lease is valid by its own clock, and
+// only if it has owned the shard in every view that some live host may still
+// act under, or the host that owned it before has handed it over or is dead.
+// docs/design/ownership.md has the argument, spec/ownership the model.
 package lease
 
 import (
@@ -19,8 +22,8 @@
 	"gentiancroft/internal/core"
 )
 
-// Default durations. Term bounds how long a dead host's shards stay without an
-// owner; it must outlast the takeover of a batch by another leader.
+// Defaults. DefaultTerm bounds how long the shards of a dead host stay without
+// an owner; it must be longer than the takeover of a batch by another leader.
 const (
 	DefaultTerm         = 6 * time.Second
 	DefaultRenew        = time.Second
@@ -39,28 +42,29 @@
 	DefaultLog          = 256
 )
 
-// Settings of one host's machine. Zero durations and counts mean the default.
+// Settings configure the machine of one host. Zero durations and counts mean
+// the default.
 type Settings struct {
 	Self         core.Member
-	Term         time.Duration // a lease, counted from before its heartbeat was sent
+	Term         time.Duration // of a lease, counted from before its heartbeat was sent
 	Renew        time.Duration // between heartbeats, and between writes of a batch
-	Poll         time.Duration // between readings of all heartbeats; a small fleet reads each Renew
+	Poll         time.Duration // between reads of all heartbeats; a small fleet reads them every Renew
 	Margin       time.Duration // added to the term before another host is fenced
-	SuspectAfter time.Duration // without a heartbeat, a host is suspected
-	Stagger      time.Duration // between the turns of hosts that could do the same thing
-	CallTimeout  time.Duration // an object call without an answer counts as unknown
-	WatchTimeout time.Duration // the same of a waiting watch
+	SuspectAfter time.Duration // a host without a heartbeat for so long is suspected
+	Stagger      time.Duration // between the attempts of hosts that could take the same action
+	CallTimeout  time.Duration // after which a call's result counts as unknown
+	WatchTimeout time.Duration // the same for a watch
 	BackoffMin   time.Duration
 	BackoffMax   time.Duration
-	DriftPPM     int  // most that a host's clock runs fast or slow, millionths
-	Pollers      int  // hosts per failure domain that read the heartbeats
-	BatchSize    int  // most hosts in one heartbeat object
-	SmallFleet   int  // up to so many members every host reads for itself
-	Log          int  // changes kept in the head
-	PollsItself  bool // reads for itself in any fleet
+	DriftPPM     int  // maximum deviation of a host's clock, in millionths
+	Pollers      int  // hosts per failure domain that read all heartbeats
+	BatchSize    int  // maximum number of hosts in one heartbeat object
+	SmallFleet   int  // with up to this many members every host reads all heartbeats
+	Log          int  // maximum number of changes kept in the head
+	PollsItself  bool // this host reads all heartbeats in a fleet of any size
 }
 
-// withDefaults fills what was left zero.
+// withDefaults returns the settings with zero values replaced by defaults.
 func (s Settings) withDefaults() Settings {
 	duration := func(d *time.Duration, def time.Duration) {
 		if *d == 0 {
@@ -90,9 +94,9 @@
 	return s
 }
 
-// fenceAfter is how long a heartbeat must have stood unchanged on this host's
-// clock before its sender's lease has surely ended: the sender's clock may be
-// slow and this one fast, each by the bound.
+// fenceAfter returns how long a heartbeat must stay unchanged by this host's
+// clock until its sender's lease has certainly expired: the sender's clock may
+// be slow and this one fast, each by the maximum drift.
 func (s Settings) fenceAfter() time.Duration {
 	const million = 1_000_000
 	drift := s.Term * time.Duration(3*s.DriftPPM) / million
--- a/internal/core/lease/shards.go
+++ b/internal/core/lease/shards.go
@@ -6,51 +6,52 @@
 	"gentiancroft/internal/core"
 )
 
-// table is the owner of every shard under the view in force.
-type table struct {
-	index   map[core.Shard]*shard
-	list    []*shard
-	active  []core.HostID // members that don't leave, sorted
-	dirty   bool          // rights may have changed
-	held    bool          // Holding as of the last refresh
-	changes []Change
+// shardTable holds the owner of every shard under the current view.
+type shardTable struct {
+	index     map[core.Shard]*shard
+	list      []*shard
+	active    []core.HostID // members that are not leaving, sorted
+	dirty     bool          // this host's rights may have changed
+	leaseHeld bool          // the lease was valid at the last updateRights
+	changes   []Change
 }
 
 // shard is one shard's owner and this host's right to it.
 type shard struct {
-	id      core.Shard
-	owner   core.HostID
-	score   uint64
-	since   uint64 // the owner has owned it in every view from this one on
-	custody bool   // the one who acted before has stopped, or is dead
-	acting  bool   // as reported
-	frozen  bool   // was acting when the lease ran out
-	handed  uint64 // the latest view that it was handed over under
-	pending uint64 // custody that waits for this view
-}
-
-// ChangeKind tells what became of this host's right to a shard.
+	id                 core.Shard
+	owner              core.HostID
+	score              uint64
+	ownerSince         uint64 // first view from which the owner has owned it without a break
+	predecessorStopped bool   // the previous owner has stopped, or is dead
+	acting             bool   // as last reported by Changes
+	heldAtExpiry       bool   // this host was acting when its lease expired
+	receivedView       uint64 // latest view that it was handed over under
+	claimView          uint64 // view from which a received handoff lets this host act; 0 if none
+}
+
+// ChangeKind is the kind of a change of this host's right to a shard.
 type ChangeKind uint8
 
-// Changes of a right.
+// Kinds of change.
 const (
 	Gained    ChangeKind = iota + 1 // this host may act
-	Lost                            // it may not, nobody to hand over to
-	Departing                       // it may not; call HandOver with the shard's state
-	State                           // the state that the one before handed over
+	Lost                            // this host may not act; there is no host to hand over to
+	Departing                       // this host may not act; call HandOver with the shard's state
+	State                           // the previous owner has handed over its state
 )
 
-// Change is a change of this host's right to a shard.
+// Change is a change of this host's right to a shard, or the arrival of its
+// state.
 type Change struct {
 	Shard core.Shard
 	Kind  ChangeKind
-	Host  core.HostID // of Departing: the new owner; of State: the old one
+	Host  core.HostID // of Departing: the new owner; of State: the sender
 	View  uint64
 	State []byte // of State
 }
 
-// SetShards names the shards that exist. A new one is acted on once the view
-// in force is settled.
+// SetShards sets the shards that exist. The owner of a new one may act once the
+// current view is the lowest applied one.
 func (m *Machine) SetShards(shards []core.Shard) {
 	t := &m.shards
 	keep := make(map[core.Shard]*shard, len(shards))
@@ -61,8 +62,8 @@
 		}
 		s := t.index[id]
 		if s == nil {
-			s = &shard{id: id, since: m.head.Version}
-			s.choose(t.active)
+			s = &shard{id: id, ownerSince: m.head.Version}
+			s.chooseOwner(t.active)
 		}
 		keep[id] = s
 		list = append(list, s)
@@ -75,44 +76,44 @@
 	t.index, t.list, t.dirty = keep, list, true
 }
 
-// Changes returns what has changed since the last call.
+// Changes returns the changes since the last call.
 func (m *Machine) Changes() []Change {
 	c := m.shards.changes
 	m.shards.changes = nil
 	return c
 }
 
-// choose finds the owner among the active hosts.
-func (s *shard) choose(active []core.HostID) {
+// chooseOwner selects the owner among the active hosts.
+func (s *shard) chooseOwner(active []core.HostID) {
 	s.owner, s.score = "", 0
 	for _, h := range active {
-		s.offer(h)
+		s.considerOwner(h)
 	}
 }
 
-// offer makes a host the owner if it ranks higher.
-func (s *shard) offer(h core.HostID) {
+// considerOwner makes a host the owner if it has a higher rendezvous score.
+func (s *shard) considerOwner(h core.HostID) {
 	score := core.Score(h, uint8(s.id.Kind), s.id.Name)
 	if s.owner == "" || score > s.score || (score == s.score && h < s.owner) {
 		s.owner, s.score = h, score
 	}
 }
 
-// advance applies a newer head one version at a time. Where its log does not
-// reach back, nothing is known about the views in between and every right
-// begins anew.
-func (m *Machine) advance(now core.Instant, h *Head) {
+// applyLog applies a newer head one version at a time. If its log doesn't reach
+// back to this host's view, the views in between are unknown, and all rights
+// are reset.
+func (m *Machine) applyLog(now core.Instant, h *Head) {
 	if m.head.Version == 0 || h.LogFrom > m.head.Version+1 {
-		m.restart(h)
+		m.resetOwners(h)
 		return
 	}
 	for v := m.head.Version + 1; v <= h.Version; v++ {
-		m.step(now, v, h.Log)
+		m.applyVersion(now, v, h.Log)
 	}
 }
 
-// restart takes a head without its history.
-func (m *Machine) restart(h *Head) {
+// resetOwners takes the owners from a head without regard to earlier views.
+func (m *Machine) resetOwners(h *Head) {
 	t := &m.shards
 	t.active = t.active[:0]
 	for i := range h.Members {
@@ -121,15 +122,15 @@
 		}
 	}
 	for _, s := range t.list {
-		s.choose(t.active)
-		s.since, s.custody, s.frozen = h.Version, false, false
+		s.chooseOwner(t.active)
+		s.ownerSince, s.predecessorStopped, s.heldAtExpiry = h.Version, false, false
 	}
 }
 
-// step applies the changes of one version.
-func (m *Machine) step(now core.Instant, version uint64, log []MemberChange) {
+// applyVersion applies the changes of one version.
+func (m *Machine) applyVersion(now core.Instant, version uint64, log []MemberChange) {
 	t := &m.shards
-	var joined, gone, removed []core.HostID
+	var joined, inactive, removed []core.HostID
 	for _, c := range log {
 		if c.Version != version {
 			continue
@@ -141,65 +142,67 @@
 			joined = append(joined, c.Host)
 		case c.Kind != Joined && in:
 			t.active = slices.Delete(t.active, i, i+1)
-			gone = append(gone, c.Host)
+			inactive = append(inactive, c.Host)
 		}
 		if c.Kind == Removed {
 			removed = append(removed, c.Host)
 		}
 	}
 	for _, s := range t.list {
-		m.stepShard(now, s, version, joined, gone, removed)
+		m.applyVersionToShard(now, s, version, joined, inactive, removed)
 	}
 }
 
-// stepShard moves one shard into a version.
+// applyVersionToShard updates a shard's owner and this host's right to it for
+// one version.
 //
-// Invariant: custody is set only where the owner before has surely stopped: it
-// owned the shard in every view that a live host may act under, and is dead.
-func (m *Machine) stepShard(now core.Instant, s *shard, version uint64, joined, gone, removed []core.HostID) {
-	before, quiet, entitled := s.owner, s.since <= m.settled, m.entitled(now, s)
-	if slices.Contains(gone, s.owner) {
-		s.choose(m.shards.active)
+// Invariant: predecessorStopped is set only if the previous owner has certainly
+// stopped. Here that means that it owned the shard in every view that a live
+// host may act under, and is dead; claim sets it after a handoff.
+func (m *Machine) applyVersionToShard(now core.Instant, s *shard, version uint64, joined, inactive, removed []core.HostID) {
+	previous, soleOwner, acted := s.owner, s.ownerSince <= m.lowestApplied, m.mayAct(now, s)
+	if slices.Contains(inactive, s.owner) {
+		s.chooseOwner(m.shards.active)
 	} else {
 		for _, h := range joined {
-			s.offer(h)
+			s.considerOwner(h)
 		}
 	}
-	if s.owner == before {
+	if s.owner == previous {
 		return
 	}
-	if before == m.Self() && (entitled || s.acting) {
-		m.depart(s, version, entitled)
+	if previous == m.Self() && (acted || s.acting) {
+		m.startHandoff(s, version, acted)
 	}
-	s.since, s.frozen, s.acting = version, false, false
-	s.custody = quiet && slices.Contains(removed, before)
+	s.ownerSince, s.heldAtExpiry, s.acting = version, false, false
+	s.predecessorStopped = soleOwner && slices.Contains(removed, previous)
 }
 
-// entitled reports whether this host may act on a shard that it owns.
-func (m *Machine) entitled(now core.Instant, s *shard) bool {
-	return s.owner == m.Self() && (s.custody || s.since <= m.settled) && m.Holding(now)
+// mayAct reports whether this host may act on a shard now.
+func (m *Machine) mayAct(now core.Instant, s *shard) bool {
+	return s.owner == m.Self() && (s.predecessorStopped || s.ownerSince <= m.lowestApplied) && m.Holding(now)
 }
 
-// refresh reports the rights that have changed.
-func (m *Machine) refresh(now core.Instant) {
+// updateRights records the changes of rights for Changes.
+func (m *Machine) updateRights(now core.Instant) {
 	t := &m.shards
 	held := m.Holding(now)
-	if !t.dirty && held == t.held {
+	if !t.dirty && held == t.leaseHeld {
 		return
 	}
-	t.dirty, t.held = false, held
+	t.dirty, t.leaseHeld = false, held
 	for _, s := range t.list {
-		acting := m.entitled(now, s)
+		acting := m.mayAct(now, s)
 		if acting == s.acting {
 			continue
 		}
-		s.frozen = s.acting && !held && s.owner == m.Self() && !m.lost && !m.left
+		s.heldAtExpiry = s.acting && !held && s.owner == m.Self() && !m.identityLost && !m.released
 		s.acting = acting
-		to := Lost
+		kind := Lost
 		if acting {
-			to, s.frozen = Gained, false
+			kind, s.heldAtExpiry = Gained, false
 		}
-		t.changes = append(t.changes, Change{Shard: s.id, Kind: to, View: m.head.Version})
+		t.changes = append(t.changes, Change{Shard: s.id, Kind: kind, View: m.head.Version})
 	}
 }
 
@@ -215,19 +218,19 @@
 // was paused is refused before its next send.
 func (m *Machine) Acting(now core.Instant, id core.Shard) (core.Grant, bool) {
 	s := m.shards.index[id]
-	if s == nil || !m.entitled(now, s) {
+	if s == nil || !m.mayAct(now, s) {
 		return core.Grant{}, false
 	}
-	return core.Grant{Fence: core.Fence(s.since), Until: m.leaseEnd()}, true
+	return core.Grant{Fence: core.Fence(s.ownerSince), Until: m.leaseEnd()}, true
 }
 
-// Serving implements core.Ownership: what this host acted on when the store
-// went away it may go on answering for, while the store stays away and no newer
-// view is known.
+// Serving implements core.Ownership: a host that acted on a shard when the
+// store became unavailable may continue to answer for it during the outage, as
+// long as it has adopted no newer view with another owner.
 func (m *Machine) Serving(now core.Instant, id core.Shard) bool {
 	s := m.shards.index[id]
-	if s == nil || m.lost || m.left || m.release || s.owner != m.Self() {
+	if s == nil || m.identityLost || m.released || m.releasing || s.owner != m.Self() {
 		return false
 	}
-	return m.entitled(now, s) || ((s.frozen || s.acting) && m.Outage(now))
+	return m.mayAct(now, s) || ((s.heldAtExpiry || s.acting) && m.Outage(now))
 }
