--- a/internal/core/feed/faults_test.go
+++ b/internal/core/feed/faults_test.go
@@ -13,8 +13,8 @@
 	"gentiancroft/internal/measure/membership"
 )
 
-// never watches that no host's configuration goes back.
-func never(t interface{ Errorf(string, ...any) }, f *membership.Fleet) {
+// checkNoReversion checks that no host's configuration reverts to an older version.
+func checkNoReversion(t interface{ Errorf(string, ...any) }, f *membership.Fleet) {
 	highest := map[core.HostID]uint64{}
 	f.Stepped = func(h *membership.Host) {
 		v := h.Feed.ConfigVersion()
@@ -29,7 +29,7 @@
 	return func(h *membership.Host, _ core.ObjectCall) membership.Fault { return membership.Fault{Drop: cut(h)} }
 }
 
-func TestStoreDownForAllServingGoesOn(t *testing.T) {
+func TestStoreDownForAllHostsCutsOffNone(t *testing.T) {
 	for _, n := range []int{1, 8, 40} {
 		is := is.New(t)
 		f, hosts := start(3, n, 3)
@@ -54,13 +54,13 @@
 		f, hosts := start(4, n, 3)
 		accept(f, 1, "a")
 		f.Run(3 * time.Second)
-		lone := hosts[1]
-		f.Fault = dropStore(func(h *membership.Host) bool { return h == lone })
-		f.Link = func(a, b *membership.Host) (bool, bool) { return a == lone || b == lone, false }
+		isolated := hosts[1]
+		f.Fault = dropStore(func(h *membership.Host) bool { return h == isolated })
+		f.Link = func(a, b *membership.Host) (bool, bool) { return a == isolated || b == isolated, false }
 		f.Run(feed.DefaultBound + 200*time.Millisecond)
-		is.True(lone.Feed.CutOff(lone.Local(f.Now)))
+		is.True(isolated.Feed.CutOff(isolated.Local(f.Now)))
 		f.Run(5 * time.Minute)
-		is.True(lone.Feed.CutOff(lone.Local(f.Now)))
+		is.True(isolated.Feed.CutOff(isolated.Local(f.Now)))
 		is.Equal(cutOff(f, hosts), 1)
 	}
 }
@@ -101,7 +101,7 @@
 		}
 	}
 	is.Equal(killed, 2)
-	f.Run(3 * time.Second) // not yet removed: their children ask elsewhere
+	f.Run(3 * time.Second) // not yet removed: their children use other parents
 	accept(f, 1, "a")
 	f.Run(3 * time.Second)
 	is.Equal(inForce(hosts, 1), 28)
@@ -138,8 +138,8 @@
 		f.Run(50 * time.Millisecond)
 	}
 	e, _ := hosts[7].Feed.Get(k)
-	is.True(e.Stamp.Seq > sets-10) // others keep up
-	is.True(values < sets/5)       // the slow one was sent a few of them
+	is.True(e.Stamp.Seq > sets-10) // other hosts keep up
+	is.True(values < sets/5)       // the slow host was sent only a few of them
 	f.Run(10 * time.Second)
 	e, _ = slow.Feed.Get(k)
 	is.Equal(e.Stamp.Seq, uint64(sets))
@@ -149,7 +149,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 8, 20}).Draw(rt, "hosts")
 		f, hosts := start(rapid.Uint64Range(0, 9).Draw(rt, "seed"), n, 3)
-		never(rt, f)
+		checkNoReversion(rt, f)
 		r := core.NewRand(rapid.Uint64().Draw(rt, "rng"))
 		loss := rapid.IntRange(0, 50).Draw(rt, "loss")
 		f.Fault = func(*membership.Host, core.ObjectCall) membership.Fault {
@@ -174,27 +174,27 @@
 	is := is.New(t)
 	f, hosts := start(9, 30, 3)
 	k := feed.Key{Topic: feed.TopicUpstream, Name: "u"}
-	deaf := hosts[20]
-	f.Link = func(a, b *membership.Host) (bool, bool) { return a == deaf || b == deaf, false }
+	isolated := hosts[20]
+	f.Link = func(a, b *membership.Host) (bool, bool) { return a == isolated || b == isolated, false }
 	out, err := hosts[0].Feed.Set(hosts[0].Local(f.Now), k, feed.Stamp{Seq: 1}, []byte("v"))
 	is.NoErr(err)
 	f.Apply(hosts[0], out)
 	f.Run(20 * time.Second) // its parent has dropped it as a child by now
-	_, ok := deaf.Feed.Get(k)
+	_, ok := isolated.Feed.Get(k)
 	is.Equal(ok, false)
 	f.Link = nil
 	f.Run(feed.DefaultRepair + 10*time.Second)
-	is.Equal(deaf.Lease.Lost(), false) // it wrote its own heartbeats meanwhile
-	_, ok = deaf.Feed.Get(k)
+	is.Equal(isolated.Lease.Lost(), false) // it wrote its own heartbeats meanwhile
+	_, ok = isolated.Feed.Get(k)
 	is.True(ok)
 }
 
-func TestChildrenOfASlowRelayAskElsewhere(t *testing.T) {
+func TestChildrenOfASlowHostUseAnotherParent(t *testing.T) {
 	is := is.New(t)
 	f, hosts := start(10, 30, 3)
 	accept(f, 1, "a")
 	f.Run(3 * time.Second)
-	var slow *membership.Host // the one with most children but watchers
+	var slow *membership.Host // the host with the most children that is not a watcher
 	for _, h := range hosts {
 		if !h.Feed.Watches() && (slow == nil || h.Messages > slow.Messages) {
 			slow = h
@@ -203,7 +203,7 @@
 	from := f.Now
 	f.Delay = func(a, b *membership.Host, _ int) time.Duration {
 		if a == slow || b == slow {
-			return min(f.Now.Sub(from)/4, 8*time.Second) // a queue that builds up: answers never stop
+			return min(f.Now.Sub(from)/4, 8*time.Second) // a growing queue: answers are late but never stop
 		}
 		return 0
 	}
@@ -213,7 +213,7 @@
 	is.Equal(inForce(hosts, 2), 29)
 }
 
-func TestHostsGoneLeaveNothingBehind(t *testing.T) {
+func TestValuesOfRemovedHostsAreDropped(t *testing.T) {
 	is := is.New(t)
 	f, hosts := start(12, 20, 3)
 	k := feed.Key{Topic: feed.TopicLoad, Name: string(hosts[3].Member.Host)}
--- a/internal/core/feed/feed.go
+++ b/internal/core/feed/feed.go
@@ -1,11 +1,15 @@
-// Package feed spreads keyed latest values to every host: the newest stamp of a
-// key wins everywhere and an older one never replaces it. It also finds the
-// configuration in force and knows as of when that was the newest.
+// Package feed replicates the latest value of each key to every host: a value
+// with a newer stamp replaces an older one everywhere, never the reverse. It
+// also determines the configuration in force and the instant as of which it is
+// known to be the newest. Its inputs are time, the membership, values set by
+// this host, messages of other hosts and the results of object calls; its
+// caller carries out the calls, sends the messages and applies the values.
 //
-// A small fleet sends to all directly. A large one uses a tree over region,
-// failure domain and host that every host computes from the membership. Each
-// link keeps a set of changed keys, never a queue of values, with one message
-// in flight: a slow host gets the newest later and holds nobody up.
+// Hosts of a small fleet send to one another directly. A large fleet uses a
+// tree of regions, failure domains and hosts, which every host computes from
+// the membership. Each link keeps a set of changed keys, never a queue of
+// values, with one message in flight: a slow host skips intermediate values and
+// delays no other host.
 package feed
 
 import (
@@ -21,10 +25,10 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("feed")
 
-// ErrTooLarge is returned for a value that does not fit one message.
-var ErrTooLarge = errs.New("value exceeds MaxValue")
+// ErrTooLarge is returned for a value that does not fit into one message.
+var ErrTooLarge = errs.New("value does not fit into one message")
 
-// Bounds of messages and times.
+// Sizes of messages and default settings.
 const (
 	MaxMessage = 64 << 10 // bytes
 	MaxValue   = 56 << 10 // bytes of one value
@@ -32,11 +36,11 @@
 
 	DefaultFlush       = 150 * time.Millisecond // between messages on one link
 	DefaultPing        = 500 * time.Millisecond
-	DefaultRead        = 1500 * time.Millisecond // between readings of the configuration's head
-	DefaultBound       = 5 * time.Second         // without freshness, a host is cut off
-	DefaultMesh        = 16                      // up to so many members send directly
+	DefaultRead        = 1500 * time.Millisecond // between reads of the configuration's head
+	DefaultBound       = 5 * time.Second         // a host without freshness for so long is cut off
+	DefaultMesh        = 16                      // with up to this many members, hosts send directly
 	DefaultFanOut      = 4                       // children of a host in its failure domain
-	DefaultWatchers    = 2                       // per failure domain
+	DefaultWatchers    = 2                       // hosts per failure domain that watch the object API
 	DefaultCallTimeout = 2 * time.Second
 	DefaultWatchWait   = 45 * time.Second
 	DefaultRepair      = 20 * time.Second // between repairs of one link
@@ -45,12 +49,12 @@
 // Topic groups keys.
 type Topic uint8
 
-// Topics. Status is the feed's own.
+// Topics. TopicStatus is used by the feed itself.
 const (
 	TopicConfig   Topic = iota + 1 // the configuration's head
-	TopicStatus                    // watchers that the store does not answer
-	TopicMembers                   // membership head and settled view
-	TopicSuspects                  // hosts that a watcher suspects
+	TopicStatus                    // watchers whose store calls fail
+	TopicMembers                   // membership head and lowest applied view
+	TopicSuspects                  // members whose heartbeats have stopped, as reported by one host
 	TopicUpstream                  // an upstream's adapters and load, by its owner
 	TopicLoad                      // a host's load
 )
@@ -80,7 +84,8 @@
 	Value []byte `cbor:"3,keyasint"`
 }
 
-// Settings of one host's machine. Zero means the default.
+// Settings configure the machine of one host; the defaults of the same names say
+// what they mean. Zero means the default.
 type Settings struct {
 	Self        core.Member
 	Flush       time.Duration
@@ -95,6 +100,7 @@
 	Watchers    int
 }
 
+// withDefaults returns the settings with zero values replaced by defaults.
 func (s Settings) withDefaults() Settings {
 	duration := func(d *time.Duration, def time.Duration) {
 		if *d == 0 {
@@ -119,81 +125,85 @@
 	return s
 }
 
-// Machine is one host's part in the feed.
+// Machine is the state machine of one host's feed.
 type Machine struct {
-	set Settings
-	rng *core.Rand
-	out Output
-
-	values  map[Key]*value
-	sum     uint64          // over all keys but status
-	buckets [buckets]uint64 // the same, split by key
-	changed []Entry
-
-	tree  tree
-	links []*link // sorted by host
-	calls calls
-	conf  conf
-	fresh fresh
+	settings Settings
+	rng      *core.Rand
+	out      Output
+
+	values     map[Key]*value
+	valuesSum  uint64              // XOR of the digests of all values but those of TopicStatus
+	bucketSums [bucketCount]uint64 // the same for each bucket of keys
+	changed    []Entry
+
+	tree      tree
+	links     []*link // sorted by host
+	calls     calls
+	conf      conf
+	freshness freshness
 }
 
+// value is the newest entry received for a key.
 type value struct {
-	entry  Entry
-	digest uint64
-	id     uint64
-	at     core.Instant // received
+	entry      Entry
+	digest     uint64
+	keyHash    uint64
+	receivedAt core.Instant
 }
 
 // New returns a machine without members or values.
 func New(s Settings, rng *core.Rand) *Machine {
-	m := &Machine{set: s.withDefaults(), rng: rng, values: map[Key]*value{}}
+	m := &Machine{settings: s.withDefaults(), rng: rng, values: map[Key]*value{}}
 	m.conf.chunks = map[string][]byte{}
 	return m
 }
 
-// Tick does what has become due. Call it every 50 to 100 ms.
+// Tick does the work that is due and times out object calls. Call it every 50
+// to 100 ms.
 func (m *Machine) Tick(now core.Instant) Output {
 	m.expireCalls(now)
-	m.workStore(now)
-	m.workTree(now)
-	m.workFetches(now)
-	m.workStatus(now)
+	m.readStore(now)
+	m.maintainTree(now)
+	m.requestChunks(now)
+	m.reportStoreDown(now)
 	return m.finish(now)
 }
 
-// Object takes the end of an object call.
+// Object handles the result of an object call.
 func (m *Machine) Object(now core.Instant, r core.ObjectResult) Output {
 	m.result(now, r)
 	return m.finish(now)
 }
 
-// Peer takes a message from another host. It may be late, doubled or reordered.
+// Peer handles a message from another host. Messages may be late, duplicated or
+// out of order.
 func (m *Machine) Peer(now core.Instant, from core.HostID, msg Message) Output {
 	switch {
 	case msg.Ping != nil:
-		m.pingFrom(now, from, *msg.Ping)
+		m.receivePing(now, from, *msg.Ping)
 	case msg.Pong != nil:
-		m.pongFrom(now, from, *msg.Pong)
+		m.receivePong(now, from, *msg.Pong)
 	case msg.Values != nil:
-		m.valuesFrom(now, from, *msg.Values)
+		m.receiveValues(now, from, *msg.Values)
 	case msg.Got != nil:
-		m.gotFrom(now, from, *msg.Got)
+		m.receiveGot(now, from, *msg.Got)
 	case msg.Buckets != nil:
-		m.bucketsFrom(now, from, *msg.Buckets)
+		m.receiveBuckets(now, from, *msg.Buckets)
 	case msg.Digests != nil:
-		m.digestsFrom(now, from, *msg.Digests)
+		m.receiveDigests(now, from, *msg.Digests)
 	case msg.Need != nil:
-		m.needFrom(now, from, *msg.Need)
+		m.receiveNeed(now, from, *msg.Need)
 	case msg.Want != nil:
-		m.wantFrom(now, from, *msg.Want)
+		m.receiveWant(now, from, *msg.Want)
 	case msg.Part != nil:
-		m.partFrom(now, from, *msg.Part)
+		m.receivePart(now, from, *msg.Part)
 	}
 	return m.finish(now)
 }
 
-// Set gives a value to all hosts. Only the holder of the fencing number in the
-// stamp may set a key; an older stamp than the present one changes nothing.
+// Set sends a value to all hosts. Only the owner of the fencing number in the
+// stamp may set a key; a stamp that is not newer than the present one changes
+// nothing. It returns ErrTooLarge if the value doesn't fit into one message.
 func (m *Machine) Set(now core.Instant, k Key, s Stamp, v []byte) (Output, error) {
 	if len(v)+len(k.Name) > MaxValue {
 		return Output{}, Error.Wrap(ErrTooLarge)
@@ -202,7 +212,7 @@
 	return m.finish(now), nil
 }
 
-// Get returns the newest known value of a key.
+// Get returns the newest value of a key that this host has received.
 func (m *Machine) Get(k Key) (Entry, bool) {
 	v := m.values[k]
 	if v == nil {
@@ -223,14 +233,14 @@
 	return list
 }
 
-// Changed returns what other hosts have set since the last call.
+// Changed returns the values received from other hosts since the last call.
 func (m *Machine) Changed() []Entry {
 	c := m.changed
 	m.changed = nil
 	return c
 }
 
-// finish flushes links and collects the effects.
+// finish sends what is due on the links and returns the effects.
 func (m *Machine) finish(now core.Instant) Output {
 	for _, l := range m.links {
 		m.flush(now, l)
@@ -240,54 +250,57 @@
 	return out
 }
 
-// apply takes a value if it is newer and passes it on.
+// apply stores a value if it is newer and passes it on. It reports whether it
+// was newer.
 //
-// Invariant: a key's stamp never goes back on a host.
+// Invariant: the stamp of a key never decreases on a host.
 func (m *Machine) apply(now core.Instant, e Entry, from core.HostID) bool {
 	v := m.values[e.Key]
-	if (v != nil && !v.entry.Stamp.Before(e.Stamp)) || m.stray(e.Key) {
+	if (v != nil && !v.entry.Stamp.Before(e.Stamp)) || m.isOrphan(e.Key) {
 		return false
 	}
 	if v == nil {
-		v = &value{id: keyID(e.Key)}
+		v = &value{keyHash: keyID(e.Key)}
 		m.values[e.Key] = v
 	}
-	m.tally(v)
-	v.entry, v.at = e, now
-	v.digest = digest(v.id, e.Stamp)
-	m.tally(v)
-	if from != "" && from != store {
+	m.toggleSums(v)
+	v.entry, v.receivedAt = e, now
+	v.digest = digest(v.keyHash, e.Stamp)
+	m.toggleSums(v)
+	if from != "" && from != storeSource {
 		m.changed = append(m.changed, e)
 	}
-	m.spread(now, e.Key, from)
+	m.markLinks(now, e.Key, from)
 	if e.Key.Topic == TopicConfig {
-		m.learnHead(now, e.Value, from)
+		m.setTarget(now, e.Value, from)
 	}
 	return true
 }
 
-// store stands for the object API as the one who told of a value.
-const store core.HostID = "\x00store"
+// storeSource is the source of values that were read from the object API.
+const storeSource core.HostID = "\x00store"
 
-// spread marks a key on the links that it should go over: all but the one it
-// came by. In a small fleet the one who sets a value sends it to all.
-func (m *Machine) spread(now core.Instant, k Key, from core.HostID) {
-	if from != "" && from != store && m.tree.mesh {
+// markLinks marks a key as changed on all links except the one that it came
+// from. In a small fleet only the host that sets a value, or reads it from the
+// store, sends it.
+func (m *Machine) markLinks(now core.Instant, k Key, from core.HostID) {
+	if from != "" && from != storeSource && m.tree.mesh {
 		return
 	}
 	for _, l := range m.links {
-		if l.host == from || (from == store && m.tree.watchers[l.host]) {
+		if l.host == from || (from == storeSource && m.tree.watchers[l.host]) {
 			continue // has it, or reads it from the store itself
 		}
 		l.mark(now, k)
 	}
 }
 
-// tally adds a value to, or takes it from, the sums that links compare.
-func (m *Machine) tally(v *value) {
+// toggleSums adds a value to the sums that neighbours compare, or removes it
+// from them.
+func (m *Machine) toggleSums(v *value) {
 	if v.digest == 0 || v.entry.Key.Topic == TopicStatus {
 		return
 	}
-	m.sum ^= v.digest
-	m.buckets[v.id%buckets] ^= v.digest
+	m.valuesSum ^= v.digest
+	m.bucketSums[v.keyHash%bucketCount] ^= v.digest
 }
--- a/internal/core/feed/feed_test.go
+++ b/internal/core/feed/feed_test.go
@@ -23,7 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// accept writes a configuration of chunks as an operator would.
+// accept writes a configuration of chunks to the store, as an operator's change
+// does.
 func accept(f *membership.Fleet, version uint64, chunks ...string) {
 	h := config.Head{Version: version}
 	for _, c := range chunks {
@@ -36,6 +37,7 @@
 	f.Store.Put(config.HeadKey, b)
 }
 
+// start returns a fleet of n hosts, after 15 s in which it forms.
 func start(seed uint64, n, domains int) (*membership.Fleet, []*membership.Host) {
 	f := membership.NewFleet(seed)
 	f.Feeds = true
@@ -69,7 +71,7 @@
 	for _, n := range []int{1, 3, 8, 40} {
 		is := is.New(t)
 		f, hosts := start(1, n, 3)
-		is.Equal(cutOff(f, hosts), 0) // known to be without one
+		is.Equal(cutOff(f, hosts), 0) // known that no configuration exists
 		accept(f, 1, "a", "b")
 		f.Run(2 * time.Second)
 		is.Equal(inForce(hosts, 1), n)
--- a/internal/core/feed/fetch.go
+++ b/internal/core/feed/fetch.go
@@ -12,40 +12,42 @@
 
 // Limits of fetching chunks.
 const (
-	fetchesAtOnce = 4
-	askAgain      = 500 * time.Millisecond // doubles with each unanswered one
-	askAgainMost  = 4 * time.Second
-	asksOfHosts   = 4 // before the store is asked
-	waitersAtMost = 64
+	maxFetches      = 4                      // chunks at a time
+	minFetchRetry   = 500 * time.Millisecond // doubles with each unanswered request
+	maxFetchRetry   = 4 * time.Second
+	maxPeerRequests = 4  // then requests go to the store
+	maxWaiters      = 64 // hosts per chunk
 )
 
-// headKey is the configuration's head in the feed.
+// headKey is the key of the configuration's head in the feed.
 var headKey = Key{Topic: TopicConfig, Name: "head"}
 
-// conf is the configuration: the newest head known, the one in force, and the
-// chunks of both.
+// conf is the state of the configuration: the newest head received (target),
+// the head in force, and the chunks of both.
 type conf struct {
-	object  uint64 // store version of the newest head read
-	target  config.Head
-	force   config.Head
-	chunks  map[string][]byte
-	fetches []*fetch
-	source  core.HostID // who told of the target
-	inForce core.Instant
+	objectVersion uint64 // store version of the newest head read
+	target        config.Head
+	inForce       config.Head
+	chunks        map[string][]byte
+	fetches       []*fetch
+	source        core.HostID // host that sent the target, or storeSource
+	inForceAt     core.Instant
 }
 
-// fetch is a chunk on its way. Waiters asked for it meanwhile.
+// fetch is a chunk that is being fetched. Waiters are hosts that requested it
+// meanwhile.
 type fetch struct {
-	hash    string
-	data    []byte
-	askedAt core.Instant
-	asked   bool
-	asks    int
-	waiters []core.HostID
+	hash        string
+	data        []byte
+	requestedAt core.Instant
+	requested   bool
+	requests    int
+	waiters     []core.HostID
 }
 
-// learnHead takes a head as the one to put in force, unless it is older.
-func (m *Machine) learnHead(now core.Instant, b []byte, from core.HostID) {
+// setTarget makes a newer head the target to put in force and starts to fetch
+// its chunks. An invalid head, or one that is not newer, changes nothing.
+func (m *Machine) setTarget(now core.Instant, b []byte, from core.HostID) {
 	h, err := config.DecodeHead(b)
 	if err != nil || h.Version <= m.conf.target.Version {
 		return
@@ -64,10 +66,11 @@
 		fetches = append(fetches, &fetch{hash: hash})
 	}
 	c.fetches = fetches
-	m.complete(now)
-	m.workFetches(now)
+	m.activateTarget(now)
+	m.requestChunks(now)
 }
 
+// find returns the fetch of a chunk, or nil.
 func (c *conf) find(hash string) *fetch {
 	for _, f := range c.fetches {
 		if f.hash == hash {
@@ -77,26 +80,27 @@
 	return nil
 }
 
-// complete puts the target in force once all its chunks are there.
+// activateTarget puts the target in force once all its chunks are there.
 //
-// Invariant: the version in force only rises.
-func (m *Machine) complete(now core.Instant) {
+// Invariant: the version in force never decreases.
+func (m *Machine) activateTarget(now core.Instant) {
 	c := &m.conf
-	if len(c.fetches) > 0 || c.target.Version <= c.force.Version {
+	if len(c.fetches) > 0 || c.target.Version <= c.inForce.Version {
 		return
 	}
-	c.force, c.inForce = c.target, now
+	c.inForce, c.inForceAt = c.target, now
 	for hash := range c.chunks {
-		if !slices.Contains(c.force.Chunks, hash) {
+		if !slices.Contains(c.inForce.Chunks, hash) {
 			delete(c.chunks, hash)
 		}
 	}
-	m.force()
+	m.updateFreshness()
 }
 
 // Config returns the configuration in force: its head and its chunks in order.
+// It returns false if there is none.
 func (m *Machine) Config() (config.Head, [][]byte, bool) {
-	h := m.conf.force
+	h := m.conf.inForce
 	if h.Version == 0 {
 		return config.Head{}, nil, false
 	}
@@ -107,22 +111,23 @@
 	return h, chunks, true
 }
 
-// ConfigVersion is the version in force, 0 where there is none.
-func (m *Machine) ConfigVersion() uint64 { return m.conf.force.Version }
+// ConfigVersion returns the version in force, 0 if there is none.
+func (m *Machine) ConfigVersion() uint64 { return m.conf.inForce.Version }
 
-// workFetches asks for missing chunks: watchers the store, others their parent,
-// and the store too where no host gives an answer.
-func (m *Machine) workFetches(now core.Instant) {
+// requestChunks requests missing chunks: a watcher from the store, and from
+// another host too while its store calls fail; any other host from another
+// host, and after maxPeerRequests unanswered requests from the store.
+func (m *Machine) requestChunks(now core.Instant) {
 	for i, f := range m.conf.fetches {
-		if i >= fetchesAtOnce {
+		if i >= maxFetches {
 			return
 		}
-		if f.asked && now.Sub(f.askedAt) < min(askAgain<<min(f.asks-1, 4), askAgainMost) {
+		if f.requested && now.Sub(f.requestedAt) < min(minFetchRetry<<min(f.requests-1, 4), maxFetchRetry) {
 			continue
 		}
-		f.asked, f.askedAt = true, now
-		f.asks++
-		if m.tree.watcher || f.asks > asksOfHosts {
+		f.requested, f.requestedAt = true, now
+		f.requests++
+		if m.tree.watcher || f.requests > maxPeerRequests {
 			if !m.calls.has(callChunk, f.hash) {
 				m.call(now, callChunk, f.hash, core.ObjectCall{Op: core.ObjectGet, Key: config.ChunkPrefix + f.hash})
 			}
@@ -130,37 +135,38 @@
 				continue
 			}
 		}
-		if h, ok := m.giver(f.asks); ok {
+		if h, ok := m.chunkSource(f.requests); ok {
 			m.out.Send(h, Message{Want: &Want{Hash: f.hash, Offset: len(f.data)}})
 		}
 	}
 }
 
-// giver chooses whom to ask for a chunk: first who told of the head, then the
-// parents and the other candidates in turn.
-func (m *Machine) giver(asks int) (core.HostID, bool) {
-	list := distinct(append(m.tree.parents(), m.tree.candidates...), m.set.Self.Host)
-	if m.conf.source != "" && m.conf.source != store {
-		list = distinct(append([]core.HostID{m.conf.source}, list...), m.set.Self.Host)
+// chunkSource selects the host to request a chunk from: first the source of the
+// target, then the parents and the other candidates in turn.
+func (m *Machine) chunkSource(request int) (core.HostID, bool) {
+	hosts := distinct(append(m.tree.parents(), m.tree.candidates...), m.settings.Self.Host)
+	if m.conf.source != "" && m.conf.source != storeSource {
+		hosts = distinct(append([]core.HostID{m.conf.source}, hosts...), m.settings.Self.Host)
 	}
-	if len(list) == 0 {
+	if len(hosts) == 0 {
 		return "", false
 	}
-	return list[(asks-1)%len(list)], true
+	return hosts[(request-1)%len(hosts)], true
 }
 
-// wantFrom sends a part of a chunk, or remembers who wants it.
-func (m *Machine) wantFrom(_ core.Instant, from core.HostID, w Want) {
+// receiveWant sends part of a chunk, or records who is waiting for it.
+func (m *Machine) receiveWant(_ core.Instant, from core.HostID, w Want) {
 	if data := m.conf.chunks[w.Hash]; data != nil {
 		m.sendPart(from, w.Hash, data, w.Offset)
 		return
 	}
 	f := m.conf.find(w.Hash)
-	if f != nil && len(f.waiters) < waitersAtMost && !slices.Contains(f.waiters, from) {
+	if f != nil && len(f.waiters) < maxWaiters && !slices.Contains(f.waiters, from) {
 		f.waiters = append(f.waiters, from)
 	}
 }
 
+// sendPart sends the part of a chunk that begins at offset.
 func (m *Machine) sendPart(to core.HostID, hash string, data []byte, offset int) {
 	if offset < 0 || offset > len(data) {
 		return
@@ -169,25 +175,27 @@
 	m.out.Send(to, Message{Part: &Part{Hash: hash, Offset: offset, Total: len(data), Data: data[offset:end]}})
 }
 
-// partFrom takes a part and asks for the next.
-func (m *Machine) partFrom(now core.Instant, from core.HostID, p Part) {
+// receivePart handles a part of a chunk and requests the next one.
+func (m *Machine) receivePart(now core.Instant, from core.HostID, p Part) {
 	f := m.conf.find(p.Hash)
-	const mostChunk = 1 << 20 // bytes, the object API's bound on a value
-	if f == nil || p.Offset != len(f.data) || p.Total > mostChunk {
+	const maxChunkBytes = 1 << 20 // bytes, the object API's limit for a value
+	if f == nil || p.Offset != len(f.data) || p.Total > maxChunkBytes {
 		return
 	}
 	f.data = append(f.data, p.Data...)
-	f.asks = min(f.asks, asksOfHosts-1)
+	f.requests = min(f.requests, maxPeerRequests-1)
 	if len(f.data) >= p.Total {
-		m.chunkComplete(now, p.Hash, f.data)
+		m.storeChunk(now, p.Hash, f.data)
 		return
 	}
-	f.asked, f.askedAt = true, now
+	f.requested, f.requestedAt = true, now
 	m.out.Send(from, Message{Want: &Want{Hash: p.Hash, Offset: len(f.data)}})
 }
 
-// chunkComplete keeps a chunk whose content has the right hash.
-func (m *Machine) chunkComplete(now core.Instant, hash string, data []byte) {
+// storeChunk stores a chunk if its content has the right hash, and sends its
+// first part to the hosts that wait for it. With a wrong hash the fetch starts
+// again.
+func (m *Machine) storeChunk(now core.Instant, hash string, data []byte) {
 	f := m.conf.find(hash)
 	if f == nil {
 		return
@@ -205,6 +213,6 @@
 	for _, h := range f.waiters {
 		m.sendPart(h, hash, data, 0)
 	}
-	m.complete(now)
-	m.workFetches(now)
+	m.activateTarget(now)
+	m.requestChunks(now)
 }
--- a/internal/core/feed/link.go
+++ b/internal/core/feed/link.go
@@ -7,49 +7,51 @@
 	"gentiancroft/internal/core"
 )
 
-// resendAfter is how long a message may stay unanswered; it doubles with each
-// resending up to resendMost.
+// Limits of the resend interval: it is how long a message may stay
+// unacknowledged and doubles with each resend.
 const (
-	resendAfter = time.Second
-	resendMost  = 8 * time.Second
+	minResendInterval = time.Second
+	maxResendInterval = 8 * time.Second
 )
 
-// link is one neighbour. What changed is a set of keys: however slow the
-// neighbour, it costs one key each and gets the newest value.
+// link is the state of one neighbour. Changes are kept as a set of keys, so a
+// slow neighbour costs one entry per key and receives only the newest values.
 type link struct {
 	host   core.HostID
 	parent bool // this host pings it
 	child  bool // it pings this host
-	mesh   bool // a small fleet sends to all
+	mesh   bool // this fleet is small and hosts send directly
 
 	dirty  map[Key]bool
 	queue  []Key // dirty keys, oldest first
 	urgent bool
 
-	seq      uint64
-	inFlight []Key
-	sentAt   core.Instant
-	resends  int
-	flushAt  core.Instant
-
-	pingAt   core.Instant
-	heard    core.Instant // the latest Pong
-	pinged   core.Instant // the latest Ping
-	attached bool         // compared with it since it became the parent
-	differs  core.Instant // sums differ since; 0: they do not
-	repaired core.Instant
+	seq       uint64
+	inFlight  []Key
+	sentAt    core.Instant
+	resends   int
+	nextFlush core.Instant
+
+	nextPing     core.Instant
+	lastPong     core.Instant // when the last timely Pong was received
+	lastPing     core.Instant // when the last Ping was received
+	compared     bool         // sums were compared since it became the parent
+	differsSince core.Instant // start of the difference between the sums; 0 if they are equal
+	lastRepair   core.Instant
 }
 
-// find returns the link to a host, or nil.
-func (m *Machine) find(h core.HostID) *link {
-	i, ok := m.locate(h)
+// findLink returns the link to a host, or nil.
+func (m *Machine) findLink(h core.HostID) *link {
+	i, ok := m.searchLink(h)
 	if !ok {
 		return nil
 	}
 	return m.links[i]
 }
 
-func (m *Machine) locate(h core.HostID) (int, bool) {
+// searchLink returns the index of the link to a host, or where it would be
+// inserted and false.
+func (m *Machine) searchLink(h core.HostID) (int, bool) {
 	return slices.BinarySearchFunc(m.links, h, func(l *link, h core.HostID) int {
 		if l.host < h {
 			return -1
@@ -61,19 +63,19 @@
 	})
 }
 
-// link returns the link to a host and makes it if need be.
-func (m *Machine) link(now core.Instant, h core.HostID) *link {
-	i, ok := m.locate(h)
+// ensureLink returns the link to a host and creates it if there is none.
+func (m *Machine) ensureLink(now core.Instant, h core.HostID) *link {
+	i, ok := m.searchLink(h)
 	if ok {
 		return m.links[i]
 	}
-	l := &link{host: h, dirty: map[Key]bool{}, heard: now, pinged: now}
+	l := &link{host: h, dirty: map[Key]bool{}, lastPong: now, lastPing: now}
 	m.links = slices.Insert(m.links, i, l)
 	return l
 }
 
-// pruneLinks drops links to hosts that are members no more, and in a small
-// fleet keeps one to each member.
+// pruneLinks drops links to hosts that are no longer members. In a small fleet
+// it keeps a link to every other member.
 func (m *Machine) pruneLinks(now core.Instant) {
 	present := map[core.HostID]bool{}
 	for _, o := range m.tree.members {
@@ -87,13 +89,14 @@
 		return
 	}
 	for _, o := range m.tree.members {
-		if o.Host != m.set.Self.Host {
-			m.link(now, o.Host).mesh = true
+		if o.Host != m.settings.Self.Host {
+			m.ensureLink(now, o.Host).mesh = true
 		}
 	}
 }
 
-// mark notes that a key has changed.
+// mark records that a key has changed. Keys of the configuration and of status
+// are sent first and at once.
 func (l *link) mark(now core.Instant, k Key) {
 	if l.dirty[k] {
 		return
@@ -106,15 +109,17 @@
 		l.queue = append(l.queue, k)
 	}
 	if len(l.queue) == 1 && !l.urgent {
-		const gather = 50 * time.Millisecond
-		l.flushAt = max(l.flushAt, now.Add(gather))
+		const gatherDelay = 50 * time.Millisecond
+		l.nextFlush = max(l.nextFlush, now.Add(gatherDelay))
 	}
 }
 
-// flush sends changed values, the newest of each, if the link has credit.
+// flush sends the newest values of changed keys if no message is in flight. An
+// unacknowledged message is given up after the resend interval; its keys count
+// as changed again.
 func (m *Machine) flush(now core.Instant, l *link) {
 	if l.inFlight != nil {
-		wait := min(resendAfter<<min(l.resends, 4), resendMost)
+		wait := min(minResendInterval<<min(l.resends, 4), maxResendInterval)
 		if now.Sub(l.sentAt) < wait {
 			return
 		}
@@ -127,13 +132,13 @@
 		}
 		l.inFlight = nil
 	}
-	if len(l.queue) == 0 || (now < l.flushAt && !l.urgent) {
+	if len(l.queue) == 0 || (now < l.nextFlush && !l.urgent) {
 		return
 	}
 	var entries []Entry
 	bytes, taken := 0, 0
 	for _, k := range l.queue {
-		const overhead = 32 // bytes of an entry's frame
+		const overhead = 32 // bytes of an entry's encoding besides name and value
 		v := m.values[k]
 		if v == nil {
 			taken++
@@ -156,13 +161,15 @@
 	}
 	l.seq++
 	l.urgent = false
-	l.sentAt, l.flushAt = now, now.Add(m.set.Flush)
+	l.sentAt, l.nextFlush = now, now.Add(m.settings.Flush)
 	m.out.Send(l.host, Message{Values: &Values{Seq: l.seq, Entries: entries}})
 }
 
-// valuesFrom takes another host's values.
-func (m *Machine) valuesFrom(now core.Instant, from core.HostID, v Values) {
-	l := m.find(from)
+// receiveValues applies another host's values and acknowledges them. A key that
+// the sender has in the same or a newer version is no longer due on the link to
+// it.
+func (m *Machine) receiveValues(now core.Instant, from core.HostID, v Values) {
+	l := m.findLink(from)
 	for _, e := range v.Entries {
 		m.apply(now, e, from)
 		if own := m.values[e.Key]; l != nil && own != nil && l.dirty[e.Key] && !e.Stamp.Before(own.entry.Stamp) {
@@ -173,12 +180,12 @@
 	m.out.Send(from, Message{Got: &Got{Seq: v.Seq}})
 }
 
-// gotFrom returns a link's credit.
-func (m *Machine) gotFrom(_ core.Instant, from core.HostID, g Got) {
-	if l := m.find(from); l != nil && g.Seq == l.seq {
+// receiveGot handles the acknowledgement of the message in flight.
+func (m *Machine) receiveGot(_ core.Instant, from core.HostID, g Got) {
+	if l := m.findLink(from); l != nil && g.Seq == l.seq {
 		l.inFlight, l.resends = nil, 0
 	}
 }
 
-// Links is how many neighbours this host has, for the metrics.
+// Links returns the number of this host's neighbours, for the metrics.
 func (m *Machine) Links() int { return len(m.links) }
--- a/internal/core/feed/messages.go
+++ b/internal/core/feed/messages.go
@@ -6,7 +6,7 @@
 	"gentiancroft/internal/core"
 )
 
-// Message is what hosts tell one another in the feed; exactly one field is set.
+// Message is a feed message between hosts; exactly one field is set.
 type Message struct {
 	Ping    *Ping    `cbor:"1,keyasint,omitempty"`
 	Pong    *Pong    `cbor:"2,keyasint,omitempty"`
@@ -19,15 +19,16 @@
 	Part    *Part    `cbor:"9,keyasint,omitempty"`
 }
 
-// Ping goes from a host to its parent and makes it the parent's child.
+// Ping is sent by a host to its parent and makes it the parent's child.
 type Ping struct {
-	Echo    int64  `cbor:"1,keyasint"`           // the sender's clock; only the sender reads it
+	Echo    int64  `cbor:"1,keyasint"`           // the sender's clock; returned in the Pong
 	Sum     uint64 `cbor:"2,keyasint"`           // over all keys and stamps
-	Version uint64 `cbor:"3,keyasint,omitempty"` // the newest configuration that the sender knows
+	Version uint64 `cbor:"3,keyasint,omitempty"` // newest configuration that the sender has received a head of
 }
 
-// Pong answers a Ping. As of Age before it was sent, Version was the newest
-// configuration; Known is false where the sender never learned that.
+// Pong answers a Ping. Age before it was sent, Version was the newest
+// configuration; Known is false if the sender has never learned which is the
+// newest.
 type Pong struct {
 	Echo    int64         `cbor:"1,keyasint"`
 	Sum     uint64        `cbor:"2,keyasint"`
@@ -42,23 +43,24 @@
 	Entries []Entry `cbor:"2,keyasint"`
 }
 
-// Got returns the credit that Values took.
+// Got acknowledges Values, so that the next message may be sent.
 type Got struct {
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
-// Buckets starts a repair: the sums of the sender's values by bucket.
+// Buckets starts a repair. It holds the sums of the sender's values by bucket.
 type Buckets struct {
 	Sums []uint64 `cbor:"1,keyasint"`
 }
 
-// Digests lists the keys and stamps of the buckets that differ.
+// Digests lists the keys and stamps of the sender's values in the buckets that
+// differ.
 type Digests struct {
-	Buckets uint64   `cbor:"1,keyasint"` // a bit for each that differs
+	Buckets uint64   `cbor:"1,keyasint"` // bit set of the buckets that differ
 	Items   []Digest `cbor:"2,keyasint"`
 }
 
-// Digest is a key, by its hash, and its stamp.
+// Digest is the hash of a key and its stamp.
 type Digest struct {
 	_     struct{} `cbor:",toarray"`
 	ID    uint64
@@ -66,18 +68,18 @@
 	Seq   uint64
 }
 
-// Need asks for the values of keys by their hashes.
+// Need requests the values of keys, given by their hashes.
 type Need struct {
 	IDs []uint64 `cbor:"1,keyasint"`
 }
 
-// Want asks for a chunk of the configuration from an offset on.
+// Want requests a chunk of the configuration from an offset on.
 type Want struct {
 	Hash   string `cbor:"1,keyasint"`
 	Offset int    `cbor:"2,keyasint"`
 }
 
-// Part is a part of a chunk.
+// Part is a part of a chunk of the configuration.
 type Part struct {
 	Hash   string `cbor:"1,keyasint"`
 	Offset int    `cbor:"2,keyasint"`
@@ -85,5 +87,5 @@
 	Data   []byte `cbor:"4,keyasint"`
 }
 
-// Output is what the machine wants done after one event.
+// Output holds the effects of one event: object calls and messages to send.
 type Output = core.Output[Message]
--- a/internal/core/feed/repair.go
+++ b/internal/core/feed/repair.go
@@ -10,16 +10,17 @@
 	"gentiancroft/internal/core"
 )
 
-// buckets is how many parts the keys are split into for a repair.
-const buckets = 64
+// bucketCount is the number of buckets that keys are split into for a repair.
+const bucketCount = 64
 
-// patience is how long sums may differ while values are on their way.
-const patience = 3 * time.Second
+// repairDelay is how long the sums of two hosts may differ because values are
+// still in transit.
+const repairDelay = 3 * time.Second
 
-// keyID names a key in digests.
+// keyID returns the hash of a key that digests use.
 func keyID(k Key) uint64 { return xxhash.Sum64String(string(rune(k.Topic)) + k.Name) }
 
-// digest is a key's and its stamp's part of the sums.
+// digest returns the contribution of a key and its stamp to the sums; never 0.
 func digest(id uint64, s Stamp) uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[0:], id)
@@ -28,90 +29,92 @@
 	return max(xxhash.Sum64(b[:]), 1)
 }
 
-// pingFrom makes the sender a child and answers it.
-func (m *Machine) pingFrom(now core.Instant, from core.HostID, p Ping) {
-	l := m.link(now, from)
-	l.child, l.pinged = true, now
-	pong := Pong{Echo: p.Echo, Sum: m.sum, Known: m.fresh.known}
-	if m.fresh.known {
-		pong.Version, pong.Age = m.fresh.version, now.Sub(m.fresh.at)
+// receivePing makes the sender a child and answers it.
+func (m *Machine) receivePing(now core.Instant, from core.HostID, p Ping) {
+	l := m.ensureLink(now, from)
+	l.child, l.lastPing = true, now
+	pong := Pong{Echo: p.Echo, Sum: m.valuesSum, Known: m.freshness.known}
+	if m.freshness.known {
+		pong.Version, pong.Age = m.freshness.version, now.Sub(m.freshness.asOf)
 	}
 	m.out.Send(from, Message{Pong: &pong})
-	m.askHead(from, p.Version)
+	m.requestHead(from, p.Version)
 }
 
-// askHead asks a neighbour that knows a newer configuration for its head.
-func (m *Machine) askHead(from core.HostID, version uint64) {
+// requestHead requests the configuration's head from a neighbour that has a
+// newer one.
+func (m *Machine) requestHead(from core.HostID, version uint64) {
 	if version > m.conf.target.Version {
 		m.out.Send(from, Message{Need: &Need{IDs: []uint64{keyID(headKey)}}})
 	}
 }
 
-// pongFrom takes a parent's answer. What it says of freshness counts from
-// before this host's ping was sent, so its way back makes nothing fresher.
-func (m *Machine) pongFrom(now core.Instant, from core.HostID, p Pong) {
-	l := m.find(from)
+// receivePong handles a parent's answer. What it reports about freshness counts
+// from when this host sent the ping, so the transit time makes nothing appear
+// fresher.
+func (m *Machine) receivePong(now core.Instant, from core.HostID, p Pong) {
+	l := m.findLink(from)
 	if l == nil || !l.parent {
 		return
 	}
-	asked := core.Instant(p.Echo)
-	if asked <= now && now.Sub(asked) <= slowAnswer {
-		l.heard = now // a parent that answers late is left like a silent one
+	sentAt := core.Instant(p.Echo)
+	if sentAt <= now && now.Sub(sentAt) <= maxPongDelay {
+		l.lastPong = now // a parent that answers late is replaced like an unresponsive one
 	}
-	if p.Known && p.Age >= 0 && asked <= now {
-		m.newest(p.Version, asked.Add(-p.Age))
+	if p.Known && p.Age >= 0 && sentAt <= now {
+		m.recordNewest(p.Version, sentAt.Add(-p.Age))
 	}
 	if p.Known {
-		m.askHead(from, p.Version)
+		m.requestHead(from, p.Version)
 	}
-	m.compare(now, l, p.Sum)
+	m.compareSums(now, l, p.Sum)
 }
 
-// compare starts a repair where sums differ at the first contact, or for too
-// long to be explained by values on their way.
-func (m *Machine) compare(now core.Instant, l *link, sum uint64) {
-	if sum == m.sum {
-		l.attached, l.differs = true, 0
+// compareSums starts a repair if the sums differ at the first contact with a
+// parent, or for longer than values in transit explain.
+func (m *Machine) compareSums(now core.Instant, l *link, sum uint64) {
+	if sum == m.valuesSum {
+		l.compared, l.differsSince = true, 0
 		return
 	}
-	if l.differs == 0 {
-		l.differs = now
+	if l.differsSince == 0 {
+		l.differsSince = now
 	}
-	long := now.Sub(l.differs) > patience && now.Sub(l.repaired) > m.set.Repair
-	if l.attached && !long {
+	overdue := now.Sub(l.differsSince) > repairDelay && now.Sub(l.lastRepair) > m.settings.Repair
+	if l.compared && !overdue {
 		return
 	}
-	l.attached, l.repaired, l.differs = true, now, now
-	m.out.Send(l.host, Message{Buckets: &Buckets{Sums: slices.Clone(m.buckets[:])}})
+	l.compared, l.lastRepair, l.differsSince = true, now, now
+	m.out.Send(l.host, Message{Buckets: &Buckets{Sums: slices.Clone(m.bucketSums[:])}})
 }
 
-// bucketsFrom answers with the stamps of what differs.
-func (m *Machine) bucketsFrom(_ core.Instant, from core.HostID, b Buckets) {
-	if len(b.Sums) != buckets {
+// receiveBuckets answers with the keys and stamps in the buckets that differ.
+func (m *Machine) receiveBuckets(_ core.Instant, from core.HostID, b Buckets) {
+	if len(b.Sums) != bucketCount {
 		return
 	}
 	var d Digests
 	for i := range b.Sums {
-		if b.Sums[i] != m.buckets[i] {
+		if b.Sums[i] != m.bucketSums[i] {
 			d.Buckets |= 1 << i
 		}
 	}
-	for _, v := range m.within(d.Buckets) {
-		d.Items = append(d.Items, Digest{ID: v.id, Fence: v.entry.Stamp.Fence, Seq: v.entry.Stamp.Seq})
+	for _, v := range m.valuesIn(d.Buckets) {
+		d.Items = append(d.Items, Digest{ID: v.keyHash, Fence: v.entry.Stamp.Fence, Seq: v.entry.Stamp.Seq})
 	}
 	m.out.Send(from, Message{Digests: &d})
 }
 
-// within lists the values of some buckets in an order of their own.
-func (m *Machine) within(bits uint64) []*value {
+// valuesIn returns the values in the buckets of a bit set, sorted by key hash.
+func (m *Machine) valuesIn(buckets uint64) []*value {
 	var list []*value
 	for k, v := range m.values {
-		if k.Topic != TopicStatus && bits&(1<<(v.id%buckets)) != 0 {
+		if k.Topic != TopicStatus && buckets&(1<<(v.keyHash%bucketCount)) != 0 {
 			list = append(list, v)
 		}
 	}
 	slices.SortFunc(list, func(a, b *value) int {
-		if a.id < b.id {
+		if a.keyHash < b.keyHash {
 			return -1
 		}
 		return 1
@@ -119,9 +122,10 @@
 	return list
 }
 
-// digestsFrom sends what is newer here and asks for what is newer there.
-func (m *Machine) digestsFrom(now core.Instant, from core.HostID, d Digests) {
-	l := m.find(from)
+// receiveDigests sends the values that are newer here and requests those that
+// are newer there.
+func (m *Machine) receiveDigests(now core.Instant, from core.HostID, d Digests) {
+	l := m.findLink(from)
 	if l == nil {
 		return
 	}
@@ -130,15 +134,15 @@
 		theirs[i.ID] = Stamp{Fence: i.Fence, Seq: i.Seq}
 	}
 	var need Need
-	for _, v := range m.within(d.Buckets) {
-		s, has := theirs[v.id]
+	for _, v := range m.valuesIn(d.Buckets) {
+		s, has := theirs[v.keyHash]
 		switch {
 		case !has || s.Before(v.entry.Stamp):
 			l.mark(now, v.entry.Key)
 		case v.entry.Stamp.Before(s):
-			need.IDs = append(need.IDs, v.id)
+			need.IDs = append(need.IDs, v.keyHash)
 		}
-		delete(theirs, v.id)
+		delete(theirs, v.keyHash)
 	}
 	for _, i := range d.Items {
 		if _, missing := theirs[i.ID]; missing {
@@ -150,9 +154,9 @@
 	}
 }
 
-// needFrom sends what another host lacks.
-func (m *Machine) needFrom(now core.Instant, from core.HostID, n Need) {
-	l := m.find(from)
+// receiveNeed marks the requested values as changed on the link to the sender.
+func (m *Machine) receiveNeed(now core.Instant, from core.HostID, n Need) {
+	l := m.findLink(from)
 	if l == nil {
 		return
 	}
@@ -160,9 +164,9 @@
 	for _, id := range n.IDs {
 		wanted[id] = true
 	}
-	const all = ^uint64(0)
-	for _, v := range m.within(all) {
-		if wanted[v.id] {
+	const allBuckets = ^uint64(0)
+	for _, v := range m.valuesIn(allBuckets) {
+		if wanted[v.keyHash] {
 			l.mark(now, v.entry.Key)
 		}
 	}
--- a/internal/core/feed/store.go
+++ b/internal/core/feed/store.go
@@ -7,22 +7,22 @@
 	"gentiancroft/internal/core/config"
 )
 
-// Retries of object calls.
+// Backoff after a failed object call.
 const (
-	backoffMin = 300 * time.Millisecond
-	backoffMax = 4 * time.Second
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 4 * time.Second
 )
 
-// callKind is what an object call is for.
+// callKind is the purpose of an object call.
 type callKind uint8
 
 const (
 	callRead  callKind = iota + 1 // reads the configuration's head
-	callWatch                     // waits for a newer one
+	callWatch                     // waits for a newer head
 	callChunk                     // reads a chunk
 )
 
-// call is one in flight.
+// call is an object call in flight.
 type call struct {
 	tag  uint64
 	kind callKind
@@ -30,16 +30,17 @@
 	sent core.Instant
 }
 
-// calls are those in flight, and when the next may be made.
+// calls tracks the calls in flight and when the next may be made.
 type calls struct {
-	last     uint64
-	open     []call
-	failing  bool
-	failures int
-	readAt   core.Instant
-	watchAt  core.Instant
+	lastTag   uint64
+	open      []call
+	failing   bool
+	failures  int
+	nextRead  core.Instant
+	nextWatch core.Instant
 }
 
+// has reports whether a call of this kind, for this chunk, is in flight.
 func (c *calls) has(k callKind, hash string) bool {
 	for _, o := range c.open {
 		if o.kind == k && o.hash == hash {
@@ -49,22 +50,23 @@
 	return false
 }
 
+// call starts an object call.
 func (m *Machine) call(now core.Instant, k callKind, hash string, c core.ObjectCall) {
-	m.calls.last++
-	c.Tag = m.calls.last
+	m.calls.lastTag++
+	c.Tag = m.calls.lastTag
 	m.calls.open = append(m.calls.open, call{tag: c.Tag, kind: k, hash: hash, sent: now})
 	m.out.Call(c)
 }
 
-// expireCalls gives up on calls without an answer.
+// expireCalls ends calls whose timeout has passed, with an unknown result.
 func (m *Machine) expireCalls(now core.Instant) {
 	for i := 0; i < len(m.calls.open); {
 		o := m.calls.open[i]
-		most := m.set.CallTimeout
+		timeout := m.settings.CallTimeout
 		if o.kind == callWatch {
-			most = m.set.WatchWait
+			timeout = m.settings.WatchWait
 		}
-		if now.Sub(o.sent) <= most {
+		if now.Sub(o.sent) <= timeout {
 			i++
 			continue
 		}
@@ -73,97 +75,99 @@
 	}
 }
 
-// workStore reads the configuration's head once a period, which is what makes
-// hosts fresh, and keeps a watch, which is what makes changes quick.
-func (m *Machine) workStore(now core.Instant) {
+// readStore reads the configuration's head once per period, which keeps the
+// hosts fresh, and keeps a watch on it, which makes changes arrive quickly.
+func (m *Machine) readStore(now core.Instant) {
 	if !m.tree.watcher {
 		return
 	}
-	if now >= m.calls.readAt && !m.calls.has(callRead, "") {
-		m.calls.readAt = now.Add(m.set.Read)
+	if now >= m.calls.nextRead && !m.calls.has(callRead, "") {
+		m.calls.nextRead = now.Add(m.settings.Read)
 		m.call(now, callRead, "", core.ObjectCall{Op: core.ObjectGet, Key: config.HeadKey})
 	}
-	if now >= m.calls.watchAt && !m.calls.has(callWatch, "") {
-		m.call(now, callWatch, "", core.ObjectCall{Op: core.ObjectWatch, Key: config.HeadKey, IfVersion: m.conf.object})
+	if now >= m.calls.nextWatch && !m.calls.has(callWatch, "") {
+		m.call(now, callWatch, "", core.ObjectCall{Op: core.ObjectWatch, Key: config.HeadKey, IfVersion: m.conf.objectVersion})
 	}
 }
 
-// result takes the end of a call.
+// result handles the end of an object call.
 func (m *Machine) result(now core.Instant, r core.ObjectResult) {
-	at := -1
+	index := -1
 	for i, o := range m.calls.open {
 		if o.tag == r.Tag {
-			at = i
+			index = i
 		}
 	}
-	if at < 0 {
+	if index < 0 {
 		return
 	}
-	c := m.calls.open[at]
-	m.calls.open = append(m.calls.open[:at], m.calls.open[at+1:]...)
+	c := m.calls.open[index]
+	m.calls.open = append(m.calls.open[:index], m.calls.open[index+1:]...)
 	if r.Status == core.ObjectUnavailable || r.Status == core.ObjectUnknown {
-		m.failed(now, c)
+		m.callFailed(now, c)
 		return
 	}
 	m.calls.failing, m.calls.failures = false, 0
 	switch c.kind {
 	case callRead:
-		m.headRead(now, c, r)
+		m.headReadDone(now, c, r)
 	case callWatch:
 		for _, o := range r.Objects {
-			m.headSeen(now, o)
+			m.applyStoredHead(now, o)
 		}
 	case callChunk:
 		if r.Status == core.ObjectOK {
-			m.chunkComplete(now, c.hash, r.Object.Value)
+			m.storeChunk(now, c.hash, r.Object.Value)
 		}
 	}
 }
 
-// failed spaces the next call, with jitter, so that a store that comes back is
-// not met by all at once.
-func (m *Machine) failed(now core.Instant, c call) {
+// callFailed delays the next call by an exponential backoff with jitter, so
+// that hosts do not all call a recovered store at the same time.
+func (m *Machine) callFailed(now core.Instant, c call) {
 	if c.kind != callWatch || !m.calls.failing {
 		m.calls.failures++
 	}
 	m.calls.failing = true
-	wait := min(backoffMin<<min(m.calls.failures, 6), backoffMax)
+	wait := min(minBackoff<<min(m.calls.failures, 6), maxBackoff)
 	next := now.Add(time.Duration(m.rng.Jitter(int64(wait))))
 	switch c.kind {
 	case callRead:
-		m.calls.readAt = max(m.calls.readAt, next)
+		m.calls.nextRead = max(m.calls.nextRead, next)
 	case callWatch:
-		m.calls.watchAt = next
+		m.calls.nextWatch = next
 	}
 }
 
-// headRead takes a reading. It makes the host fresh as of before it was asked
-// for, unless it is older than what is known already.
-func (m *Machine) headRead(now core.Instant, c call, r core.ObjectResult) {
+// headReadDone handles the result of reading the configuration's head. It makes
+// this host fresh as of the start of the call, unless the result is older than
+// what this host already has.
+func (m *Machine) headReadDone(now core.Instant, c call, r core.ObjectResult) {
 	if r.Status == core.ObjectNotFound {
-		if m.conf.object == 0 {
-			m.newest(0, c.sent)
+		if m.conf.objectVersion == 0 {
+			m.recordNewest(0, c.sent)
 		}
 		return
 	}
-	if r.Object.Version < m.conf.object {
-		return // an old read
+	if r.Object.Version < m.conf.objectVersion {
+		return // an outdated read
 	}
-	if m.headSeen(now, r.Object) {
-		m.newest(m.conf.target.Version, c.sent)
+	if m.applyStoredHead(now, r.Object) {
+		m.recordNewest(m.conf.target.Version, c.sent)
 	}
 }
 
-// headSeen takes a head from the store. False: it is older than what is known.
-func (m *Machine) headSeen(now core.Instant, o core.Object) bool {
-	if o.Key != config.HeadKey || o.Version < m.conf.object {
+// applyStoredHead applies a head read from the store. It returns false if the
+// head is older than the newest one received, or invalid.
+func (m *Machine) applyStoredHead(now core.Instant, o core.Object) bool {
+	if o.Key != config.HeadKey || o.Version < m.conf.objectVersion {
 		return false
 	}
 	h, err := config.DecodeHead(o.Value)
 	if err != nil || h.Version < m.conf.target.Version {
 		return false
 	}
-	m.conf.object = o.Version
-	m.apply(now, Entry{Key: headKey, Stamp: Stamp{Seq: h.Version}, Value: o.Value}, store)
+	m.conf.objectVersion = o.Version
+	m.apply(now, Entry{Key: headKey, Stamp: Stamp{Seq: h.Version}, Value: o.Value}, storeSource)
 	return true
 }
