--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,5 +1,7 @@
-// Package platform is the client of the platform's services: the object API
-// and the lagging list of hosts.
+// Package platform is the client of the platform's services: the object API, a
+// versioned key-value store, and the platform's list of hosts, which lags. It sends each
+// call once and reports whether a failed write may have been applied; retries are the
+// caller's decision.
 package platform
 
 import (
@@ -15,58 +17,58 @@
 	"gentiancroft/internal/core"
 )
 
-// Error is the class of failed look-ups of the host list.
+// Error is the class of errors from reading the host list.
 var Error = errs.Class("platform")
 
-// Paths and headers of the platform's HTTP interface. Keys travel as query
-// arguments, values as bodies, versions in HeaderVersion.
+// Paths and header fields of the platform's HTTP interface. Keys are sent as query
+// arguments, values as bodies, and versions in HeaderVersion.
 const (
 	PathObject    = "/v1/object"  // GET, PUT, DELETE ?key=
 	PathObjects   = "/v1/objects" // GET ?prefix=
 	PathWatch     = "/v1/watch"   // GET ?prefix=&after=
 	PathHosts     = "/v1/hosts"   // GET
 	HeaderVersion = "X-Object-Version"
-	HeaderMatch   = "If-Match"      // the version that must stand
+	HeaderMatch   = "If-Match"      // the version that the object must have
 	HeaderNone    = "If-None-Match" // "*": the key must not exist
 )
 
-// MaxValueBytes is the largest value that the object API takes.
+// MaxValueBytes is the maximum size of a value in the object API.
 const MaxValueBytes = 1 << 20
 
-// Times and bounds of the client.
+// Default timeouts of a client's calls.
 const (
 	DefaultTimeout      = 5 * time.Second
 	DefaultWatchTimeout = 30 * time.Second
 )
 
-// Listing is the answer to a list or a watch.
+// Listing is the answer to a list or watch call.
 type Listing struct {
 	Version uint64        `json:"version"`
 	Objects []core.Object `json:"objects"`
 }
 
-// Listed is one entry of the platform's lagging list.
+// Listed is an entry of the platform's list of hosts and upstreams.
 type Listed struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
 }
 
-// Client calls one platform. It is safe for concurrent use.
+// Client calls the platform at one address. It is safe for concurrent use.
 type Client struct {
 	*Transport
-	address string
-	timeout time.Duration
-	watch   time.Duration
+	address      string
+	timeout      time.Duration
+	watchTimeout time.Duration
 }
 
-// Options of a client. Zero values mean the defaults.
+// Options configure a client. Zero timeouts mean the defaults.
 type Options struct {
 	Address      string // ip:port
 	Timeout      time.Duration
-	WatchTimeout time.Duration // longer than the platform's own
+	WatchTimeout time.Duration // must be longer than the platform's own timeout for a watch
 }
 
-// New returns a client of the platform at an address.
+// New returns a client.
 func New(o Options) *Client {
 	if o.Timeout == 0 {
 		o.Timeout = DefaultTimeout
@@ -74,21 +76,22 @@
 	if o.WatchTimeout == 0 {
 		o.WatchTimeout = DefaultWatchTimeout
 	}
-	return &Client{Transport: NewTransport(o.Address), address: o.Address, timeout: o.Timeout, watch: o.WatchTimeout}
+	return &Client{Transport: NewTransport(o.Address), address: o.Address, timeout: o.Timeout, watchTimeout: o.WatchTimeout}
 }
 
-// Do carries out one call. A status of Unavailable means that the call surely
-// had no effect, Unknown that a write may have had.
+// Do sends one call and returns its result. ObjectUnavailable means that the call had
+// no effect, ObjectUnknown that a write may or may not have been applied. A value over
+// MaxValueBytes is not sent.
 func (c *Client) Do(ctx context.Context, call core.ObjectCall) core.ObjectResult {
 	result := core.ObjectResult{Tag: call.Tag}
 	if len(call.Value) > MaxValueBytes {
 		result.Status = core.ObjectUnavailable
 		return result
 	}
-	request := encode(c.address, call)
+	request := encodeCall(c.address, call)
 	timeout := c.timeout
 	if call.Op == core.ObjectWatch {
-		timeout = c.watch
+		timeout = c.watchTimeout
 	}
 	response, err := c.Send(ctx, request, timeout)
 	if err != nil {
@@ -98,12 +101,12 @@
 		}
 		return result
 	}
-	decode(&result, call, response)
+	decodeResult(&result, call, response)
 	return result
 }
 
-// encode turns a call into its HTTP request.
-func encode(address string, call core.ObjectCall) *fasthttp.Request {
+// encodeCall returns the HTTP request of a call.
+func encodeCall(address string, call core.ObjectCall) *fasthttp.Request {
 	r := &fasthttp.Request{}
 	version := strconv.FormatUint(call.IfVersion, 10)
 	query := url.Values{}
@@ -138,8 +141,8 @@
 	return r
 }
 
-// decode turns an HTTP answer into a result.
-func decode(result *core.ObjectResult, call core.ObjectCall, r *fasthttp.Response) {
+// decodeResult fills in the result of a call from its HTTP answer.
+func decodeResult(result *core.ObjectResult, call core.ObjectCall, r *fasthttp.Response) {
 	switch r.StatusCode() {
 	case fasthttp.StatusOK:
 		result.Status = core.ObjectOK
@@ -149,7 +152,7 @@
 	case fasthttp.StatusPreconditionFailed:
 		result.Status = core.ObjectConflict
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests, fasthttp.StatusRequestEntityTooLarge, fasthttp.StatusBadRequest:
-		result.Status = core.ObjectUnavailable // the platform says that it did nothing
+		result.Status = core.ObjectUnavailable // these statuses say that the platform did nothing
 		return
 	default:
 		result.Status = core.ObjectUnknown
@@ -167,7 +170,7 @@
 	version, err := strconv.ParseUint(string(r.Header.Peek(HeaderVersion)), 10, 64)
 	if err != nil {
 		if result.Status == core.ObjectOK && call.Op != core.ObjectDelete {
-			result.Status = core.ObjectUnknown // an answer without a version proves nothing
+			result.Status = core.ObjectUnknown // without a version, the answer doesn't show that the write was applied
 		}
 		return
 	}
@@ -177,8 +180,8 @@
 	}
 }
 
-// Hosts returns the platform's list of live and leaving hosts and upstreams.
-// The list lags.
+// Hosts returns the platform's list of live and leaving hosts and upstreams. It may be
+// out of date.
 func (c *Client) Hosts(ctx context.Context) ([]Listed, error) {
 	r := &fasthttp.Request{}
 	r.SetRequestURI("http://" + c.address + PathHosts)
@@ -187,7 +190,7 @@
 		return nil, Error.Wrap(err)
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return nil, Error.New("the host list answered status %d", response.StatusCode())
+		return nil, Error.New("reading the host list failed with status %d", response.StatusCode())
 	}
 	var list []Listed
 	if err := json.Unmarshal(response.Body(), &list); err != nil {
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -14,7 +14,7 @@
 	standin "gentiancroft/internal/standin/platform"
 )
 
-func serve(t *testing.T) (*platform.Client, *standin.Server) {
+func newTestClient(t *testing.T) (*platform.Client, *standin.Server) {
 	server := standin.NewServer(standin.NewStore())
 	h := httptest.NewServer(server.Handler())
 	c := platform.New(platform.Options{Address: h.Listener.Addr().String(), Timeout: 2 * time.Second})
@@ -27,7 +27,7 @@
 
 func TestCallsAndConditions(t *testing.T) {
 	is := is.New(t)
-	c, server := serve(t)
+	c, server := newTestClient(t)
 	do := func(op core.ObjectOp, key, value string, version uint64) core.ObjectResult {
 		return c.Do(context.Background(), core.ObjectCall{Tag: 5, Op: op, Key: key, Value: []byte(value), IfVersion: version})
 	}
@@ -37,7 +37,7 @@
 	is.Equal(made.Tag, uint64(5))
 	again := do(core.ObjectCreate, "a/ü&x", "two", 0)
 	is.Equal(again.Status, core.ObjectConflict)
-	is.Equal(string(again.Object.Value), "one") // a conflict shows what stands
+	is.Equal(string(again.Object.Value), "one") // a conflict returns the stored object
 	changed := do(core.ObjectUpdate, "a/ü&x", "three", made.Object.Version)
 	is.Equal(changed.Status, core.ObjectOK)
 	is.True(changed.Object.Version > made.Object.Version)
@@ -54,7 +54,7 @@
 
 func TestWatchWaitsForSomethingNewer(t *testing.T) {
 	is := is.New(t)
-	c, server := serve(t)
+	c, server := newTestClient(t)
 	first := server.Store.Do(core.ObjectCall{Op: core.ObjectCreate, Key: "w/a", Value: []byte("1")})
 	got := make(chan core.ObjectResult, 1)
 	go func() {
@@ -67,12 +67,12 @@
 	r := <-got
 	is.Equal(r.Status, core.ObjectOK)
 	is.Equal(r.Objects[0].Version, second.Object.Version)
-	is.Equal(server.Store.Calls()[core.ObjectWatch], 1) // a waiting watch is one call
+	is.Equal(server.Store.Calls()[core.ObjectWatch], 1) // a watch that waits is a single call
 }
 
 func TestCloseEndsAWaitingWatch(t *testing.T) {
 	is := is.New(t)
-	c, server := serve(t)
+	c, server := newTestClient(t)
 	got := make(chan core.ObjectResult, 1)
 	go func() {
 		got <- c.Do(context.Background(), core.ObjectCall{Op: core.ObjectWatch, Key: "w/"})
@@ -87,7 +87,7 @@
 
 func TestStatusesOfFailures(t *testing.T) {
 	is := is.New(t)
-	c, server := serve(t)
+	c, server := newTestClient(t)
 	ctx := context.Background()
 	create := core.ObjectCall{Op: core.ObjectCreate, Key: "k", Value: []byte("v")}
 
@@ -96,7 +96,7 @@
 	server.Store.SetDown(false)
 
 	server.Store.DropAnswers(1)
-	is.Equal(c.Do(ctx, create).Status, core.ObjectUnknown) // sent, and no answer
+	is.Equal(c.Do(ctx, create).Status, core.ObjectUnknown) // sent, but not answered
 	is.Equal(c.Do(ctx, create).Status, core.ObjectConflict)
 	is.Equal(server.Store.Total(), 3) // the client sent each call once
 
@@ -130,7 +130,7 @@
 
 func TestStaleReadsAndHostList(t *testing.T) {
 	is := is.New(t)
-	c, server := serve(t)
+	c, server := newTestClient(t)
 	ctx := context.Background()
 	made := server.Store.Do(core.ObjectCall{Op: core.ObjectCreate, Key: "k", Value: []byte("old")})
 	server.Store.StaleReads(true)
--- a/internal/platform/connections.go
+++ b/internal/platform/connections.go
@@ -5,19 +5,21 @@
 	"sync"
 )
 
-// connections are those of one client, so that closing it ends calls that wait.
+// connections are the open connections of one client. Closing them ends pending calls.
 type connections struct {
 	mu     sync.Mutex
 	open   map[*connection]bool
 	closed bool
 }
 
+// connection removes itself from its client's connections when it is closed.
 type connection struct {
 	net.Conn
-	all *connections
+	owner *connections
 }
 
-// add keeps a connection, or refuses it where the client is closed.
+// add registers a connection. If the client is closed, it closes the connection and
+// returns a NotSent error.
 func (c *connections) add(conn net.Conn) (net.Conn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,16 +30,16 @@
 	if c.open == nil {
 		c.open = map[*connection]bool{}
 	}
-	x := &connection{Conn: conn, all: c}
+	x := &connection{Conn: conn, owner: c}
 	c.open[x] = true
 	return x, nil
 }
 
 // Close implements net.Conn.
 func (x *connection) Close() error {
-	x.all.mu.Lock()
-	delete(x.all.open, x)
-	x.all.mu.Unlock()
+	x.owner.mu.Lock()
+	delete(x.owner.open, x)
+	x.owner.mu.Unlock()
 	return x.Conn.Close()
 }
 
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -10,18 +10,18 @@
 	"github.com/zeebo/errs"
 )
 
-// NotSent is the class of calls that surely did not reach the platform.
+// NotSent is the class of errors of calls that were certainly not sent.
 var NotSent = errs.Class("platform: not sent")
 
-// Bounds of a transport.
+// Limits of a transport.
 const (
 	dialTimeout    = 2 * time.Second
-	maxConns       = 256
+	maxConnections = 256
 	maxAnswerBytes = 64 << 20
 )
 
-// Transport sends HTTP calls to one address, each once: whether a call that
-// failed may be sent again is the decision of whoever made it.
+// Transport sends HTTP calls to one address. It sends each call once: whether a failed
+// call may be retried is the caller's decision.
 type Transport struct {
 	http  *fasthttp.HostClient
 	conns connections
@@ -33,12 +33,12 @@
 	t.http = &fasthttp.HostClient{
 		Addr:                     address,
 		Dial:                     t.dial,
-		MaxConns:                 maxConns,
+		MaxConns:                 maxConnections,
 		MaxResponseBodySize:      maxAnswerBytes,
 		NoDefaultUserAgentHeader: true,
 		DisablePathNormalizing:   true,
-		// Invariant: the client sends a call once. A second try is the
-		// decision of the machine that knows whether it is safe.
+		// Invariant: a call is sent once. Only the caller can tell whether a
+		// retry is safe.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) {
 			return false, false
@@ -47,7 +47,7 @@
 	return t
 }
 
-// dial marks its failures as calls that were not sent.
+// dial opens a connection. Its errors are of class NotSent.
 func (t *Transport) dial(address string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -56,16 +56,17 @@
 	return t.conns.add(conn)
 }
 
-// Close ends all connections. A call that waits, such as a watch, ends with an
-// error; a later one is not sent.
+// Close closes all connections. Pending calls, such as a watch, end with an error; later
+// calls are not sent.
 func (t *Transport) Close() { t.conns.close() }
 
-// Unsent tells whether a failed call surely was not sent.
+// Unsent reports whether the call that failed with err was certainly not sent.
 func Unsent(err error) bool {
 	return NotSent.Has(err) || errors.Is(err, fasthttp.ErrNoFreeConns)
 }
 
-// Send runs one exchange until it ends or ctx does.
+// Send sends a request and returns its answer. It gives up after the timeout, or when ctx
+// ends; the request may then still be in flight. Unsent classifies the error.
 func (t *Transport) Send(ctx context.Context, request *fasthttp.Request, timeout time.Duration) (*fasthttp.Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, NotSent.Wrap(err)
@@ -80,7 +81,7 @@
 	select {
 	case err := <-done:
 		if errors.Is(err, fasthttp.ErrTimeout) {
-			t.http.CloseIdleConnections() // others may have fallen silent with this one
+			t.http.CloseIdleConnections() // if the platform has become unresponsive, they hang as well
 		}
 		return response, err
 	case <-ctx.Done():
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,5 +1,7 @@
-// Package upstream speaks to engines and plain services: requests, adapter
-// orders and polls of their load.
+// Package upstream is the HTTP client for upstreams: inference engines and plain
+// services. It sends requests, load and unload orders for adapters, and polls for load
+// reports, over a pool of kept connections. It sends each call once and reports whether
+// the upstream can have received it; whether to retry is the caller's decision.
 package upstream
 
 import (
@@ -18,22 +20,22 @@
 	"gentiancroft/internal/core"
 )
 
-// Classes of failure.
+// Classes of errors.
 var (
-	// NotReached wraps failures before any byte of a request was sent.
+	// NotReached is the class of errors before any byte of a request was sent.
 	NotReached = errs.Class("upstream not reached")
-	// Broken wraps failures after a request was sent.
+	// Broken is the class of errors after a request was sent: the upstream may have run it.
 	Broken = errs.Class("upstream connection broken")
-	// TooLong wraps an answer over its bound.
+	// TooLong is the class of errors for an answer over its maximum size.
 	TooLong = errs.Class("upstream answer too long")
 )
 
-// Limits of what an upstream may send and take.
+// Time and size limits of an exchange with an upstream.
 const (
-	dialTimeout  = 2 * time.Second
-	writeTimeout = 5 * time.Second
-	readBuffer   = 16 << 10 // bytes; also bounds an answer's header
-	// MaxAnswer is the most bytes of an answer that is buffered whole.
+	dialTimeout     = 2 * time.Second
+	writeTimeout    = 5 * time.Second
+	readBufferBytes = 16 << 10 // also the maximum size of an answer's header
+	// MaxAnswer is the maximum size in bytes of an answer that is buffered whole.
 	MaxAnswer = 8 << 20
 )
 
@@ -45,91 +47,91 @@
 	Upstream core.UpstreamID // for the metrics
 	Address  string          // ip:port
 	Method   string
-	Path     string   // with the query
-	Headers  []Header // forwarded from the caller, already filtered
+	Path     string   // including the query
+	Headers  []Header // to forward from the caller, already filtered
 	Body     []byte
 	Request  core.RequestID
 	Adapter  core.AdapterRef // zero for a plain service
 	Class    core.Class
 	Fence    core.Fence
-	Until    core.Instant // not sent from then on, of the client's clock; 0: no bound
-	Once     bool         // on a new connection: no doubt about whether a kept one was already closed
+	Until    core.Instant // by the client's clock; the call is not sent at or after it; 0: no limit
+	Once     bool         // use a new connection: a kept one may already have been closed by the upstream
 
-	// Prepared is the whole request where it is passed through as it came; Method,
-	// Path, Headers, Body and what is derived from them are not used then.
+	// Prepared is the complete request, to be sent unchanged. If it is set, Method,
+	// Path, Headers, Body and the header fields derived from the others are not used.
 	Prepared *fasthttp.Request
-	// Matches tells whether an answer belongs to this call; one that does not is
-	// read and dropped. Nil: every answer does.
+	// Matches reports whether an answer belongs to this call; one that doesn't is
+	// read and discarded. Nil accepts every answer.
 	Matches func(*fasthttp.ResponseHeader) bool
-	// Fresh is the longest that a kept connection may have been idle; 0: as long
-	// as connections are kept.
+	// Fresh is how long a kept connection may have been idle at most; 0: as long as
+	// connections are kept.
 	Fresh time.Duration
 }
 
-// Answer is a response whose body streams. Close it in every case.
+// Answer is a response with a streamed body. It must be closed in every case.
 type Answer struct {
 	Status      int
 	ContentType string
-	NotRun      bool // the upstream says that it did not run the request
+	NotRun      bool // the upstream reports that it did not run the request
 	RetryAfter  string
 	Body        io.Reader
 
-	response *fasthttp.Response
-	conn     *conn
-	stop     func() bool
-	client   *Client
-	keep     bool // the upstream keeps the connection open
-	closed   bool
+	response           *fasthttp.Response
+	conn               *conn
+	stop               func() bool
+	client             *Client
+	connectionReusable bool // the connection stays open after the answer
+	closed             bool
 }
 
-// Header is the answer's header. It is valid until Close.
+// Header returns the answer's header. It is valid until Close.
 func (a *Answer) Header() *fasthttp.ResponseHeader { return &a.response.Header }
 
-// Close ends the call. A connection whose answer was read whole is kept for
-// the next call; an unfinished call is cancelled at the upstream by the
-// closing of its connection.
+// Close ends the call. A connection whose answer was read to its end goes back to the
+// pool; otherwise the connection is closed, which cancels the call at the upstream.
+// Further calls of Close do nothing.
 func (a *Answer) Close() {
 	if a.closed {
 		return
 	}
 	a.closed = true
-	untouched := a.stop()
-	whole := untouched && a.whole()
-	a.conn.keep = keepAlive(a.response.Header.Peek("Keep-Alive"))
-	if !whole {
-		_ = a.conn.Close() // first, so that nothing below waits for the upstream
+	notCancelled := a.stop()
+	reuse := notCancelled && a.readToEnd()
+	a.conn.serverIdleTimeout = parseKeepAlive(a.response.Header.Peek("Keep-Alive"))
+	if !reuse {
+		_ = a.conn.Close() // before the body stream, whose Close would wait for the upstream
 	}
 	_ = a.response.CloseBodyStream()
 	fasthttp.ReleaseResponse(a.response)
-	a.response, a.Body = nil, eof{} // the response is another call's from here on
-	if whole {
+	a.response, a.Body = nil, emptyBody{} // the response may now be reused by another call
+	if reuse {
 		a.client.pool.put(a.conn)
 	}
 }
 
-// whole reports whether the answer was read to its end and nothing follows it.
-func (a *Answer) whole() bool {
-	if !a.keep || a.response.Header.ContentLength() < -1 {
+// readToEnd reports whether the answer was read to its end and no byte follows it.
+func (a *Answer) readToEnd() bool {
+	if !a.connectionReusable || a.response.Header.ContentLength() < -1 {
 		return false
 	}
-	var one [1]byte
-	body, ok := a.Body.(*tail)
+	var next [1]byte
+	body, ok := a.Body.(*trackedBody)
 	if !ok || !body.ended {
 		return false
 	}
-	n, err := a.Body.Read(one[:])
+	n, err := a.Body.Read(next[:])
 	return n == 0 && errors.Is(err, io.EOF) && a.conn.reader.Buffered() == 0
 }
 
-// tail remembers that a body has ended, so that closing never waits for one
-// that has not.
-type tail struct {
+// trackedBody records whether its reader has returned io.EOF, so that closing an
+// answer never waits for the rest of its body.
+type trackedBody struct {
 	io.Reader
 	ended bool
 }
 
 // Read implements io.Reader.
-func (t *tail) Read(p []byte) (int, error) {
+func (t *trackedBody) Read(p []byte) (int, error) {
 	if t.ended {
 		return 0, io.EOF
 	}
@@ -143,25 +145,26 @@
 // conn is a connection to an upstream with its read buffer.
 type conn struct {
 	net.Conn
-	address string
-	reader  *bufio.Reader
-	writer  *bufio.Writer
-	idle    time.Time     // since when it is unused
-	keep    time.Duration // how long the upstream keeps it idle; 0: it did not say
+	address           string
+	reader            *bufio.Reader
+	writer            *bufio.Writer
+	idleSince         time.Time     // when it was put into the pool
+	serverIdleTimeout time.Duration // of the upstream, from its Keep-Alive header; 0: not given
 }
 
-// Client calls upstreams over kept connections.
+// Client calls upstreams over kept connections. It is safe for concurrent use.
 type Client struct {
 	pool     *pool
 	registry metrics.Registry
 	now      func() core.Instant
 
-	// DialTimeout bounds how long a connection may take to open.
+	// DialTimeout is the maximum time for opening a connection.
 	DialTimeout time.Duration
 }
 
-// NewClient returns a client. The registry takes its metrics, nil for a
-// registry of its own; now is the host's clock, nil where no order has a bound.
+// NewClient returns a client. Its metrics go to registry, or to a new one if that is
+// nil. now is the host's clock; with nil, Call.Until is not checked and load reports
+// have no time.
 func NewClient(registry metrics.Registry, now func() core.Instant) *Client {
 	if registry == nil {
 		registry = metrics.NewRegistry()
@@ -169,18 +172,18 @@
 	return &Client{pool: newPool(), registry: registry, now: now, DialTimeout: dialTimeout}
 }
 
-var shared = NewClient(nil, nil)
+var sharedClient = NewClient(nil, nil)
 
-// Do sends a call with a shared client.
-func Do(ctx context.Context, c Call) (*Answer, error) { return shared.Do(ctx, c) }
+// Do sends a call with a client that the process shares; see Client.Do.
+func Do(ctx context.Context, c Call) (*Answer, error) { return sharedClient.Do(ctx, c) }
 
-// Close closes the kept connections.
+// Close closes the kept connections. Later calls still work, but keep none.
 func (c *Client) Close() { c.pool.close() }
 
-// Do sends a call, once. The connection is closed as soon as ctx ends, also
-// before the answer's header. A failure after sending is Broken even where a
-// kept connection was closed at that moment: the upstream may have crashed on
-// this very request, and sending it again is not this client's decision.
+// Do sends a call once and returns its answer. The connection is closed as soon as ctx
+// ends, also before the answer's header. Errors are of class NotReached or Broken. An
+// error after sending is Broken even if the upstream closed a kept connection at that
+// moment: it may have crashed on this very request, so retrying is left to the caller.
 func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
 	c.count(call, "calls")
 	conn, err := c.connect(ctx, call)
@@ -193,7 +196,7 @@
 		return nil, NotReached.New("the ticket ended before the request was sent")
 	}
 	answer, err := c.attempt(ctx, conn, call)
-	return answer, c.failed(call, err)
+	return answer, c.countFailure(call, err)
 }
 
 func (c *Client) connect(ctx context.Context, call Call) (*conn, error) {
@@ -206,7 +209,8 @@
 	return c.dial(ctx, call.Address)
 }
 
-func (c *Client) failed(call Call, err error) error {
+// countFailure counts a failed call and returns its error as Broken, or nil for nil.
+func (c *Client) countFailure(call Call, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -230,7 +234,7 @@
 	return &conn{
 		Conn:    opened,
 		address: address,
-		reader:  bufio.NewReaderSize(opened, readBuffer),
+		reader:  bufio.NewReaderSize(opened, readBufferBytes),
 		writer:  bufio.NewWriter(opened),
 	}, nil
 }
@@ -248,12 +252,13 @@
 	return answer, nil
 }
 
-type eof struct{}
+type emptyBody struct{}
 
 // Read implements io.Reader.
-func (eof) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
-// ReadWhole reads an answer that must fit limit bytes.
+// ReadWhole reads the body of an answer. The error is TooLong if it is over limit
+// bytes, and Broken if it is incomplete.
 func ReadWhole(a *Answer, limit int) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(a.Body, int64(limit)+1))
 	if err != nil {
@@ -265,31 +270,30 @@
 	return b, nil
 }
 
-// settleTime bounds the wait for the end of an answer that is complete by its
-// content.
-const settleTime = time.Second
+// drainTimeout is how long Settle waits for the end of an answer.
+const drainTimeout = time.Second
 
-// Settle ends a call whose content is complete (a stream after [DONE]). It
-// reads the end of the answer in the background, so that the connection can be
-// kept, and closes the connection where that end does not come. The call's
-// context no longer matters.
+// Settle ends a call whose content is complete, such as a stream after [DONE]. It
+// reads the end of the answer in the background so that the connection can be kept,
+// and closes the connection if that end doesn't come within a second. The end of the
+// call's context has no effect afterwards.
 func (a *Answer) Settle() {
 	if !a.stop() {
 		a.Close()
 		return
 	}
 	a.stop = func() bool { return true }
-	_ = a.conn.SetReadDeadline(time.Now().Add(settleTime))
+	_ = a.conn.SetReadDeadline(time.Now().Add(drainTimeout))
 	go func() {
-		n, err := io.Copy(io.Discard, io.LimitReader(a.Body, readBuffer))
+		n, err := io.Copy(io.Discard, io.LimitReader(a.Body, readBufferBytes))
 		_ = a.conn.SetReadDeadline(time.Time{})
-		a.keep = a.keep && n == 0 && err == nil
+		a.connectionReusable = a.connectionReusable && n == 0 && err == nil
 		a.Close()
 	}()
 }
 
-// Dropped reports whether an upstream let go of a connection in the middle of
-// a call, as one does that crashes.
+// Dropped reports whether an upstream closed or reset the connection in the middle of
+// a call, as happens when it crashes.
 func Dropped(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -21,8 +21,9 @@
 
 func address(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 
-// raw answers each connection's first request with fixed bytes and closes it.
-func raw(t *testing.T, answer string) string {
+// rawServer returns the address of a server that answers the first request on each
+// connection with fixed bytes and closes the connection.
+func rawServer(t *testing.T, answer string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	done := make(chan struct{})
@@ -72,9 +73,9 @@
 	is.Equal(connections.Load(), int32(1)) // kept and used again
 	call(false, false)
 	call(false, true)
-	is.Equal(connections.Load(), int32(2)) // an unread answer costs its connection
+	is.Equal(connections.Load(), int32(2)) // the connection of an unread answer is closed
 	call(true, true)
-	is.Equal(connections.Load(), int32(3)) // a call that must run once gets its own
+	is.Equal(connections.Load(), int32(3)) // a call with Once set uses a new connection
 }
 
 func TestTruncatedAnswersAreBroken(t *testing.T) {
@@ -84,14 +85,14 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nsh",
 	} {
-		a, err := Do(context.Background(), Call{Address: raw(t, answer), Method: "GET", Path: "/"})
+		a, err := Do(context.Background(), Call{Address: rawServer(t, answer), Method: "GET", Path: "/"})
 		is.NoErr(err)
 		_, err = ReadWhole(a, MaxAnswer)
 		is.True(Broken.Has(err))
 		a.Close()
 	}
-	_, err := Do(context.Background(), Call{Address: raw(t, ""), Method: "GET", Path: "/"})
-	is.True(Broken.Has(err) && !NotReached.Has(err)) // sent, then lost: may have run
+	_, err := Do(context.Background(), Call{Address: rawServer(t, ""), Method: "GET", Path: "/"})
+	is.True(Broken.Has(err) && !NotReached.Has(err)) // sent, then the connection broke: it may have run
 }
 
 func TestCancelBeforeTheHeaderReachesTheUpstream(t *testing.T) {
@@ -110,7 +111,7 @@
 	<-gone
 }
 
-func TestOrdersStopAtTheEndOfTheirGrant(t *testing.T) {
+func TestOrdersAreNotSentAfterTheirGrantExpired(t *testing.T) {
 	is := is.New(t)
 	var orders atomic.Int32
 	var fence atomic.Value
@@ -126,14 +127,14 @@
 	is.Equal(fence.Load(), "9")
 	now = 11
 	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, Sure: true})
-	is.Equal(orders.Load(), int32(1)) // nothing was sent from Until on
+	is.Equal(orders.Load(), int32(1)) // nothing is sent at or after Until
 	reads := 0
 	o.Now = func() core.Instant { reads++; return core.Instant(10 + reads/2) }
 	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, Sure: true})
-	is.Equal(orders.Load(), int32(1)) // the grant ended while the connection was made
+	is.Equal(orders.Load(), int32(1)) // the grant expired while the connection was being opened
 }
 
-func TestCallsStopAtTheEndOfTheirTicket(t *testing.T) {
+func TestCallsAreNotSentAfterTheirTicketExpired(t *testing.T) {
 	is := is.New(t)
 	var calls atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
@@ -161,5 +162,5 @@
 		Loading:  []core.AdapterRef{{ID: "q", Version: 1}},
 	})
 	body = `{"adapters":[{"name":"quotes"}]}`
-	is.True(!client.Poll(context.Background(), "u", address(s)).OK) // an adapter without a version is none
+	is.True(!client.Poll(context.Background(), "u", address(s)).OK) // a name without a version is not an adapter
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -11,9 +11,9 @@
 	"gentiancroft/internal/core"
 )
 
-// keepAlive reads how long an upstream says it keeps an idle connection; 0
-// where it does not say.
-func keepAlive(field []byte) time.Duration {
+// parseKeepAlive returns the timeout in a Keep-Alive header field: how long the upstream
+// keeps an idle connection. It returns 0 if the field gives none.
+func parseKeepAlive(field []byte) time.Duration {
 	for part := range strings.SplitSeq(string(field), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
@@ -24,7 +24,7 @@
 	return 0
 }
 
-// exchange sends a call and reads the head of its answer.
+// exchange sends a call and reads the header of its answer.
 func exchange(conn *conn, call Call) (*Answer, error) {
 	request := call.Prepared
 	if request == nil {
@@ -44,22 +44,22 @@
 	return newAnswer(conn, response, sent()), nil
 }
 
-// inlineBody is the longest body that is written before the answer is read; a
-// longer one is written beside it, for an upstream may answer before it has
-// read the body.
-const inlineBody = 8 << 10 // bytes
+// maxInlineBodyBytes is the longest body that is written before the answer is read. A
+// longer one is written concurrently, because an upstream may answer before it has read
+// the whole body.
+const maxInlineBodyBytes = 8 << 10
 
-// send writes a request. The function that it returns reports whether all of it
-// has been written.
+// send writes a request. The returned function reports whether all of it has been
+// written.
 func send(conn *conn, request *fasthttp.Request) (sent func() bool, err error) {
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if len(request.Body()) <= inlineBody {
-		return func() bool { return true }, flush(conn, request)
+	if len(request.Body()) <= maxInlineBodyBytes {
+		return func() bool { return true }, writeRequest(conn, request)
 	}
 	copied := &fasthttp.Request{}
-	request.CopyTo(copied) // it outlives the call where the upstream answers early
+	request.CopyTo(copied) // the write may still run when the call has ended
 	done := make(chan error, 1)
-	go func() { done <- flush(conn, copied) }()
+	go func() { done <- writeRequest(conn, copied) }()
 	return func() bool {
 		select {
 		case err := <-done:
@@ -70,22 +70,23 @@
 	}, nil
 }
 
-func flush(conn *conn, request *fasthttp.Request) error {
+func writeRequest(conn *conn, request *fasthttp.Request) error {
 	if err := request.Write(conn.writer); err != nil {
 		return err
 	}
 	return conn.writer.Flush()
 }
 
-// strayAnswers is how many answers to earlier calls are passed over.
-const strayAnswers = 2
+// maxStrayAnswers is how many answers to earlier calls are discarded before a call fails.
+const maxStrayAnswers = 2
 
-// receive reads the head of the answer that belongs to a call.
-func receive(conn *conn, call Call, head bool) (*fasthttp.Response, error) {
-	for range strayAnswers + 1 {
+// receive reads the header of the answer that belongs to a call. isHead is set for a HEAD
+// request, whose answer has no body.
+func receive(conn *conn, call Call, isHead bool) (*fasthttp.Response, error) {
+	for range maxStrayAnswers + 1 {
 		response := fasthttp.AcquireResponse()
 		response.StreamBody = true
-		response.SkipBody = head
+		response.SkipBody = isHead
 		if err := response.ReadLimitBody(conn.reader, MaxAnswer); err != nil {
 			fasthttp.ReleaseResponse(response)
 			return nil, err
@@ -93,16 +94,16 @@
 		if call.Matches == nil || call.Matches(&response.Header) {
 			return response, nil
 		}
-		err := drop(response)
+		err := discard(response)
 		if err != nil {
 			return nil, err
 		}
 	}
-	return nil, Broken.New("no answer to this call among those that came")
+	return nil, Broken.New("none of the answers received belongs to this call")
 }
 
-// drop reads an answer to its end.
-func drop(response *fasthttp.Response) error {
+// discard reads an answer to its end.
+func discard(response *fasthttp.Response) error {
 	defer fasthttp.ReleaseResponse(response)
 	defer func() { _ = response.CloseBodyStream() }()
 	body := response.BodyStream()
@@ -116,22 +117,22 @@
 func newAnswer(conn *conn, response *fasthttp.Response, sent bool) *Answer {
 	var body io.Reader = response.BodyStream()
 	if body == nil {
-		body = eof{}
+		body = emptyBody{}
 	}
 	return &Answer{
-		Status:      response.StatusCode(),
-		ContentType: string(response.Header.ContentType()),
-		NotRun:      string(response.Header.Peek("X-Ran")) == string(core.RanNo),
-		RetryAfter:  string(response.Header.Peek("Retry-After")),
-		Body:        &tail{Reader: body},
-		response:    response,
-		conn:        conn,
-		keep:        sent && !response.ConnectionClose(),
+		Status:             response.StatusCode(),
+		ContentType:        string(response.Header.ContentType()),
+		NotRun:             string(response.Header.Peek("X-Ran")) == string(core.RanNo),
+		RetryAfter:         string(response.Header.Peek("Retry-After")),
+		Body:               &trackedBody{Reader: body},
+		response:           response,
+		conn:               conn,
+		connectionReusable: sent && !response.ConnectionClose(),
 	}
 }
 
-// writeHeader keeps the invariant that only filtered headers and this host's
-// own reach an upstream.
+// writeHeader sets the request line and the header. Invariant: only the call's filtered
+// headers and this host's own reach an upstream.
 func writeHeader(request *fasthttp.Request, call Call) {
 	h := &request.Header
 	h.SetMethod(call.Method)
--- a/internal/upstream/orders.go
+++ b/internal/upstream/orders.go
@@ -8,14 +8,14 @@
 	"gentiancroft/internal/core"
 )
 
-// maxOrderAnswer bounds what an engine may say about an order, in bytes.
-const maxOrderAnswer = 64 << 10
+// maxOrderAnswerBytes is the maximum size of an engine's answer to an order.
+const maxOrderAnswerBytes = 64 << 10
 
-// Orders sends adapter orders to engines.
+// Orders sends load and unload orders for adapters to engines.
 type Orders struct {
-	// Client sends them; nil takes a shared one.
+	// Client sends the orders; nil uses the client that the process shares.
 	Client *Client
-	// Now is the host's clock. Nil sends orders whatever their bound.
+	// Now is the host's clock. With nil, the expiry of an order's grant is not checked.
 	Now func() core.Instant
 }
 
@@ -24,8 +24,9 @@
 	Path string `json:"lora_path,omitempty"`
 }
 
-// Do runs an order to its end. Only an order that never reached the engine, or
-// that the engine refused by its status, is surely without effect.
+// Do carries out an order and returns its result. OrderDone.Sure is false if the order
+// may or may not have taken effect. A failed order certainly has none only if it was never
+// sent, or if the engine's answer says so by a 4xx status or X-Ran: no.
 func (s Orders) Do(ctx context.Context, o core.AdapterOrder) core.OrderDone {
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
@@ -33,12 +34,12 @@
 	if err != nil || s.expired(o) {
 		return core.OrderDone{ID: o.ID, Sure: true}
 	}
-	a, err := s.client().order(ctx, orderCall(o, body), func() bool { return s.expired(o) })
+	a, err := s.client().sendOrder(ctx, orderCall(o, body), func() bool { return s.expired(o) })
 	if err != nil {
 		return core.OrderDone{ID: o.ID, Sure: NotReached.Has(err)}
 	}
 	defer a.Close()
-	if _, err := ReadWhole(a, maxOrderAnswer); err != nil {
+	if _, err := ReadWhole(a, maxOrderAnswerBytes); err != nil {
 		return core.OrderDone{ID: o.ID}
 	}
 	refused := a.Status >= http.StatusBadRequest && a.Status < http.StatusInternalServerError
@@ -55,7 +56,7 @@
 
 func (s Orders) client() *Client {
 	if s.Client == nil {
-		return shared
+		return sharedClient
 	}
 	return s.Client
 }
@@ -64,10 +65,10 @@
 	return s.Now != nil && o.Grant.Until != 0 && !s.Now().Before(o.Grant.Until)
 }
 
-// order sends a call on a new connection unless it has expired once the
-// connection stands: dialling takes time, and an order past its grant may meet
-// the order of another owner.
-func (c *Client) order(ctx context.Context, call Call, expired func() bool) (*Answer, error) {
+// sendOrder sends a call on a new connection, unless expired returns true once the
+// connection is open. Dialling takes time, and an order sent after its grant has expired
+// may conflict with one of the adapter's next owner.
+func (c *Client) sendOrder(ctx context.Context, call Call, expired func() bool) (*Answer, error) {
 	c.count(call, "orders")
 	conn, err := c.dial(ctx, call.Address)
 	if err != nil {
@@ -76,8 +77,8 @@
 	}
 	if expired() {
 		_ = conn.Close()
-		return nil, NotReached.New("the grant ended while the connection was made")
+		return nil, NotReached.New("the grant expired while the connection was being opened")
 	}
 	answer, err := c.attempt(ctx, conn, call)
-	return answer, c.failed(call, err)
+	return answer, c.countFailure(call, err)
 }
--- a/internal/upstream/poll.go
+++ b/internal/upstream/poll.go
@@ -11,10 +11,10 @@
 	"gentiancroft/internal/core"
 )
 
-// pollTimeout bounds a poll; an upstream that is slower counts as failing it.
+// pollTimeout is the maximum time of a poll; a slower upstream has failed it.
 const pollTimeout = time.Second
 
-// LoadReport is what an upstream answers to GET /load.
+// LoadReport is an upstream's answer to GET /load.
 type LoadReport struct {
 	Incarnation string         `json:"incarnation"` // changes when the upstream restarts
 	Running     int            `json:"running"`     // requests in the batch
@@ -30,7 +30,7 @@
 	Running int    `json:"running"`
 }
 
-// Poll asks an upstream for its load. A failed poll gives a report that is not OK.
+// Poll requests an upstream's load report. After a failed poll, the report's OK is false.
 func (c *Client) Poll(ctx context.Context, id core.UpstreamID, address string) core.UpstreamReport {
 	report := core.UpstreamReport{Upstream: id}
 	if c.now != nil {
@@ -48,7 +48,7 @@
 		return report
 	}
 	var load LoadReport
-	if json.Unmarshal(body, &load) != nil || !fill(&report, load) {
+	if json.Unmarshal(body, &load) != nil || !fillReport(&report, load) {
 		c.count(Call{Upstream: id}, "bad_reports")
 		return report
 	}
@@ -56,8 +56,9 @@
 	return report
 }
 
-// fill copies a report; false where it names an adapter that can't be one.
-func fill(report *core.UpstreamReport, load LoadReport) bool {
+// fillReport copies a load report into report. It returns false if a name in it is not
+// an adapter version.
+func fillReport(report *core.UpstreamReport, load LoadReport) bool {
 	report.Incarnation = load.Incarnation
 	report.Running = load.Running
 	report.Waiting = load.Waiting
@@ -79,7 +80,8 @@
 	return true
 }
 
-// ParseAdapter reads "id@version", the name an engine knows an adapter by.
+// ParseAdapter parses "id@version", the name of an adapter version at an engine. It
+// returns false for any other text.
 func ParseAdapter(name string) (core.AdapterRef, bool) {
 	id, version, ok := strings.Cut(name, "@")
 	if !ok || id == "" {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// Bounds of the kept connections. Usual engines close a connection that was
-// idle for five seconds, so none is kept that long.
+// Limits of the kept connections. Common engines close a connection that was idle for
+// five seconds, so by default none is kept that long.
 const (
-	keepIdle  = 3 * time.Second  // where the upstream does not say how long it keeps them
-	keepLong  = 10 * time.Second // where it says longer
-	keepMost  = 64               // per address
-	sweepTime = 10 * time.Second
+	defaultIdleTimeout = 3 * time.Second  // if the upstream gives no Keep-Alive timeout
+	maxIdleTimeout     = 10 * time.Second // if the upstream's timeout is longer
+	maxIdlePerAddress  = 64
+	sweepInterval      = 10 * time.Second
 )
 
-// pool keeps idle connections by address, the latest used on top.
+// pool keeps idle connections by address, with the most recently used last.
 type pool struct {
-	mu     sync.Mutex
-	idle   map[string][]*conn
-	swept  time.Time
-	closed bool
+	mu        sync.Mutex
+	idle      map[string][]*conn
+	lastSweep time.Time
+	closed    bool
 }
 
 func newPool() *pool {
-	return &pool{idle: map[string][]*conn{}, swept: time.Now()}
+	return &pool{idle: map[string][]*conn{}, lastSweep: time.Now()}
 }
 
-// get returns a kept connection that is still open and has not been idle for
-// longer than fresh (0: as long as it may be kept), or nil.
+// get returns a kept connection that is still open and has been idle for less than
+// fresh (0: as long as connections are kept), or nil if there is none.
 func (p *pool) get(address string, fresh time.Duration) *conn {
 	for {
-		c := p.take(address)
+		c := p.pop(address)
 		if c == nil {
 			return nil
 		}
-		if time.Since(c.idle) < c.usable(fresh) && alive(c) {
+		if time.Since(c.idleSince) < c.maxIdle(fresh) && isOpen(c) {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-// usable is how long a connection may have been idle to be used again: well
+// maxIdle returns how long a connection may have been idle to be used again: well
 // within the time after which the upstream closes it.
-func (c *conn) usable(fresh time.Duration) time.Duration {
-	limit := keepIdle
-	if c.keep > 0 {
-		limit = min(keepLong, c.keep*2/3)
+func (c *conn) maxIdle(fresh time.Duration) time.Duration {
+	limit := defaultIdleTimeout
+	if c.serverIdleTimeout > 0 {
+		limit = min(maxIdleTimeout, c.serverIdleTimeout*2/3)
 	}
 	if fresh > 0 {
 		limit = min(limit, fresh)
@@ -56,7 +56,7 @@
 	return limit
 }
 
-func (p *pool) take(address string) *conn {
+func (p *pool) pop(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stack := p.idle[address]
@@ -68,9 +68,9 @@
 	return c
 }
 
-// alive reports whether the other side has neither closed the connection nor
-// sent anything unasked.
-func alive(c *conn) bool {
+// isOpen reports whether the upstream has neither closed the connection nor sent
+// unexpected bytes on it.
+func isOpen(c *conn) bool {
 	_ = c.SetReadDeadline(time.Unix(1, 0))
 	_, err := c.reader.Peek(1)
 	_ = c.SetReadDeadline(time.Time{})
@@ -78,13 +78,13 @@
 }
 
 func (p *pool) put(c *conn) {
-	c.idle = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
-	keep := !p.closed && len(p.idle[c.address]) < keepMost
+	keep := !p.closed && len(p.idle[c.address]) < maxIdlePerAddress
 	if keep {
 		p.idle[c.address] = append(p.idle[c.address], c)
 	}
-	expired := p.sweep(c.idle)
+	expired := p.sweep(c.idleSince)
 	p.mu.Unlock()
 	if !keep {
 		expired = append(expired, c)
@@ -94,18 +94,19 @@
 	}
 }
 
-// sweep removes expired connections of all addresses now and then, so that a
-// replaced upstream leaves nothing behind. The caller holds mu.
+// sweep removes and returns the expired connections of all addresses, at most once per
+// sweepInterval. Without it the connections to a replaced upstream would stay in the
+// pool. The caller holds mu.
 func (p *pool) sweep(now time.Time) []*conn {
-	if now.Sub(p.swept) < sweepTime {
+	if now.Sub(p.lastSweep) < sweepInterval {
 		return nil
 	}
-	p.swept = now
+	p.lastSweep = now
 	var expired []*conn
 	for address, stack := range p.idle {
 		var kept []*conn
 		for _, c := range stack {
-			if now.Sub(c.idle) < c.usable(0) {
+			if now.Sub(c.idleSince) < c.maxIdle(0) {
 				kept = append(kept, c)
 				continue
 			}
