--- a/internal/peer/certs.go
+++ b/internal/peer/certs.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-// clockSkew is how far behind a host's clock may be when a certificate is made.
-const clockSkew = 5 * time.Minute
+// maxClockSkew is how far a host's clock may be behind that of the host that made the
+// certificate: a certificate is valid from that long before its creation.
+const maxClockSkew = 5 * time.Minute
 
-// Authority signs the certificates of a deployment's hosts.
+// Authority is the certificate authority (CA) of a deployment's hosts.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
-	PEM         []byte // the certificate that every host is given
+	PEM         []byte // its certificate, which every host needs
 }
 
 // Identity is one host's certificate and private key in PEM form.
@@ -27,14 +28,14 @@
 	Key         []byte
 }
 
-// NewAuthority makes an authority that is valid for a term. Its private key
-// stays in memory.
-func NewAuthority(name string, term time.Duration) (*Authority, error) {
+// NewAuthority generates an authority with a self-signed certificate. Its private key
+// is kept in memory only.
+func NewAuthority(name string, validity time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, MaterialError.Wrap(err)
 	}
-	template, err := newTemplate(name, term)
+	template, err := newTemplate(name, validity)
 	if err != nil {
 		return nil, err
 	}
@@ -53,19 +54,20 @@
 	return &Authority{certificate: certificate, key: key, PEM: encodePEM("CERTIFICATE", der)}, nil
 }
 
-// Issue makes the certificate of a host, good for both ends of a link.
-func (a *Authority) Issue(host string, term time.Duration) (Identity, error) {
+// Issue generates a host's key and certificate, which serve for accepting and for
+// dialling links.
+func (a *Authority) Issue(host string, validity time.Duration) (Identity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return Identity{}, MaterialError.Wrap(err)
 	}
-	template, err := newTemplate(host, term)
+	template, err := newTemplate(host, validity)
 	if err != nil {
 		return Identity{}, err
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
-	template.DNSNames = []string{hostName}
+	template.DNSNames = []string{certificateDNSName}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &key.PublicKey, a.key)
 	if err != nil {
 		return Identity{}, MaterialError.Wrap(err)
@@ -77,16 +79,16 @@
 	return Identity{Certificate: encodePEM("CERTIFICATE", der), Key: encodePEM("PRIVATE KEY", private)}, nil
 }
 
-// Material issues a host's certificate and returns it ready for New.
-func (a *Authority) Material(host string, term time.Duration) (Material, error) {
-	id, err := a.Issue(host, term)
+// Material issues a host's certificate and returns it as the material that New takes.
+func (a *Authority) Material(host string, validity time.Duration) (Material, error) {
+	id, err := a.Issue(host, validity)
 	if err != nil {
 		return Material{}, err
 	}
 	return ParseMaterial(a.PEM, id.Certificate, id.Key)
 }
 
-// KeyPEM is the authority's private key, for an operator who issues
+// KeyPEM returns the authority's private key as PEM, for an operator who issues more
 // certificates later.
 func (a *Authority) KeyPEM() ([]byte, error) {
 	private, err := x509.MarshalPKCS8PrivateKey(a.key)
@@ -96,7 +98,7 @@
 	return encodePEM("PRIVATE KEY", private), nil
 }
 
-func newTemplate(name string, term time.Duration) (*x509.Certificate, error) {
+func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
 	const serialBits = 127
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
@@ -106,8 +108,8 @@
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    now.Add(-clockSkew),
-		NotAfter:     now.Add(term),
+		NotBefore:    now.Add(-maxClockSkew),
+		NotAfter:     now.Add(validity),
 	}, nil
 }
 
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -9,14 +9,14 @@
 
 // counters are the metrics of a host's links.
 type counters struct {
-	sent, received         metrics.Counter // payloads
-	sentBytes, gotBytes    metrics.Counter
-	dropped, stale, lost   metrics.Counter // payloads: ring full, too old, link broke
-	oversized              metrics.Counter
-	connected, failed      metrics.Counter // dials
-	merged                 metrics.Counter // connections given up for the pair's other one
-	refused, broken        metrics.Counter // inbound links
-	outboundNow, inboundUp metrics.Counter // links open now
+	sent, received                                  metrics.Counter // payloads
+	sentBytes, receivedBytes                        metrics.Counter
+	droppedRingFull, droppedStale, droppedLinkBroke metrics.Counter // payloads dropped: ring full, too old, link broken
+	refusedOversized                                metrics.Counter
+	dialsConnected, dialsFailed                     metrics.Counter
+	dialsMerged                                     metrics.Counter // own connections released in favour of the one that the peer dialled
+	inboundRefused, inboundBroken                   metrics.Counter // inbound connections closed for a bad hello or a bad frame
+	outboundOpen, inboundOpen                       metrics.Counter // links open at present
 }
 
 func newCounters(r metrics.Registry) counters {
@@ -24,26 +24,26 @@
 		return metrics.GetOrRegisterCounter("link."+name, r)
 	}
 	return counters{
-		sent:        counter("sent"),
-		received:    counter("received"),
-		sentBytes:   counter("sent_bytes"),
-		gotBytes:    counter("received_bytes"),
-		dropped:     counter("dropped_ring_full"),
-		stale:       counter("dropped_stale"),
-		lost:        counter("dropped_link_broke"),
-		oversized:   counter("refused_oversized"),
-		connected:   counter("dials_connected"),
-		failed:      counter("dials_failed"),
-		merged:      counter("dials_merged"),
-		refused:     counter("inbound_refused"),
-		broken:      counter("inbound_broken"),
-		outboundNow: counter("outbound_open"),
-		inboundUp:   counter("inbound_open"),
+		sent:             counter("sent"),
+		received:         counter("received"),
+		sentBytes:        counter("sent_bytes"),
+		receivedBytes:    counter("received_bytes"),
+		droppedRingFull:  counter("dropped_ring_full"),
+		droppedStale:     counter("dropped_stale"),
+		droppedLinkBroke: counter("dropped_link_broke"),
+		refusedOversized: counter("refused_oversized"),
+		dialsConnected:   counter("dials_connected"),
+		dialsFailed:      counter("dials_failed"),
+		dialsMerged:      counter("dials_merged"),
+		inboundRefused:   counter("inbound_refused"),
+		inboundBroken:    counter("inbound_broken"),
+		outboundOpen:     counter("outbound_open"),
+		inboundOpen:      counter("inbound_open"),
 	}
 }
 
-// watchCertificate shows how many seconds this host's certificate is still
-// valid, so that operators replace it in time.
+// watchCertificate registers a gauge of the seconds until this host's certificate
+// expires, so that operators can replace it in time. It does nothing if leaf is nil.
 func watchCertificate(r metrics.Registry, leaf *x509.Certificate) {
 	if leaf == nil {
 		return
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -6,18 +6,18 @@
 	"io"
 )
 
-// Sizes of frames on a link.
+// Frame sizes on a link.
 const (
-	// MaxFrame is the largest payload in bytes: a value of the object API with
-	// room for its envelope.
-	MaxFrame    = 1<<20 + 64<<10
-	maxHello    = 256      // bytes
-	bulkFrame   = 64 << 10 // bytes; a larger frame gets a stream of its own
-	lengthBytes = 4
-	eagerBytes  = 64 << 10 // bytes allocated on the word of a length alone
+	// MaxFrame is the maximum size of a payload in bytes: the largest value of the
+	// object API and its envelope.
+	MaxFrame         = 1<<20 + 64<<10
+	maxHelloBytes    = 256
+	bulkFrameBytes   = 64 << 10 // a larger frame is sent on a stream of its own
+	lengthBytes      = 4
+	maxPreallocBytes = 64 << 10 // maximum allocation before any of the payload has arrived
 )
 
-// writeFrame writes a payload behind its length.
+// writeFrame writes a payload after its length (4 bytes, big-endian).
 func writeFrame(w io.Writer, payload []byte) error {
 	if len(payload) > MaxFrame {
 		return FrameError.New("a payload of %d bytes is over the limit of %d", len(payload), MaxFrame)
@@ -31,9 +31,9 @@
 	return nil
 }
 
-// readFrame reads one payload of at most limit bytes. It returns io.EOF where
-// the stream ends between frames. A long payload is allocated as it arrives,
-// not on the word of its length.
+// readFrame reads one payload of at most limit bytes. It returns io.EOF if the stream
+// ends between frames. The buffer of a long payload grows as the payload arrives, so a
+// false length can't exhaust the memory.
 func readFrame(r io.Reader, limit int) ([]byte, error) {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -46,7 +46,7 @@
 	if n > int64(limit) {
 		return nil, FrameError.New("a frame of %d bytes is over the limit of %d", n, limit)
 	}
-	if n <= eagerBytes {
+	if n <= maxPreallocBytes {
 		payload := make([]byte, n)
 		if _, err := io.ReadFull(r, payload); err != nil {
 			return nil, FrameError.Wrap(err)
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -9,76 +9,77 @@
 	"gentiancroft/internal/core"
 )
 
-// Reasons for closing a connection, as peers see them.
+// Reasons for closing a connection, sent to the peer.
 const (
 	closeDone    quic.ApplicationErrorCode = 0
 	closeBusy    quic.ApplicationErrorCode = 1
 	closeRefused quic.ApplicationErrorCode = 2
 )
 
-// inboundLink serves a connection that a peer opened, to its end. The TLS
-// handshake is over: the peer holds a certificate of the authority.
-func (l *Links) inboundLink(conn *quic.Conn) {
-	l.counters.inboundUp.Inc(1)
+// serveInbound reads a connection that a peer opened until it ends. The TLS handshake
+// is complete, so the peer's certificate has been verified.
+func (l *Links) serveInbound(conn *quic.Conn) {
+	l.counters.inboundOpen.Inc(1)
 	l.receive(conn)
-	l.counters.inboundUp.Dec(1)
+	l.counters.inboundOpen.Dec(1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inbound--
 }
 
-// receive reads what a peer sends on a connection that either side opened.
+// receive reads the streams that a peer opens on a connection, whichever side dialled it.
 func (l *Links) receive(conn *quic.Conn) {
-	defer l.forget(conn)
+	defer l.removeVerified(conn)
 	for {
 		stream, err := conn.AcceptUniStream(l.ctx)
 		if err != nil {
 			_ = conn.CloseWithError(closeDone, "")
 			return
 		}
-		l.start(func() { l.readStream(conn, stream) })
+		l.startWorker(func() { l.readStream(conn, stream) })
 	}
 }
 
-// readStream hands on the payloads of one stream. A peer that breaks the
-// protocol loses its connection.
+// readStream passes the payloads of one stream to the handler. On a protocol error it
+// closes the peer's connection.
 func (l *Links) readStream(conn *quic.Conn, stream *quic.ReceiveStream) {
-	from, err := l.hello(conn, stream)
+	from, err := l.readHello(conn, stream)
 	if err != nil {
-		l.counters.refused.Inc(1)
+		l.counters.inboundRefused.Inc(1)
 		_ = conn.CloseWithError(closeRefused, "bad hello")
 		return
 	}
-	l.learn(from, conn)
+	l.addVerified(from, conn)
 	for {
 		payload, err := readFrame(stream, MaxFrame)
 		if errors.Is(err, io.EOF) && !FrameError.Has(err) {
 			return
 		}
 		if err != nil {
-			l.counters.broken.Inc(1)
+			l.counters.inboundBroken.Inc(1)
 			_ = conn.CloseWithError(closeRefused, "bad frame")
 			return
 		}
 		l.counters.received.Inc(1)
-		l.counters.gotBytes.Inc(int64(len(payload)))
+		l.counters.receivedBytes.Inc(int64(len(payload)))
 		l.handler(from, payload)
 	}
 }
 
-// hello reads who the peer says it is and checks it against its certificate.
-func (l *Links) hello(conn *quic.Conn, r io.Reader) (core.HostID, error) {
-	b, err := readFrame(r, maxHello)
+// readHello reads the host identity that a stream starts with and checks it against the
+// peer's certificate.
+func (l *Links) readHello(conn *quic.Conn, r io.Reader) (core.HostID, error) {
+	b, err := readFrame(r, maxHelloBytes)
 	if err != nil {
 		return "", LinkError.Wrap(err)
 	}
 	from := core.HostID(b)
 	if from == "" {
-		return "", FrameError.New("the hello names no host")
+		return "", FrameError.New("the hello contains no host name")
 	}
 	chain := conn.ConnectionState().TLS.PeerCertificates
 	if len(chain) == 0 {
-		return "", FrameError.New("the peer showed no certificate")
+		return "", FrameError.New("the peer presented no certificate")
 	}
 	if !l.settings.Admit(chain[0].Subject.CommonName, from) {
 		return "", FrameError.New("the certificate does not allow this host name")
@@ -86,30 +87,32 @@
 	return from, nil
 }
 
-// learn keeps a connection as the way to a peer that has proved its name.
-func (l *Links) learn(from core.HostID, conn *quic.Conn) {
+// addVerified records a connection on which a peer has proved its identity, so that this
+// host sends on it too.
+func (l *Links) addVerified(from core.HostID, conn *quic.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if conn.Context().Err() == nil {
-		l.opened[from] = conn
+		l.verified[from] = conn
 	}
 }
 
-func (l *Links) forget(conn *quic.Conn) {
+func (l *Links) removeVerified(conn *quic.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for from, c := range l.opened {
+	for from, c := range l.verified {
 		if c == conn {
-			delete(l.opened, from)
+			delete(l.verified, from)
 		}
 	}
 }
 
-// way is a standing connection to a peer, nil where there is none.
-func (l *Links) way(to core.HostID) *quic.Conn {
+// verifiedConn returns an open connection on which the peer has proved its identity, or
+// nil.
+func (l *Links) verifiedConn(to core.HostID) *quic.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	conn := l.opened[to]
+	conn := l.verified[to]
 	if conn == nil || conn.Context().Err() != nil {
 		return nil
 	}
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -1,10 +1,10 @@
-// Package peer carries messages between hosts over QUIC with mutual TLS 1.3.
+// Package peer sends messages between hosts over QUIC with mutual TLS 1.3.
 //
-// A message is an opaque payload. It may be lost (a full ring, a broken link,
-// a peer that is gone) and messages may overtake each other; what must arrive
-// is sent again by the decision that needs it. A host that has something to
-// send uses a connection that the peer opened, or else dials; so a pair of
-// hosts that talk both ways needs one connection, rarely two for a while.
+// A message is an opaque payload. It may be lost (full ring, broken link, failed peer),
+// and messages may arrive out of order; retries are left to the sender. To send, a host
+// uses a connection that the peer opened, or else dials. Two hosts that send to
+// each other therefore need one connection, or for a short time two if both dialled at
+// once.
 package peer
 
 import (
@@ -21,78 +21,79 @@
 	"gentiancroft/internal/core"
 )
 
-// Classes of failure.
+// Classes of errors.
 var (
-	// MaterialError is bad or missing key material.
+	// MaterialError is the class of errors for invalid or missing keys and certificates.
 	MaterialError = errs.Class("link key material")
-	// FrameError is a frame that breaks the protocol.
+	// FrameError is the class of errors for frames that violate the protocol.
 	FrameError = errs.Class("link frame")
-	// LinkError is a link that broke.
+	// LinkError is the class of errors of a failed link.
 	LinkError = errs.Class("link")
 )
 
-// Bounds of the links of one host.
+// Limits of the links of one host.
 const (
-	ringFrames   = 1024             // payloads that wait for one peer
-	ringBytes    = 4 << 20          // bytes that wait for one peer
-	staleAfter   = 3 * time.Second  // a payload that waited longer is worthless
-	idleAfter    = 20 * time.Second // an unused link is closed
-	dialTimeout  = 2 * time.Second
-	writeTimeout = 2 * time.Second
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = 2 * time.Second
-	maxInbound   = 2048 // connections accepted at once
-	maxStreams   = 16   // streams a peer may have open on a connection
+	maxQueuedFrames    = 1024             // queued payloads per peer
+	maxQueuedBytes     = 4 << 20          // queued bytes per peer
+	maxQueueAge        = 3 * time.Second  // an older payload is dropped: newer ones supersede it
+	defaultIdleTimeout = 20 * time.Second // after it, an unused link is closed
+	dialTimeout        = 2 * time.Second
+	writeTimeout       = 2 * time.Second
+	minBackoff         = 50 * time.Millisecond
+	maxBackoff         = 2 * time.Second
+	maxInbound         = 2048 // open connections that were accepted
+	maxStreams         = 16   // streams that a peer may have open on a connection
 )
 
 // Settings of a host's links.
 type Settings struct {
 	Self     core.HostID
-	Listen   string // ip:port; port 0 takes a free one
+	Listen   string // ip:port; port 0 picks a free one
 	Material Material
-	Seed     uint64           // of the backoff jitter
-	Registry metrics.Registry // nil: a registry of its own
-	Idle     time.Duration    // an unused or silent link is closed after it; 0: idleAfter
+	Seed     uint64           // of the backoff's jitter
+	Registry metrics.Registry // nil: a new one
+	Idle     time.Duration    // after it, an unused link or one whose peer doesn't answer is closed; 0: defaultIdleTimeout
 
-	// Admit decides whether the holder of a certificate with this common name
-	// may speak as a host, and so be sent what is meant for it. Nil is NamedHost.
+	// Admit reports whether a peer with a certificate of this common name may send
+	// as a host and receive what is sent to that host. Nil means NamedHost.
 	Admit func(commonName string, host core.HostID) bool
 }
 
-// NamedHost admits a host whose identity is the certificate's common name, or
-// that name followed by a slash and a number of this start.
+// NamedHost reports whether a host's identity is the certificate's common name, or that
+// name followed by a slash and the number of this run of the process.
 func NamedHost(commonName string, host core.HostID) bool {
 	return string(host) == commonName || strings.HasPrefix(string(host), commonName+"/")
 }
 
-// Handler takes a payload from a peer. It is called from several goroutines;
-// while it runs, that peer's link is read no further.
+// Handler is called with each payload received. It is called from several goroutines;
+// while it runs, nothing more is read from the payload's stream.
 type Handler func(from core.HostID, payload []byte)
 
 // Links are a host's connections to its peers.
 type Links struct {
-	settings  Settings
-	handler   Handler
-	idle      time.Duration // an unused link ends after it
-	counters  counters
-	socket    *net.UDPConn
-	transport *quic.Transport
-
-	mu      sync.Mutex
-	closed  bool
-	inbound int
-	peers   map[core.HostID]*outbound
-	opened  map[core.HostID]*quic.Conn // by peers, to be used both ways
-	tasks   sync.WaitGroup
-	ctx     context.Context
-	cancel  context.CancelFunc
-	rng     *core.Rand // held under mu
+	settings    Settings
+	handler     Handler
+	idleTimeout time.Duration // after it, an unused link is closed
+	counters    counters
+	socket      *net.UDPConn
+	transport   *quic.Transport
+
+	mu            sync.Mutex
+	closed        bool
+	inbound       int
+	outboundLinks map[core.HostID]*outbound
+	verified      map[core.HostID]*quic.Conn // connections on which a peer proved its identity, used in both directions
+	workers       sync.WaitGroup
+	ctx           context.Context
+	cancel        context.CancelFunc
+	rng           *core.Rand // guarded by mu
 }
 
-// New binds the socket. Nothing is sent or accepted before Serve.
+// New returns links that are bound to a UDP socket. Connections are accepted once Serve
+// runs.
 func New(s Settings, handler Handler) (*Links, error) {
 	if len(s.Material.Certificate.Certificate) == 0 || s.Material.Authority == nil && s.Material.Trust == nil {
-		return nil, MaterialError.New("a certificate and an authority, or a way to trust without one, are needed")
+		return nil, MaterialError.New("a certificate is required, and an authority or a Trust function")
 	}
 	address, err := net.ResolveUDPAddr("udp", s.Listen)
 	if err != nil {
@@ -109,33 +110,33 @@
 		s.Registry = metrics.NewRegistry()
 	}
 	if s.Idle <= 0 {
-		s.Idle = idleAfter
+		s.Idle = defaultIdleTimeout
 	}
 	watchCertificate(s.Registry, s.Material.Certificate.Leaf)
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Links{
-		settings:  s,
-		handler:   handler,
-		idle:      s.Idle,
-		counters:  newCounters(s.Registry),
-		socket:    socket,
-		transport: &quic.Transport{Conn: socket},
-		peers:     map[core.HostID]*outbound{},
-		opened:    map[core.HostID]*quic.Conn{},
-		ctx:       ctx,
-		cancel:    cancel,
-		rng:       core.NewRand(s.Seed),
+		settings:      s,
+		handler:       handler,
+		idleTimeout:   s.Idle,
+		counters:      newCounters(s.Registry),
+		socket:        socket,
+		transport:     &quic.Transport{Conn: socket},
+		outboundLinks: map[core.HostID]*outbound{},
+		verified:      map[core.HostID]*quic.Conn{},
+		ctx:           ctx,
+		cancel:        cancel,
+		rng:           core.NewRand(s.Seed),
 	}, nil
 }
 
-// Address is the ip:port that peers dial.
+// Address returns the ip:port that peers dial.
 func (l *Links) Address() string { return l.socket.LocalAddr().String() }
 
-// Serve accepts peers until ctx ends, then closes every link and returns once
-// all of them have stopped. It can be called once.
+// Serve accepts connections until ctx ends, then closes every link and returns once all
+// of their goroutines have ended. It can be called once.
 func (l *Links) Serve(ctx context.Context) error {
 	defer l.close()
-	listener, err := l.transport.Listen(l.settings.Material.server(), quicConfig(l.settings.Idle))
+	listener, err := l.transport.Listen(l.settings.Material.serverTLS(), quicConfig(l.settings.Idle))
 	if err != nil {
 		return LinkError.Wrap(err)
 	}
@@ -148,20 +149,20 @@
 			}
 			return LinkError.Wrap(err)
 		}
-		if !l.admit() {
+		if !l.reserveInbound() {
 			_ = conn.CloseWithError(closeBusy, "too many links")
 			continue
 		}
-		l.start(func() { l.inboundLink(conn) })
+		l.startWorker(func() { l.serveInbound(conn) })
 	}
 }
 
-// Send queues a payload for a peer at an ip:port. It never blocks. The payload
-// must not be changed afterwards. False says that it was not queued: it is too
-// large, or the links are closed. True promises no delivery.
+// Send queues a payload for a peer at an ip:port, without blocking. The payload must not
+// be changed afterwards. Send returns false if the payload was not queued because it is
+// too large or the links are closed. A queued payload may still be lost.
 func (l *Links) Send(to core.HostID, address string, payload []byte) bool {
 	if len(payload) > MaxFrame {
-		l.counters.oversized.Inc(1)
+		l.counters.refusedOversized.Inc(1)
 		return false
 	}
 	l.mu.Lock()
@@ -169,48 +170,51 @@
 	if l.closed {
 		return false
 	}
-	p := l.peers[to]
+	p := l.outboundLinks[to]
 	if p == nil {
 		p = newOutbound(l, to, l.rng.Uint64())
-		l.peers[to] = p
-		l.tasks.Add(1)
+		l.outboundLinks[to] = p
+		l.workers.Add(1)
 		go func() {
-			defer l.tasks.Done()
+			defer l.workers.Done()
 			p.run()
 		}()
 	}
 	p.setAddress(address)
-	dropped := p.ring.push(queued{payload: payload, at: time.Now()})
-	l.counters.dropped.Inc(int64(dropped))
+	dropped := p.ring.push(queued{payload: payload, queuedAt: time.Now()})
+	l.counters.droppedRingFull.Inc(int64(dropped))
 	return true
 }
 
-// retire forgets a peer whose ring is empty and reports whether it did. Send
-// pushes under the same lock, so no payload is left in a forgotten ring.
-func (l *Links) retire(p *outbound) bool {
+// removeIfEmpty removes a peer's link if its ring is empty, and reports whether it did.
+// Send pushes under the same lock, so no payload is left in a removed ring.
+func (l *Links) removeIfEmpty(p *outbound) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !p.ring.empty() {
 		return false
 	}
-	delete(l.peers, p.to)
+	delete(l.outboundLinks, p.to)
 	return true
 }
 
-func (l *Links) start(task func()) {
+// startWorker runs a function in a goroutine that close waits for. It does nothing once
+// the links are closed.
+func (l *Links) startWorker(work func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return
 	}
-	l.tasks.Add(1)
+	l.workers.Add(1)
 	go func() {
-		defer l.tasks.Done()
-		task()
+		defer l.workers.Done()
+		work()
 	}()
 }
 
-func (l *Links) admit() bool {
+// reserveInbound counts an accepted connection, or returns false if there are too many.
+func (l *Links) reserveInbound() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.inbound >= maxInbound {
@@ -225,7 +229,7 @@
 	l.closed = true
 	l.mu.Unlock()
 	l.cancel()
-	l.tasks.Wait() // each task says good-bye on its connection; the transport would not
+	l.workers.Wait() // each worker closes its connection with a reason, which the transport wouldn't send
 	_ = l.transport.Close()
 	_ = l.socket.Close()
 }
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -14,7 +14,7 @@
 	"gentiancroft/internal/core"
 )
 
-const testTerm = time.Hour
+const testValidity = time.Hour
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -25,7 +25,7 @@
 
 type testHost struct {
 	*Links
-	got      chan message
+	received chan message
 	registry metrics.Registry
 	stop     func()
 }
@@ -33,12 +33,12 @@
 func startHost(t *testing.T, a *Authority, name string, listen string) *testHost {
 	t.Helper()
 	is := is.New(t)
-	material, err := a.Material(name, testTerm)
+	material, err := a.Material(name, testValidity)
 	is.NoErr(err)
-	h := &testHost{got: make(chan message, 4096), registry: metrics.NewRegistry()}
+	h := &testHost{received: make(chan message, 4096), registry: metrics.NewRegistry()}
 	h.Links, err = New(Settings{
 		Self: core.HostID(name), Listen: listen, Material: material, Registry: h.registry,
-	}, func(from core.HostID, payload []byte) { h.got <- message{from, string(payload)} })
+	}, func(from core.HostID, payload []byte) { h.received <- message{from, string(payload)} })
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -54,70 +54,70 @@
 
 func TestPayloadsArriveBothWaysWithTheirSender(t *testing.T) {
 	is := is.New(t)
-	authority, err := NewAuthority("test", testTerm)
+	authority, err := NewAuthority("test", testValidity)
 	is.NoErr(err)
 	a, b := startHost(t, authority, "a", "127.0.0.1:0"), startHost(t, authority, "b", "127.0.0.1:0")
-	long := string(bytes.Repeat([]byte("x"), bulkFrame+1))
+	long := string(bytes.Repeat([]byte("x"), bulkFrameBytes+1))
 	is.True(a.Send("b", b.Address(), []byte("one")))
-	is.Equal(<-b.got, message{"a", "one"})
+	is.Equal(<-b.received, message{"a", "one"})
 	is.True(b.Send("a", a.Address(), []byte(long)))
-	is.Equal(<-a.got, message{"b", long})
-	is.True(a.Send("b", b.Address(), nil)) // an empty payload is a payload
-	is.Equal(<-b.got, message{"a", ""})
+	is.Equal(<-a.received, message{"b", long})
+	is.True(a.Send("b", b.Address(), nil)) // an empty payload is delivered too
+	is.Equal(<-b.received, message{"a", ""})
 	is.True(!a.Send("b", b.Address(), make([]byte, MaxFrame+1)))
 	is.Equal(a.count("dials_connected"), int64(1)) // one connection serves all payloads
 	is.Equal(b.count("dials_connected"), int64(0)) // and both directions
 }
 
-func TestPeerWithoutTheRightCertificateGetsNothing(t *testing.T) {
+func TestPeerWithoutACertificateOfTheAuthorityIsRejected(t *testing.T) {
 	is := is.New(t)
-	ours, err := NewAuthority("ours", testTerm)
+	ours, err := NewAuthority("ours", testValidity)
 	is.NoErr(err)
-	theirs, err := NewAuthority("theirs", testTerm)
+	theirs, err := NewAuthority("theirs", testValidity)
 	is.NoErr(err)
 	host := startHost(t, ours, "a", "127.0.0.1:0")
-	stranger := startHost(t, theirs, "stranger", "127.0.0.1:0")
-	friend := startHost(t, ours, "friend", "127.0.0.1:0")
-	is.True(stranger.Send("a", host.Address(), []byte("let me in")))
-	is.True(host.Send("stranger", stranger.Address(), []byte("for a friend")))
-	for stranger.count("dials_failed") == 0 || host.count("dials_failed") == 0 {
+	untrusted := startHost(t, theirs, "untrusted", "127.0.0.1:0")
+	trusted := startHost(t, ours, "trusted", "127.0.0.1:0")
+	is.True(untrusted.Send("a", host.Address(), []byte("from an untrusted host")))
+	is.True(host.Send("untrusted", untrusted.Address(), []byte("to an untrusted host")))
+	for untrusted.count("dials_failed") == 0 || host.count("dials_failed") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.True(friend.Send("a", host.Address(), []byte("hello")))
-	is.Equal(<-host.got, message{"friend", "hello"})
-	is.Equal(len(host.got), 0)
-	is.Equal(len(stranger.got), 0)
-	is.Equal(host.count("inbound_refused"), int64(0)) // the handshake failed before any stream
+	is.True(trusted.Send("a", host.Address(), []byte("hello")))
+	is.Equal(<-host.received, message{"trusted", "hello"})
+	is.Equal(len(host.received), 0)
+	is.Equal(len(untrusted.received), 0)
+	is.Equal(host.count("inbound_refused"), int64(0)) // the handshake fails before any stream is opened
 }
 
 func TestAdmitBindsAHostToItsCertificate(t *testing.T) {
 	is := is.New(t)
-	authority, err := NewAuthority("test", testTerm)
+	authority, err := NewAuthority("test", testValidity)
 	is.NoErr(err)
 	host := startHost(t, authority, "a", "127.0.0.1:0")
-	liar := startHost(t, authority, "liar", "127.0.0.1:0")
-	liar.settings.Self = "b"
-	is.True(liar.Send("a", host.Address(), []byte("I am b")))
+	impostor := startHost(t, authority, "impostor", "127.0.0.1:0")
+	impostor.settings.Self = "b"
+	is.True(impostor.Send("a", host.Address(), []byte("I am b")))
 	for host.count("inbound_refused") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(len(host.got), 0)
+	is.Equal(len(host.received), 0)
 	is.True(NamedHost("a", "a/1f") && NamedHost("a", "a") && !NamedHost("a", "ab/1f") && !NamedHost("a", "b"))
 }
 
 func TestLinkIsDialledAgainAfterThePeerRestarts(t *testing.T) {
 	is := is.New(t)
-	authority, err := NewAuthority("test", testTerm)
+	authority, err := NewAuthority("test", testValidity)
 	is.NoErr(err)
 	a, b := startHost(t, authority, "a", "127.0.0.1:0"), startHost(t, authority, "b", "127.0.0.1:0")
 	is.True(a.Send("b", b.Address(), []byte("one")))
-	is.Equal(<-b.got, message{"a", "one"})
+	is.Equal(<-b.received, message{"a", "one"})
 	b.stop()
 	again := startHost(t, authority, "b", b.Address())
-	for i := 0; ; i++ { // loss is tolerated: the sender repeats itself
+	for i := 0; ; i++ { // payloads may be lost, so the sender retries
 		is.True(a.Send("b", b.Address(), fmt.Append(nil, i)))
 		select {
-		case m := <-again.got:
+		case m := <-again.received:
 			is.Equal(m.from, core.HostID("a"))
 			return
 		case <-time.After(10 * time.Millisecond):
@@ -125,41 +125,41 @@
 	}
 }
 
-func TestIdleLinkEndsAndComesBack(t *testing.T) {
+func TestIdleLinkIsClosedAndReopened(t *testing.T) {
 	is := is.New(t)
-	authority, err := NewAuthority("test", testTerm)
+	authority, err := NewAuthority("test", testValidity)
 	is.NoErr(err)
 	a, b := startHost(t, authority, "a", "127.0.0.1:0"), startHost(t, authority, "b", "127.0.0.1:0")
-	a.idle = time.Millisecond
+	a.idleTimeout = time.Millisecond
 	for _, payload := range []string{"one", "two"} {
 		is.True(a.Send("b", b.Address(), []byte(payload)))
-		is.Equal(<-b.got, message{"a", payload})
+		is.Equal(<-b.received, message{"a", payload})
 		for a.count("outbound_open") > 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	left := a.registry.Get("link.certificate_seconds_left").(metrics.Gauge).Value()
-	is.True(left > 0 && left <= int64(testTerm.Seconds()))
+	is.True(left > 0 && left <= int64(testValidity.Seconds()))
 }
 
-func TestPairThatDialledAtOnceSettlesOnOneConnection(t *testing.T) {
+func TestSimultaneousDialsMergeIntoOneConnection(t *testing.T) {
 	is := is.New(t)
-	authority, err := NewAuthority("test", testTerm)
+	authority, err := NewAuthority("test", testValidity)
 	is.NoErr(err)
 	a, b := startHost(t, authority, "a", "127.0.0.1:0"), startHost(t, authority, "b", "127.0.0.1:0")
 	is.True(a.Send("b", b.Address(), []byte("one")))
-	is.Equal(<-b.got, message{"a", "one"})
-	first := b.way("a")
-	b.forget(first) // as if b had dialled before it heard of a's connection
+	is.Equal(<-b.received, message{"a", "one"})
+	first := b.verifiedConn("a")
+	b.removeVerified(first) // as if b had dialled before a's hello arrived
 	is.True(b.Send("a", a.Address(), []byte("two")))
-	is.Equal(<-a.got, message{"b", "two"})
+	is.Equal(<-a.received, message{"b", "two"})
 	is.Equal(b.count("dials_connected"), int64(1))
-	b.learn("a", first)
+	b.addVerified("a", first)
 	is.True(b.Send("a", a.Address(), []byte("three")))
 	is.True(a.Send("b", b.Address(), []byte("four")))
-	is.Equal(<-a.got, message{"b", "three"})
-	is.Equal(<-b.got, message{"a", "four"})
-	is.Equal(b.count("dials_merged"), int64(1)) // b took the connection of the lower identity
+	is.Equal(<-a.received, message{"b", "three"})
+	is.Equal(<-b.received, message{"a", "four"})
+	is.Equal(b.count("dials_merged"), int64(1)) // b switched to the connection that the lower identity dialled
 	is.Equal(a.count("dials_merged"), int64(0)) // and a kept it
 }
 
@@ -169,15 +169,15 @@
 	is.Equal(r.push(queued{payload: []byte("a")}), 0)
 	is.Equal(r.push(queued{payload: []byte("b")}), 0)
 	is.Equal(r.push(queued{payload: []byte("c")}), 1)
-	is.Equal(r.push(queued{payload: make([]byte, 10)}), 2) // the bound on bytes holds as well
-	is.Equal(r.push(queued{payload: make([]byte, 11)}), 1) // one over the bound is kept alone
+	is.Equal(r.push(queued{payload: make([]byte, 10)}), 2) // the limit on bytes applies as well
+	is.Equal(r.push(queued{payload: make([]byte, 11)}), 1) // a payload over the limit is kept if it is the only one
 	q, ok := r.pop()
 	is.True(ok)
 	is.Equal(len(q.payload), 11)
 	is.True(r.empty())
 	old := time.Unix(1, 0)
-	r.push(queued{at: old})
-	r.push(queued{at: old.Add(time.Hour)})
+	r.push(queued{queuedAt: old})
+	r.push(queued{queuedAt: old.Add(time.Hour)})
 	is.Equal(r.dropBefore(old.Add(time.Minute)), 1)
 }
 
@@ -198,7 +198,7 @@
 		next++
 	}
 	is.Equal(next, byte(100))
-	is.True(len(r.items) <= ringStart)
+	is.True(len(r.items) <= initialRingSize)
 }
 
 func FuzzReadFrame(f *testing.F) {
@@ -217,7 +217,7 @@
 			}
 			var back bytes.Buffer
 			is.NoErr(writeFrame(&back, payload))
-			is.Equal(back.Bytes(), b[used:used+back.Len()]) // what is read is what was written
+			is.Equal(back.Bytes(), b[used:used+back.Len()]) // writing the payload again gives the bytes that were read
 			used += back.Len()
 		}
 	})
--- a/internal/peer/material.go
+++ b/internal/peer/material.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// hostName is in the certificate of every host; a host's addresses are not,
-	// for they change with each replacement.
-	hostName = "host.gentiancroft.internal"
-	// protocol is the application protocol of this version of the links.
-	protocol = "gentiancroft-link/1"
+	// certificateDNSName is in the certificate of every host. Addresses are not,
+	// because they change when a host is replaced.
+	certificateDNSName = "host.gentiancroft.internal"
+	// alpnProtocol identifies this version of the link protocol in the TLS handshake.
+	alpnProtocol = "gentiancroft-link/1"
 )
 
-// Material is what a host proves itself and checks others with.
+// Material is a host's own certificate and its means of verifying its peers'.
 type Material struct {
 	Certificate tls.Certificate
-	Authority   *x509.CertPool // nil where Trust decides
+	Authority   *x509.CertPool // nil if Trust is set
 
-	// Trust tells whether a certificate with this fingerprint is that of the host
-	// that its common name gives. It replaces the authority.
+	// Trust reports whether a certificate with this fingerprint belongs to the host
+	// in its common name. If set, it is used instead of the authority.
 	Trust func(host core.HostID, fingerprint string) bool
 }
 
-// NewPinned makes a certificate of a host's own, which others know by its
-// fingerprint: it has no authority and lasts as long as the process.
+// NewPinned generates a self-signed certificate for a host, whose peers verify it by its
+// fingerprint. Its key exists only in this process.
 func NewPinned(host core.HostID, trust func(core.HostID, string) bool) (m Material, fingerprint string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return Material{}, "", MaterialError.Wrap(err)
 	}
-	template, err := newTemplate(string(host), pinnedTerm)
+	template, err := newTemplate(string(host), pinnedValidity)
 	if err != nil {
 		return Material{}, "", err
 	}
@@ -55,28 +55,28 @@
 	return Material{Certificate: certificate, Trust: trust}, Fingerprint(leaf), nil
 }
 
-// pinnedTerm is written into a pinned certificate; nobody checks it.
-const pinnedTerm = 365 * 24 * time.Hour
+// pinnedValidity is the validity of a pinned certificate. Peers don't check it.
+const pinnedValidity = 365 * 24 * time.Hour
 
-// Fingerprint is a hash of a certificate's public key.
+// Fingerprint returns the SHA-256 hash of a certificate's public key in base64.
 func Fingerprint(c *x509.Certificate) string {
 	sum := sha256.Sum256(c.RawSubjectPublicKeyInfo)
 	return base64.RawStdEncoding.EncodeToString(sum[:])
 }
 
-// verify checks a peer's certificate by its fingerprint.
-func (m Material) verify(state tls.ConnectionState) error {
+// verifyFingerprint checks a peer's certificate by its fingerprint.
+func (m Material) verifyFingerprint(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return MaterialError.New("the peer showed no certificate")
+		return MaterialError.New("the peer presented no certificate")
 	}
 	leaf := state.PeerCertificates[0]
 	if !m.Trust(core.HostID(leaf.Subject.CommonName), Fingerprint(leaf)) {
-		return MaterialError.New("the peer's key is not a registered host's")
+		return MaterialError.New("the peer's key is not registered for its host")
 	}
 	return nil
 }
 
-// ParseMaterial reads PEM blocks: the authority's certificate, and the host's
+// ParseMaterial parses PEM blocks: the authority's certificate, and the host's
 // certificate and private key.
 func ParseMaterial(authority, certificate, key []byte) (Material, error) {
 	pair, err := tls.X509KeyPair(certificate, key)
@@ -85,12 +85,12 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return Material{}, MaterialError.New("the authority holds no certificate in PEM form")
+		return Material{}, MaterialError.New("the authority contains no certificate in PEM form")
 	}
 	return Material{Certificate: pair, Authority: pool}, nil
 }
 
-// LoadMaterial reads the files that ParseMaterial describes.
+// LoadMaterial reads files with the PEM blocks that ParseMaterial takes.
 func LoadMaterial(authorityFile, certificateFile, keyFile string) (Material, error) {
 	var blocks [3][]byte
 	for i, name := range []string{authorityFile, certificateFile, keyFile} {
@@ -103,42 +103,43 @@
 	return ParseMaterial(blocks[0], blocks[1], blocks[2])
 }
 
-// server is the accepting side: no peer without a certificate of the authority.
-func (m Material) server() *tls.Config {
+// serverTLS returns the TLS configuration for accepting connections. A peer must present
+// a certificate that the authority signed or Trust accepts.
+func (m Material) serverTLS() *tls.Config {
 	if m.Trust != nil {
 		return &tls.Config{
 			MinVersion:       tls.VersionTLS13,
-			NextProtos:       []string{protocol},
+			NextProtos:       []string{alpnProtocol},
 			Certificates:     []tls.Certificate{m.Certificate},
 			ClientAuth:       tls.RequireAnyClientCert,
-			VerifyConnection: m.verify,
+			VerifyConnection: m.verifyFingerprint,
 		}
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		NextProtos:   []string{protocol},
+		NextProtos:   []string{alpnProtocol},
 		Certificates: []tls.Certificate{m.Certificate},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    m.Authority,
 	}
 }
 
-// client is the dialling side.
-func (m Material) client() *tls.Config {
+// clientTLS returns the TLS configuration for dialling.
+func (m Material) clientTLS() *tls.Config {
 	if m.Trust != nil {
 		return &tls.Config{
 			MinVersion:         tls.VersionTLS13,
-			NextProtos:         []string{protocol},
+			NextProtos:         []string{alpnProtocol},
 			Certificates:       []tls.Certificate{m.Certificate},
-			InsecureSkipVerify: true, // verify checks the key itself
-			VerifyConnection:   m.verify,
+			InsecureSkipVerify: true, // VerifyConnection checks the peer's key
+			VerifyConnection:   m.verifyFingerprint,
 		}
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		NextProtos:   []string{protocol},
+		NextProtos:   []string{alpnProtocol},
 		Certificates: []tls.Certificate{m.Certificate},
 		RootCAs:      m.Authority,
-		ServerName:   hostName,
+		ServerName:   certificateDNSName,
 	}
 }
--- a/internal/peer/outbound.go
+++ b/internal/peer/outbound.go
@@ -11,8 +11,8 @@
 	"gentiancroft/internal/core"
 )
 
-// outbound is the link that this host sends to one peer on. One goroutine runs
-// it from the first payload until it has been idle.
+// outbound is the link for sending to one peer. One goroutine runs it from the first
+// payload until the link has been idle for its timeout.
 type outbound struct {
 	links *Links
 	to    core.HostID
@@ -22,13 +22,13 @@
 	mu      sync.Mutex
 	address string
 
-	conn   *quic.Conn
-	stream *quic.SendStream
-	dialed string // the address, "" where the peer opened the connection
+	conn          *quic.Conn
+	stream        *quic.SendStream
+	dialedAddress string // address of the connection if this host dialled it, else ""
 }
 
 func newOutbound(l *Links, to core.HostID, seed uint64) *outbound {
-	return &outbound{links: l, to: to, ring: newRing(ringFrames, ringBytes), rng: core.NewRand(seed)}
+	return &outbound{links: l, to: to, ring: newRing(maxQueuedFrames, maxQueuedBytes), rng: core.NewRand(seed)}
 }
 
 func (p *outbound) setAddress(a string) {
@@ -43,44 +43,45 @@
 	return p.address
 }
 
-// run sends what the ring holds until the links close or the link is idle.
+// run sends queued payloads until the links close or the link has been idle.
 func (p *outbound) run() {
-	defer p.release()
-	idle := time.NewTimer(p.links.idle)
+	defer p.closeStream()
+	idle := time.NewTimer(p.links.idleTimeout)
 	defer idle.Stop()
 	for {
 		select {
 		case <-p.links.ctx.Done():
 			return
 		case <-idle.C:
-			if p.links.retire(p) {
+			if p.links.removeIfEmpty(p) {
 				return
 			}
 		case <-p.ring.wake:
 			p.drain()
 		}
-		idle.Reset(p.links.idle)
+		idle.Reset(p.links.idleTimeout)
 	}
 }
 
-// drain sends every waiting payload.
+// drain sends all queued payloads. It retries a failed connection with backoff until only
+// stale payloads are left, which it drops.
 func (p *outbound) drain() {
-	backoff := backoffFirst
+	backoff := minBackoff
 	for p.links.ctx.Err() == nil {
 		if !p.connected() {
-			if err := p.dial(); err != nil {
-				p.links.counters.failed.Inc(1)
-				if !p.pause(backoff) {
+			if err := p.connect(); err != nil {
+				p.links.counters.dialsFailed.Inc(1)
+				if !p.waitBackoff(backoff) {
 					return
 				}
-				backoff = min(2*backoff, backoffMost)
+				backoff = min(2*backoff, maxBackoff)
 				p.dropStale()
 				if p.ring.empty() {
 					return
 				}
 				continue
 			}
-			backoff = backoffFirst
+			backoff = minBackoff
 		}
 		q, ok := p.ring.pop()
 		if !ok {
@@ -92,26 +93,26 @@
 
 func (p *outbound) send(q queued) {
 	c := &p.links.counters
-	if time.Since(q.at) > staleAfter {
-		c.stale.Inc(1)
+	if time.Since(q.queuedAt) > maxQueueAge {
+		c.droppedStale.Inc(1)
 		return
 	}
 	if err := p.write(q.payload); err != nil {
-		c.lost.Inc(1)
-		p.hangUp()
+		c.droppedLinkBroke.Inc(1)
+		p.closeConn()
 		return
 	}
 	c.sent.Inc(1)
 	c.sentBytes.Inc(int64(len(q.payload)))
 }
 
-// write sends a payload on the link's stream, or on a stream of its own where
-// it is so long that it would hold the others up.
+// write sends a payload on the link's stream. A payload over bulkFrameBytes is sent on a
+// stream of its own so that it doesn't delay the others.
 func (p *outbound) write(payload []byte) error {
 	stream := p.stream
-	bulk := len(payload) > bulkFrame
+	bulk := len(payload) > bulkFrameBytes
 	if bulk {
-		s, err := p.open()
+		s, err := p.openStream()
 		if err != nil {
 			return err
 		}
@@ -127,37 +128,37 @@
 	return nil
 }
 
-// connected reports whether the link stands and still leads to the peer's
-// present address.
+// connected reports whether the link has an open connection to the peer's current
+// address. It drops a connection that doesn't qualify.
 func (p *outbound) connected() bool {
 	if p.conn == nil {
 		return false
 	}
-	moved := p.dialed != "" && p.dialed != p.currentAddress()
+	moved := p.dialedAddress != "" && p.dialedAddress != p.currentAddress()
 	if moved || p.conn.Context().Err() != nil {
-		p.hangUp()
+		p.closeConn()
 		return false
 	}
-	if p.surplus() {
-		p.links.counters.merged.Inc(1)
-		p.release()
+	if p.isSurplus() {
+		p.links.counters.dialsMerged.Inc(1)
+		p.closeStream()
 		return false
 	}
 	return true
 }
 
-// surplus reports that both hosts of a pair dialled at once. Both then settle
-// on the connection that the host with the lower identity opened; the other
-// one ends once it has been idle.
-func (p *outbound) surplus() bool {
-	return p.dialed != "" && p.to < p.links.settings.Self && p.links.way(p.to) != nil
+// isSurplus reports whether this host should give up the connection that it dialled. If
+// both hosts of a pair dialled at once, both keep the connection that the host with the
+// lower identity opened; the other connection ends by its idle timeout.
+func (p *outbound) isSurplus() bool {
+	return p.dialedAddress != "" && p.to < p.links.settings.Self && p.links.verifiedConn(p.to) != nil
 }
 
-// dial takes a connection that the peer opened, or opens one, and starts this
-// host's stream on it.
-func (p *outbound) dial() error {
-	if conn := p.links.way(p.to); conn != nil {
-		return p.use(conn, "")
+// connect uses the connection on which the peer proved its identity, or dials one, and
+// opens this host's stream on it.
+func (p *outbound) connect() error {
+	if conn := p.links.verifiedConn(p.to); conn != nil {
+		return p.attach(conn, "")
 	}
 	address := p.currentAddress()
 	udp, err := net.ResolveUDPAddr("udp", address)
@@ -166,29 +167,29 @@
 	}
 	ctx, cancel := context.WithTimeout(p.links.ctx, dialTimeout)
 	defer cancel()
-	conn, err := p.links.transport.Dial(ctx, udp, p.links.settings.Material.client(), quicConfig(p.links.settings.Idle))
+	conn, err := p.links.transport.Dial(ctx, udp, p.links.settings.Material.clientTLS(), quicConfig(p.links.settings.Idle))
 	if err != nil {
 		return LinkError.Wrap(err)
 	}
-	p.links.counters.connected.Inc(1)
-	p.links.start(func() { p.links.receive(conn) }) // the peer may answer on it
-	return p.use(conn, address)
+	p.links.counters.dialsConnected.Inc(1)
+	p.links.startWorker(func() { p.links.receive(conn) }) // the peer may send on it
+	return p.attach(conn, address)
 }
 
-func (p *outbound) use(conn *quic.Conn, address string) error {
-	p.conn, p.dialed = conn, address
-	p.links.counters.outboundNow.Inc(1)
-	stream, err := p.open()
+func (p *outbound) attach(conn *quic.Conn, address string) error {
+	p.conn, p.dialedAddress = conn, address
+	p.links.counters.outboundOpen.Inc(1)
+	stream, err := p.openStream()
 	if err != nil {
-		p.hangUp()
+		p.closeConn()
 		return err
 	}
 	p.stream = stream
 	return nil
 }
 
-// open starts a stream with this host's hello.
-func (p *outbound) open() (*quic.SendStream, error) {
+// openStream opens a stream and sends this host's hello, its identity.
+func (p *outbound) openStream() (*quic.SendStream, error) {
 	ctx, cancel := context.WithTimeout(p.links.ctx, dialTimeout)
 	defer cancel()
 	stream, err := p.conn.OpenUniStreamSync(ctx)
@@ -202,29 +203,29 @@
 	return stream, nil
 }
 
-// hangUp closes the connection, which no longer serves.
-func (p *outbound) hangUp() {
+// closeConn closes a broken or outdated connection.
+func (p *outbound) closeConn() {
 	if p.conn == nil {
 		return
 	}
 	_ = p.conn.CloseWithError(closeDone, "")
 	p.conn, p.stream = nil, nil
-	p.links.counters.outboundNow.Dec(1)
+	p.links.counters.outboundOpen.Dec(1)
 }
 
-// release ends this host's stream. The connection stays as long as the peer
-// uses it, and ends by itself once both sides have been silent.
-func (p *outbound) release() {
+// closeStream ends this host's stream. The connection stays open as long as the peer
+// uses it, and ends by its idle timeout.
+func (p *outbound) closeStream() {
 	if p.conn == nil {
 		return
 	}
 	_ = p.stream.Close()
 	p.conn, p.stream = nil, nil
-	p.links.counters.outboundNow.Dec(1)
+	p.links.counters.outboundOpen.Dec(1)
 }
 
-// pause waits about d and reports whether the links are still open.
-func (p *outbound) pause(d time.Duration) bool {
+// waitBackoff waits for d with jitter and reports whether the links are still open.
+func (p *outbound) waitBackoff(d time.Duration) bool {
 	t := time.NewTimer(time.Duration(p.rng.Jitter(int64(d))))
 	defer t.Stop()
 	select {
@@ -235,8 +236,8 @@
 	}
 }
 
-// dropStale empties the ring of payloads that are too old to matter, so that a
-// peer that is gone for good keeps no memory.
+// dropStale drops the payloads that are older than maxQueueAge, so that the ring of a
+// failed peer is freed.
 func (p *outbound) dropStale() {
-	p.links.counters.stale.Inc(int64(p.ring.dropBefore(time.Now().Add(-staleAfter))))
+	p.links.counters.droppedStale.Inc(int64(p.ring.dropBefore(time.Now().Add(-maxQueueAge))))
 }
--- a/internal/peer/pinned_test.go
+++ b/internal/peer/pinned_test.go
@@ -11,13 +11,13 @@
 	"gentiancroft/internal/core"
 )
 
-// register is what the hosts of a test have published of their keys.
-type register struct {
+// keyRegistry holds the key fingerprints that the hosts of a test have published.
+type keyRegistry struct {
 	mu   sync.Mutex
 	keys map[core.HostID]string
 }
 
-func (r *register) publish(h core.HostID, fingerprint string) {
+func (r *keyRegistry) publish(h core.HostID, fingerprint string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.keys == nil {
@@ -26,7 +26,7 @@
 	r.keys[h] = fingerprint
 }
 
-func (r *register) trusts(h core.HostID, fingerprint string) bool {
+func (r *keyRegistry) trusts(h core.HostID, fingerprint string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.keys[h] != "" && r.keys[h] == fingerprint
@@ -37,9 +37,9 @@
 	is := is.New(t)
 	material, fingerprint, err := NewPinned(name, trusts)
 	is.NoErr(err)
-	h = &testHost{got: make(chan message, 16)}
+	h = &testHost{received: make(chan message, 16)}
 	h.Links, err = New(Settings{Self: name, Listen: "127.0.0.1:0", Material: material, Idle: time.Second}, func(from core.HostID, payload []byte) {
-		h.got <- message{from, string(payload)}
+		h.received <- message{from, string(payload)}
 	})
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,31 +49,31 @@
 	return h, fingerprint
 }
 
-func TestPublishedKeysAloneMakeALink(t *testing.T) {
+func TestPinnedKeysSufficeForALink(t *testing.T) {
 	is := is.New(t)
-	keys := &register{}
+	keys := &keyRegistry{}
 	a, keyA := startPinned(t, "a", keys.trusts)
 	b, keyB := startPinned(t, "b", keys.trusts)
 	keys.publish("a", keyA)
 	keys.publish("b", keyB)
 	is.True(a.Send("b", b.Address(), []byte("hello")))
-	is.Equal(<-b.got, message{"a", "hello"})
+	is.Equal(<-b.received, message{"a", "hello"})
 }
 
-func TestAKeyThatIsNotPublishedMakesNoLink(t *testing.T) {
+func TestUnpublishedKeyIsRejected(t *testing.T) {
 	is := is.New(t)
 	refused := make(chan struct{}, 64)
 	b, keyB := startPinned(t, "b", func(core.HostID, string) bool {
 		refused <- struct{}{}
 		return false
 	})
-	keys := &register{}
+	keys := &keyRegistry{}
 	keys.publish("b", keyB)
 	a, _ := startPinned(t, "a", keys.trusts)
 	is.True(a.Send("b", b.Address(), []byte("hello")))
 	<-refused
 	select {
-	case m := <-b.got:
+	case m := <-b.received:
 		t.Fatalf("a payload of an unknown host arrived: %v", m)
 	default:
 	}
