--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -52,7 +52,7 @@
 	is.Equal(server.Store.Total(), 9)
 }
 
-func TestWatchWaitsForSomethingNewer(t *testing.T) {
+func TestWatchWaitsForANewerVersion(t *testing.T) {
 	is := is.New(t)
 	c, server := newTestClient(t)
 	first := server.Store.Do(core.ObjectCall{Op: core.ObjectCreate, Key: "w/a", Value: []byte("1")})
@@ -107,8 +107,8 @@
 	is.NoErr(err)
 	address := l.Addr().String()
 	is.NoErr(l.Close())
-	nobody := platform.New(platform.Options{Address: address})
-	is.Equal(nobody.Do(ctx, core.ObjectCall{Op: core.ObjectGet, Key: "k"}).Status, core.ObjectUnavailable)
+	unreachable := platform.New(platform.Options{Address: address})
+	is.Equal(unreachable.Do(ctx, core.ObjectCall{Op: core.ObjectGet, Key: "k"}).Status, core.ObjectUnavailable)
 
 	ended, cancel := context.WithCancel(ctx)
 	cancel()
@@ -116,7 +116,7 @@
 	is.Equal(c.Do(ctx, core.ObjectCall{Op: core.ObjectGet, Key: "k"}).Status, core.ObjectOK)
 }
 
-func TestSlowStoreMayHaveWritten(t *testing.T) {
+func TestResultOfATimedOutWriteIsUnknown(t *testing.T) {
 	is := is.New(t)
 	server := standin.NewServer(standin.NewStore())
 	h := httptest.NewServer(server.Handler())
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -35,7 +35,7 @@
 	dialTimeout     = 2 * time.Second
 	writeTimeout    = 5 * time.Second
 	readBufferBytes = 16 << 10 // also the maximum size of an answer's header
-	// MaxAnswer is the maximum size in bytes of an answer that is buffered whole.
+	// MaxAnswer is the maximum size in bytes of an answer that is buffered completely.
 	MaxAnswer = 8 << 20
 )
 
