--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -12,10 +12,11 @@
 	"gentiancroft/internal/core"
 )
 
-// retryBroken is when a caller should repeat a request whose answer broke off.
-const retryBroken = time.Second
+// brokenStreamRetryAfter is when a caller may retry a request whose answer was
+// incomplete.
+const brokenStreamRetryAfter = time.Second
 
-// outcomeOK is the outcome of a request that got a whole answer.
+// outcomeOK is the outcome of a request that got a complete answer.
 const outcomeOK core.Code = "ok"
 
 type errorBody struct {
@@ -26,11 +27,11 @@
 	Code       core.Code `json:"code"`
 	Message    string    `json:"message"`
 	Ran        core.Ran  `json:"ran"`
-	RetryAfter float64   `json:"retry_after"` // seconds; 0: asking again does not help
+	RetryAfter float64   `json:"retry_after"` // seconds; 0: a retry doesn't help
 }
 
-// statuses maps codes to HTTP statuses; every other code is 503.
-var statuses = map[core.Code]int{
+// statusByCode maps refusal codes to HTTP statuses; every other code is 503.
+var statusByCode = map[core.Code]int{
 	core.CodeBadRequest:     400,
 	core.CodeKeyNeeded:      400,
 	core.CodeTooLarge:       413,
@@ -62,14 +63,16 @@
 	return body
 }
 
-// lastEvent ends a stream that is not whole. It never looks like [DONE].
-func lastEvent(r *core.Refusal) []byte {
+// errorEvent returns the event that ends an incomplete stream. It can't be mistaken for
+// [DONE].
+func errorEvent(r *core.Refusal) []byte {
 	event := append([]byte("event: error\ndata: "), encodeRefusal(r)...)
 	return append(event, "\n\n"...)
 }
 
-func refuse(ctx *fasthttp.RequestCtx, r *core.Refusal) {
-	status, ok := statuses[r.Code]
+// writeRefusal answers a request with a refusal.
+func writeRefusal(ctx *fasthttp.RequestCtx, r *core.Refusal) {
+	status, ok := statusByCode[r.Code]
 	if !ok {
 		status = fasthttp.StatusServiceUnavailable
 	}
@@ -81,11 +84,11 @@
 	ctx.SetBody(encodeRefusal(r))
 }
 
-// unreadable answers a request that could not even be read.
-func (s *Server) unreadable(ctx *fasthttp.RequestCtx, err error) {
+// handleReadError answers a request that could not be read.
+func (s *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	s.metrics.unreadable.Inc(1)
 	refusal, status := badrequest.Classify(err)
-	refuse(ctx, refusal)
+	writeRefusal(ctx, refusal)
 	if status != 0 {
 		ctx.SetStatusCode(status)
 	}
--- a/internal/entry/answer_test.go
+++ b/internal/entry/answer_test.go
@@ -15,7 +15,7 @@
 	"gentiancroft/internal/exposition"
 )
 
-func (b *bench) ask(request string) (*http.Response, string) {
+func (b *fixture) roundTrip(request string) (*http.Response, string) {
 	c := b.dial()
 	defer c.Close()
 	c.send(request)
@@ -26,44 +26,44 @@
 }
 
 func TestWholeStreamIsPassedOnAndCounted(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		event(w, `{"choices":[{"text":"a"}],"usage":null}`)
 		event(w, `{"choices":[],"usage":{"prompt_tokens":3,"completion_tokens":1}}`)
 		event(w, "[DONE]")
 	})
-	r, body := b.ask(post("/v1/completions", streamBody))
+	r, body := b.roundTrip(post("/v1/completions", streamBody))
 	b.is.Equal(r.Header.Get("X-Adapter"), "quotes@2")
 	b.is.True(r.Header.Get("X-Request-Id") != "")
 	b.is.True(strings.HasSuffix(body, "data: [DONE]\n\n"))
-	e := b.ended()
+	e := b.nextEnded()
 	b.is.Equal(e, node.Ended{ID: e.ID, Attempt: 1, Kind: node.EndOK, Used: 4, Counted: true, Received: 1})
 }
 
 func TestStreamThatIsNotWholeEndsWithATypedEvent(t *testing.T) {
-	cut := core.Refusal{Code: core.CodeKeyWithdrawn, Message: "withdrawn", Ran: core.RanYes}
+	abort := core.Refusal{Code: core.CodeKeyWithdrawn, Message: "withdrawn", Ran: core.RanYes}
 	for name, test := range map[string]struct {
 		engine http.HandlerFunc
-		cut    *core.Refusal
+		abort  *core.Refusal
 		code   core.Code
 		kind   node.EndKind
 	}{
-		"without DONE": {engine: func(http.ResponseWriter, *http.Request) {}, code: core.CodeStreamBroken, kind: node.EndBroken},
-		"torn":         {engine: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, code: core.CodeStreamBroken, kind: node.EndBroken},
+		"without [DONE]":    {engine: func(http.ResponseWriter, *http.Request) {}, code: core.CodeStreamBroken, kind: node.EndBroken},
+		"connection closed": {engine: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, code: core.CodeStreamBroken, kind: node.EndBroken},
 		"error inside": {engine: func(w http.ResponseWriter, _ *http.Request) {
 			event(w, `{"error":{"message":"out of memory"}}`)
 			event(w, "[DONE]")
 		}, code: core.CodeStreamBroken, kind: node.EndBroken},
-		"half an event": {engine: func(w http.ResponseWriter, _ *http.Request) {
+		"incomplete event": {engine: func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte("data: [DONE]\n"))
 		}, code: core.CodeStreamBroken, kind: node.EndBroken},
-		"cut": {engine: func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, cut: &cut, code: core.CodeKeyWithdrawn, kind: node.EndCancelled},
+		"aborted": {engine: func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, abort: &abort, code: core.CodeKeyWithdrawn, kind: node.EndCancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			begun := make(chan struct{})
-			b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+			b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.ReadAll(r.Body)
 				event(w, `{"choices":[{"text":"a"}]}`)
-				<-begun // a failure before the caller saw anything would be tried elsewhere
+				<-begun // a failure before the first event would be retried
 				test.engine(w, r)
 			})
 			c := b.dial()
@@ -72,8 +72,8 @@
 			r := c.response()
 			c.readEvent(r)
 			close(begun)
-			if test.cut != nil {
-				(<-b.exchange).cutWith(test.cut)
+			if test.abort != nil {
+				(<-b.exchange).abortWith(test.abort)
 			}
 			rest, err := io.ReadAll(r.Body)
 			b.is.NoErr(err)
@@ -83,14 +83,14 @@
 			var last errorBody
 			b.is.NoErr(json.Unmarshal([]byte(data), &last))
 			b.is.Equal(last.Error.Code, test.code)
-			e := b.ended()
+			e := b.nextEnded()
 			b.is.Equal(e.Kind, test.kind)
-			b.is.Equal(e.Crashed, name == "torn")
+			b.is.Equal(e.Crashed, name == "connection closed")
 		})
 	}
 }
 
-func TestFailuresBeforeTheFirstByteGoBackToTheNode(t *testing.T) {
+func TestFailuresBeforeTheFirstByteAreReportedToTheNode(t *testing.T) {
 	for name, test := range map[string]struct {
 		first http.HandlerFunc
 		end   node.Ended
@@ -103,14 +103,14 @@
 		"failed":   {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, node.Ended{Kind: node.EndFailed}},
 		"dropped":  {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, node.Ended{Kind: node.EndFailed, Crashed: true}},
 		"no event": {func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Content-Type", "text/event-stream") }, node.Ended{Kind: node.EndFailed}},
-		"torn answer": {func(w http.ResponseWriter, _ *http.Request) {
+		"incomplete answer": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "9")
 			_, _ = w.Write([]byte("short"))
 		}, node.Ended{Kind: node.EndFailed, Crashed: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var attempts atomic.Int32 // each comes on a connection of its own
-			b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+			var attempts atomic.Int32 // incremented by goroutines of different connections
+			b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 				if attempts.Add(1) == 1 {
 					test.first(w, r)
 					return
@@ -124,42 +124,42 @@
 			test.end.ID, test.end.Attempt = arrived.ID, 1
 			b.is.Equal(b.next(), test.end)
 			(<-b.exchange).decisions <- b.dispatch(arrived.ID, 2)
-			r := c.response() // the caller sees nothing of the first attempt
+			r := c.response() // the first attempt's failure is not sent to the caller
 			b.is.Equal(r.StatusCode, 200)
-			b.is.Equal(b.ended(), node.Ended{ID: arrived.ID, Attempt: 2, Kind: node.EndOK, Used: 3, Counted: true, Received: 2})
+			b.is.Equal(b.nextEnded(), node.Ended{ID: arrived.ID, Attempt: 2, Kind: node.EndOK, Used: 3, Counted: true, Received: 2})
 		})
 	}
 }
 
 func TestUnreachedUpstreamIsNotRun(t *testing.T) {
-	b := newBench(t, func(http.ResponseWriter, *http.Request) {})
+	b := newFixture(t, func(http.ResponseWriter, *http.Request) {})
 	b.upstream = "127.0.0.1:1"
 	c := b.dial()
 	defer c.Close()
 	c.send(post("/v1/completions", streamBody))
-	b.is.Equal(b.ended().Kind, node.EndNotRun)
+	b.is.Equal(b.nextEnded().Kind, node.EndNotRun)
 	(<-b.exchange).decisions <- node.Refuse{Refusal: core.Refuse(core.CodeNoUpstream, 1500e6, "none")}
 	r := c.response()
 	b.is.Equal(r.StatusCode, 503)
-	b.is.Equal(r.Header.Get("Retry-After"), "2") // rounded up: never too early
+	b.is.Equal(r.Header.Get("Retry-After"), "2") // rounded up, so that a retry is not too early
 	var body errorBody
 	b.is.NoErr(json.NewDecoder(r.Body).Decode(&body))
 	b.is.Equal(body.Error, errorDetail{Code: core.CodeNoUpstream, Message: "none", Ran: core.RanNo, RetryAfter: 1.5})
 }
 
 func TestReplayGivesTheRecordedOutcome(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	b.node.script = func(x *fakeExchange, a node.Arrive) {
 		x.decisions <- node.Replay{ID: a.ID, Outcome: core.Outcome{Status: 201, ContentType: "text/plain", Body: []byte("booked")}}
 	}
-	r, body := b.ask(post("/bookings", "{}"))
+	r, body := b.roundTrip(post("/bookings", "{}"))
 	b.is.Equal(r.StatusCode, 201)
 	b.is.Equal(body, "booked")
 }
 
 func TestLogHoldsNeitherKeyNorPrompt(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) })
-	b.ask(post("/v1/completions", `{"model":"quotes","prompt":"a secret bathroom"}`))
+	b := newFixture(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) })
+	b.roundTrip(post("/v1/completions", `{"model":"quotes","prompt":"a secret bathroom"}`))
 	b.is.Equal(len(b.logs.Entries), 1)
 	text, err := json.Marshal(b.logs.Entries[0])
 	b.is.NoErr(err)
@@ -169,7 +169,7 @@
 }
 
 func TestExpositionLabelsUpstreams(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	r := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("upstream.drafter-0.calls", r).Inc(2)
 	histogram("entry.total_us", r).Update(7)
--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -9,39 +9,40 @@
 	"gentiancroft/internal/core"
 )
 
-// Bounds on a completion.
+// Limits and defaults of a completion request.
 const (
-	bytesPerToken    = 4 // estimate of a prompt's tokens from its bytes
+	bytesPerToken    = 4 // to estimate a prompt's tokens
 	defaultMaxTokens = 256
 	maxMaxTokens     = 1 << 20
 	maxModelBytes    = 256
 	maxPromptBytes   = 768 << 10
 	maxStops         = 16
 	maxStopBytes     = 256
-	prefixBytes      = 256 // the prompt's head that decides prefix locality
+	prefixBytes      = 256 // of the prompt, hashed for prefix cache affinity
 )
 
-// completion is the body of an OpenAI-compatible request, decoded once. What
-// goes upstream is encoded from it again, so that both sides read the same
-// body whatever tricks (repeated or oddly written names) the caller's holds.
+// completion is the body of an OpenAI-compatible request. It is decoded once, and the
+// upstream's body is encoded from it again. Otherwise an upstream could read another
+// value than this host where a field name is repeated or written unusually.
 type completion struct {
-	fields    map[string]json.RawMessage
-	model     string
-	prompt    []byte // raw JSON of the prompt or of the messages
-	tokens    core.Tokens
-	maxTokens core.Tokens
-	stream    bool
+	fields       map[string]json.RawMessage
+	model        string
+	prompt       []byte      // raw JSON of prompt or messages
+	promptTokens core.Tokens // estimated, unless the prompt is a list of token numbers
+	maxTokens    core.Tokens
+	stream       bool
 }
 
+// malformed returns the refusal of a malformed request.
 func malformed(message string) *core.Refusal { return core.Refuse(core.CodeBadRequest, 0, message) }
 
-// parseCompletion decodes and bounds a body.
+// parseCompletion decodes a body and checks it against the limits.
 func parseCompletion(body []byte) (*completion, *core.Refusal) {
 	c := &completion{}
 	if json.Unmarshal(body, &c.fields) != nil || c.fields == nil {
 		return nil, malformed("the body is not a JSON object of a completion")
 	}
-	for _, step := range []func() *core.Refusal{c.parseModel, c.parsePrompt, c.parseMax, c.parseCount, c.parseStop, c.parseStream} {
+	for _, step := range []func() *core.Refusal{c.parseModel, c.parsePrompt, c.parseMaxTokens, c.parseChoiceCount, c.parseStop, c.parseStream} {
 		if refusal := step(); refusal != nil {
 			return nil, refusal
 		}
@@ -73,11 +74,11 @@
 	if len(c.prompt) > maxPromptBytes {
 		return core.Refuse(core.CodeTooLarge, 0, "the prompt is too long")
 	}
-	c.tokens = core.Tokens(len(c.prompt)/bytesPerToken) + 1
+	c.promptTokens = core.Tokens(len(c.prompt)/bytesPerToken) + 1
 	if chat {
 		return c.parseMessages()
 	}
-	return c.parsePlain()
+	return c.parsePlainPrompt()
 }
 
 func (c *completion) parseMessages() *core.Refusal {
@@ -95,14 +96,14 @@
 	return nil
 }
 
-func (c *completion) parsePlain() *core.Refusal {
+func (c *completion) parsePlainPrompt() *core.Refusal {
 	var text string
 	if json.Unmarshal(c.prompt, &text) == nil && c.prompt[0] == '"' {
 		return nil
 	}
 	var ids []core.Tokens
 	if json.Unmarshal(c.prompt, &ids) == nil && len(ids) > 0 {
-		c.tokens = core.Tokens(len(ids))
+		c.promptTokens = core.Tokens(len(ids))
 		return nil
 	}
 	var one [1]string
@@ -113,7 +114,7 @@
 	return malformed("prompt is not one string or one list of token numbers")
 }
 
-func (c *completion) parseMax() *core.Refusal {
+func (c *completion) parseMaxTokens() *core.Refusal {
 	c.maxTokens = defaultMaxTokens
 	given := 0
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
@@ -129,13 +130,13 @@
 	if given > 1 {
 		return malformed("max_tokens and max_completion_tokens can't both be given")
 	}
-	if given == 0 { // the upstream may generate no more than what is reserved
+	if given == 0 { // the upstream must not generate more than is reserved
 		c.fields["max_tokens"] = strconv.AppendInt(nil, int64(c.maxTokens), 10)
 	}
 	return nil
 }
 
-func (c *completion) parseCount() *core.Refusal {
+func (c *completion) parseChoiceCount() *core.Refusal {
 	for _, name := range []string{"n", "best_of"} {
 		if n, present, ok := c.integer(name); !ok || (present && n != 1) {
 			return malformed(name + " other than 1 is not served")
@@ -171,7 +172,8 @@
 	return nil
 }
 
-// integer reads a whole number; null counts as absent.
+// integer returns a field that must be a whole number. A null field is removed and
+// treated as absent; ok is false if the field is not a whole number.
 func (c *completion) integer(name string) (n int64, present, ok bool) {
 	raw, present := c.fields[name]
 	if !present || string(raw) == "null" {
@@ -182,7 +184,8 @@
 	return n, true, err == nil
 }
 
-// encode is the body for the upstream: it names the exact version.
+// encode returns the body for the upstream, with the exact adapter version as the model.
+// It returns nil if the body can't be encoded.
 func (c *completion) encode(adapter core.AdapterRef) []byte {
 	name, err := json.Marshal(adapter.String())
 	if err != nil {
@@ -196,26 +199,28 @@
 	return body
 }
 
-// undecided are fields that decide nothing about what an upstream runs.
-var undecided = []string{"model", "stream", "stream_options", "user", "metadata"}
+// nonSemanticFields are the fields that don't affect what an upstream computes.
+var nonSemanticFields = []string{"model", "stream", "stream_options", "user", "metadata"}
 
-// deciding lists what an upstream runs, without who asks for it.
-func (c *completion) deciding() []string {
+// semanticParts returns the adapter and the fields that determine what an upstream
+// computes. Requests of different callers for the same work have the same parts.
+func (c *completion) semanticParts() []string {
 	parts := []string{c.adapter()}
 	for _, name := range sortedNames(c.fields) {
-		if !slices.Contains(undecided, name) {
+		if !slices.Contains(nonSemanticFields, name) {
 			parts = append(parts, name, string(c.fields[name]))
 		}
 	}
 	return parts
 }
 
-// head is what requests share that profit from one cached prefix.
-func (c *completion) head() []string {
+// prefixParts returns the adapter and the start of the prompt. Requests that have them in
+// common can use the same prefix cache.
+func (c *completion) prefixParts() []string {
 	return []string{c.adapter(), string(c.prompt[:min(prefixBytes, len(c.prompt))])}
 }
 
-// adapter is the model without its version.
+// adapter returns the model name without its version.
 func (c *completion) adapter() string {
 	name, _, _ := strings.Cut(c.model, "@")
 	return name
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -22,8 +22,8 @@
 
 const testKey = "key-of-a-caller"
 
-// TestMain looks for leaked goroutines. fasthttp's two sleepers are its own: one
-// per process, and one per server that ends within ten seconds of its shutdown.
+// TestMain checks for leaked goroutines. It ignores two of fasthttp: one per process, and
+// one per server that ends within ten seconds after its shutdown.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -32,26 +32,26 @@
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 }
 
-// fakeNode answers each arrival by a script and keeps what it is told.
+// fakeNode calls a script for each request and records the events reported to it.
 type fakeNode struct {
 	script func(*fakeExchange, node.Arrive)
-	told   chan node.Event
+	events chan node.Event
 }
 
 func (n *fakeNode) Begin(a node.Arrive) Exchange {
 	x := &fakeExchange{decisions: make(chan node.Effect, 8)}
-	n.told <- a
+	n.events <- a
 	n.script(x, a)
 	return x
 }
 
-func (n *fakeNode) Tell(e node.Event) { n.told <- e }
+func (n *fakeNode) Tell(e node.Event) { n.events <- e }
 
 type fakeExchange struct {
-	decisions chan node.Effect
-	mu        sync.Mutex
-	cancel    context.CancelFunc
-	cut       *core.Refusal
+	decisions    chan node.Effect
+	mu           sync.Mutex
+	cancel       context.CancelFunc
+	abortRefusal *core.Refusal
 }
 
 func (x *fakeExchange) Decisions() <-chan node.Effect { return x.decisions }
@@ -68,33 +68,33 @@
 func (x *fakeExchange) CutBy() *core.Refusal {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.cut
+	return x.abortRefusal
 }
 
-func (x *fakeExchange) cutWith(r *core.Refusal) {
+func (x *fakeExchange) abortWith(r *core.Refusal) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.cut = r
+	x.abortRefusal = r
 	x.cancel()
 }
 
-// bench is a server before a fake node and one upstream.
-type bench struct {
+// fixture is a server with a fake node and one upstream.
+type fixture struct {
 	is       *is.I
 	node     *fakeNode
 	address  string
 	upstream string
 	logs     *memory.Handler
 	exchange chan *fakeExchange
-	stop     func() // ends the server once all requests are over
+	stop     func() // stops the server after all requests have ended
 }
 
 var quotes = core.AdapterRef{ID: "quotes", Version: 2}
 
-// newBench starts a server; a nil handler leaves requests queued for ever.
-func newBench(t *testing.T, engine http.HandlerFunc, options ...Option) *bench {
-	b := &bench{is: is.New(t), logs: memory.New(), exchange: make(chan *fakeExchange, 16)}
-	b.node = &fakeNode{told: make(chan node.Event, 256), script: func(x *fakeExchange, a node.Arrive) { b.exchange <- x }}
+// newFixture starts a server. With a nil handler, the node makes no decision on requests.
+func newFixture(t *testing.T, engine http.HandlerFunc, options ...Option) *fixture {
+	b := &fixture{is: is.New(t), logs: memory.New(), exchange: make(chan *fakeExchange, 16)}
+	b.node = &fakeNode{events: make(chan node.Event, 256), script: func(x *fakeExchange, a node.Arrive) { b.exchange <- x }}
 	if engine != nil {
 		up := httptest.NewServer(engine)
 		t.Cleanup(up.Close)
@@ -117,15 +117,15 @@
 	return b
 }
 
-func (b *bench) dispatch(id core.RequestID, attempt int) node.Dispatch {
+func (b *fixture) dispatch(id core.RequestID, attempt int) node.Dispatch {
 	return node.Dispatch{ID: id, Attempt: attempt, Upstream: "u", Address: b.upstream, Adapter: quotes, Workspace: "care-homes"}
 }
 
-// next returns the next event that the node was told.
-func (b *bench) next() node.Event { return <-b.node.told }
+// next returns the next event reported to the node.
+func (b *fixture) next() node.Event { return <-b.node.events }
 
-// ended skips to the end of an attempt.
-func (b *bench) ended() node.Ended {
+// nextEnded returns the next end of an attempt and skips other events.
+func (b *fixture) nextEnded() node.Ended {
 	for {
 		if e, ok := b.next().(node.Ended); ok {
 			return e
@@ -133,7 +133,7 @@
 	}
 }
 
-func (b *bench) dial() *caller {
+func (b *fixture) dial() *caller {
 	c, err := net.Dial("tcp", b.address)
 	b.is.NoErr(err)
 	return &caller{Conn: c, reader: bufio.NewReader(c), is: b.is}
@@ -166,7 +166,7 @@
 	return r
 }
 
-// readEvent blocks the way a caller does who follows a stream.
+// readEvent blocks until the next part of a stream has arrived.
 func (c *caller) readEvent(r *http.Response) string {
 	var b [512]byte
 	n, err := r.Body.Read(b[:])
--- a/internal/entry/hangup_test.go
+++ b/internal/entry/hangup_test.go
@@ -18,7 +18,7 @@
 func itoa(n int) string { return strconv.Itoa(n) }
 
 func TestHangUpWhileQueued(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	c := b.dial()
 	c.send(post("/v1/completions", streamBody))
 	arrived := b.next().(node.Arrive)
@@ -28,8 +28,8 @@
 
 func TestHangUpDuringPrefillCancelsTheUpstream(t *testing.T) {
 	running, cancelled := make(chan struct{}), make(chan struct{})
-	b := newBench(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.ReadAll(r.Body) // the server notices a hang-up once it has the body
+	b := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
+		_, _ = io.ReadAll(r.Body) // net/http detects a hang-up only after the body was read
 		close(running)
 		<-r.Context().Done()
 		close(cancelled)
@@ -41,12 +41,12 @@
 	b.is.NoErr(c.Close())
 	<-cancelled
 	b.is.Equal(b.next(), node.Gone{ID: arrived.ID})
-	b.is.Equal(b.ended().Kind, node.EndCancelled)
+	b.is.Equal(b.nextEnded().Kind, node.EndCancelled)
 }
 
 func TestHangUpMidStreamCancelsTheUpstream(t *testing.T) {
 	cancelled := make(chan struct{})
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
 		event(w, `{"choices":[{"text":"a"}]}`)
 		<-r.Context().Done()
@@ -60,18 +60,18 @@
 	b.is.NoErr(c.Close())
 	<-cancelled
 	b.is.Equal(b.next(), node.Gone{ID: arrived.ID})
-	e := b.ended()
+	e := b.nextEnded()
 	b.is.Equal(e.Kind, node.EndCancelled)
 	b.is.Equal(e.Received, core.Tokens(1))
-	b.is.Equal(e.Used, arrived.Prompt+1) // what was not generated is not charged
+	b.is.Equal(e.Used, arrived.Prompt+1) // only the tokens generated so far are charged
 	b.stop()
-	b.is.Equal(b.logs.Entries[0].Fields["outcome"], core.CodeCancelled) // not the upstream's fault
+	b.is.Equal(b.logs.Entries[0].Fields["outcome"], core.CodeCancelled) // not counted as a failure of the upstream
 }
 
 func TestHangUpDuringARecordedAttemptLetsItFinish(t *testing.T) {
 	running, finish := make(chan struct{}), make(chan struct{})
 	registry := metrics.NewRegistry()
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
 		close(running)
 		<-finish
@@ -88,18 +88,18 @@
 	<-running
 	b.is.NoErr(c.Close())
 	for metrics.GetOrRegisterCounter("entry.hung_up", registry).Count() == 0 {
-		time.Sleep(time.Millisecond) // the attempt ends after the hang-up was seen
+		time.Sleep(time.Millisecond) // the attempt must end after the hang-up was detected
 	}
 	close(finish)
 	e := b.next().(node.Ended)
 	b.is.Equal(e.Kind, node.EndOK)
 	b.is.Equal(string(e.Outcome.Body), "booked")
-	b.is.Equal(b.next(), node.Gone{ID: arrived.ID}) // told once the outcome is safe
+	b.is.Equal(b.next(), node.Gone{ID: arrived.ID}) // reported after the outcome
 }
 
-func TestPipelinedRequestsAreKept(t *testing.T) {
+func TestPipelinedRequestsAreServed(t *testing.T) {
 	release := make(chan struct{})
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		body, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(body)
@@ -109,7 +109,7 @@
 		return post("/v1/completions", `{"model":"quotes","prompt":"number `+itoa(i)+`"}`)
 	}
 	c.send(request(0) + request(1) + request(2)[:40])
-	first := b.next().(node.Arrive) // the first is served while the others wait in part
+	first := b.next().(node.Arrive) // the first request is in progress; the third has arrived in part
 	c.send(request(2)[40:])
 	c.send(request(3))
 	close(release)
@@ -119,20 +119,20 @@
 		b.is.True(strings.Contains(string(body), "number "+itoa(i)))
 	}
 	b.is.NoErr(c.Close())
-	for range 7 { // three more arrivals and four ends, and no Gone
+	for range 7 { // three more arrivals and four ends of attempts, but no hang-up
 		switch e := b.next().(type) {
 		case node.Gone:
-			t.Error("a hang-up between requests was taken for one of", e.ID, first.ID)
+			t.Error("a hang-up was reported for a pipelined request:", e.ID, first.ID)
 		}
 	}
 }
 
-func TestSlowCallerIsCancelledAndHoldsNothingUp(t *testing.T) {
+func TestSlowCallerIsCancelledWithoutDelayingOthers(t *testing.T) {
 	cancelled := make(chan struct{})
 	limits := DefaultLimits
 	limits.Stall = 20 * time.Millisecond
 	text := strings.Repeat("x", 32<<10)
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		for strings.Contains(string(body), "endless") && r.Context().Err() == nil {
 			event(w, text)
--- a/internal/entry/port.go
+++ b/internal/entry/node.go
@@ -8,27 +8,29 @@
 	"gentiancroft/internal/host"
 )
 
-// Node decides what becomes of requests. A host is one.
+// Node decides what happens to requests. A host.Host implements it.
 type Node interface {
-	// Begin hands over a request.
+	// Begin starts a request.
 	Begin(node.Arrive) Exchange
-	// Tell reports what happened to a request.
+	// Tell reports an event of a request to the node.
 	Tell(node.Event)
 }
 
-// Exchange is one request as the node sees it.
+// Exchange carries the node's decisions on one request to the server.
 type Exchange interface {
-	// Decisions gives Dispatch, Refuse, Replay or Cut.
+	// Decisions returns the channel of the node's decisions: dispatch, refuse, replay or
+	// abort.
 	Decisions() <-chan node.Effect
-	// Attempt returns the context of an attempt; the node's cancel or cut ends it.
+	// Attempt returns the context of an attempt, which ends when the node cancels the
+	// attempt or aborts the answer.
 	Attempt(parent context.Context) (context.Context, context.CancelFunc)
-	// CutBy is the refusal that a running answer was cut with, or nil.
+	// CutBy returns the refusal with which the node aborted the answer, or nil.
 	CutBy() *core.Refusal
-	// Close forgets the request.
+	// Close ends the exchange. No more decisions are needed.
 	Close()
 }
 
-// hostNode makes a host a Node.
+// hostNode implements Node with a host.
 type hostNode struct{ *host.Host }
 
 // Begin implements Node.
--- a/internal/entry/pages.go
+++ b/internal/entry/pages.go
@@ -11,25 +11,25 @@
 	"gentiancroft/internal/exposition"
 )
 
-// Status is what a host knows about itself and the fleet. Its methods are
-// called from many goroutines.
+// Status gives the state of the host and the fleet. Its methods are called from many
+// goroutines.
 type Status interface {
-	// Ready reports whether the host serves, and if not why.
+	// Ready reports whether the host serves requests, and if not, the reason.
 	Ready() (ok bool, reason string)
-	// Entries tells the holder of a key which hosts to use, near ones first where
-	// the caller names its failure domain.
+	// Entries returns the hosts that the caller with a key should use. If near is not
+	// empty, hosts in that failure domain come first.
 	Entries(keyHash string, near core.Domain) (Entries, *core.Refusal)
-	// Models lists what the holder of a key may ask for.
+	// Models returns the models that the caller with a key may use.
 	Models(keyHash string) ([]Model, *core.Refusal)
 }
 
-// Entries are the callers' addresses that a caller should use.
+// Entries are the addresses of hosts that a caller should send its requests to.
 type Entries struct {
-	Addresses []string      // ip:port, the preferred first
-	Keep      time.Duration // how long the answer may be used
+	Addresses []string      // ip:port, in order of preference
+	Keep      time.Duration // how long a caller may use the addresses
 }
 
-// Model is one adapter version that a caller may name.
+// Model is a model name that a caller may use.
 type Model struct {
 	ID   string // "adapter" or "adapter@version"
 	Base core.BaseModel
@@ -70,25 +70,26 @@
 	near := core.Domain(ctx.QueryArgs().Peek("domain"))
 	e, refusal := s.status.Entries(s.keyHash(ctx), near)
 	if refusal != nil {
-		refuse(ctx, refusal)
+		writeRefusal(ctx, refusal)
 		return
 	}
-	answer(ctx, entriesBody{Entries: e.Addresses, Keep: e.Keep.Seconds()})
+	writeJSON(ctx, entriesBody{Entries: e.Addresses, Keep: e.Keep.Seconds()})
 }
 
 func (s *Server) models(ctx *fasthttp.RequestCtx) {
 	models, refusal := s.status.Models(s.keyHash(ctx))
 	if refusal != nil {
-		refuse(ctx, refusal)
+		writeRefusal(ctx, refusal)
 		return
 	}
 	body := modelsBody{Object: "list", Data: make([]modelBody, 0, len(models))}
 	for _, m := range models {
 		body.Data = append(body.Data, modelBody{ID: m.ID, Object: "model", Owner: "gentiancroft", Parent: m.Base})
 	}
-	answer(ctx, body)
+	writeJSON(ctx, body)
 }
 
+// keyHash returns the hash of the caller's key, or "" if it sent none.
 func (s *Server) keyHash(ctx *fasthttp.RequestCtx) string {
 	key := credential(ctx)
 	if key == "" {
@@ -97,18 +98,19 @@
 	return config.HashKey(s.keySecret, key)
 }
 
-func answer(ctx *fasthttp.RequestCtx, body any) {
+// writeJSON answers a request with body as JSON.
+func writeJSON(ctx *fasthttp.RequestCtx, body any) {
 	b, err := json.Marshal(body)
 	if err != nil {
-		refuse(ctx, &core.Refusal{Code: core.CodeInternal, Message: "the answer can't be encoded", Ran: core.RanNo})
+		writeRefusal(ctx, &core.Refusal{Code: core.CodeInternal, Message: "the answer can't be encoded", Ran: core.RanNo})
 		return
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(b)
 }
 
-// exposition shows the metrics.
-func (s *Server) exposition(ctx *fasthttp.RequestCtx) {
+// serveMetrics answers with the metrics in text form.
+func (s *Server) serveMetrics(ctx *fasthttp.RequestCtx) {
 	ctx.SetContentType(exposition.ContentType)
 	ctx.SetBody(exposition.Text(s.metrics.registry))
 }
--- a/internal/entry/parse_test.go
+++ b/internal/entry/parse_test.go
@@ -15,12 +15,12 @@
 
 func TestCredentialsNeverGoUpstream(t *testing.T) {
 	seen := make(chan *http.Request, 1)
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(strings.NewReader(string(body)))
 		seen <- r
 	})
-	b.ask(post("/v1/completions", streamBody, "X-Api-Key: other", "Cookie: session=1", "Proxy-Authorization: Basic x", "X-Custom: 1", "Traceparent: 00-1"))
+	b.roundTrip(post("/v1/completions", streamBody, "X-Api-Key: other", "Cookie: session=1", "Proxy-Authorization: Basic x", "X-Custom: 1", "Traceparent: 00-1"))
 	r := <-seen
 	for _, name := range []string{"Authorization", "X-Api-Key", "Cookie", "Proxy-Authorization", "X-Custom"} {
 		b.is.Equal(r.Header.Get(name), "")
@@ -29,11 +29,11 @@
 	b.is.Equal(r.Header.Get("X-Adapter"), "quotes@2")
 	var body map[string]any
 	b.is.NoErr(json.NewDecoder(r.Body).Decode(&body))
-	b.is.Equal(body["model"], "quotes@2") // the exact version, whatever the caller wrote
+	b.is.Equal(body["model"], "quotes@2") // the exact version, although the caller gave none
 }
 
 func TestMalformedRequestsNeverReachTheNode(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	completion := func(body string) string { return post("/v1/completions", body) }
 	for _, test := range []struct {
 		request string
@@ -67,22 +67,22 @@
 		{"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 20<<10) + "\r\n\r\n", 431},
 		{"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2000000\r\n\r\n", 413},
 	} {
-		r, body := b.ask(test.request)
-		b.is.Equal(r.StatusCode, test.status) // the status of a malformed request
+		r, body := b.roundTrip(test.request)
+		b.is.Equal(r.StatusCode, test.status) // each case gives its expected status
 		var e errorBody
 		b.is.NoErr(json.Unmarshal([]byte(body), &e))
 		b.is.Equal(e.Error.Ran, core.RanNo)
 	}
-	b.is.Equal(len(b.node.told), 0)
+	b.is.Equal(len(b.node.events), 0)
 }
 
 func TestArrivalDescribesTheRequest(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	b.node.script = func(x *fakeExchange, a node.Arrive) {
 		x.decisions <- node.Refuse{Refusal: core.Refuse(core.CodeUnknownAdapter, 0, "")}
 	}
 	arrival := func(body string) node.Arrive {
-		r, _ := b.ask(post("/v1/completions", body, "X-Request-Timeout: 2.5", "Idempotency-Key: k"))
+		r, _ := b.roundTrip(post("/v1/completions", body, "X-Request-Timeout: 2.5", "Idempotency-Key: k"))
 		b.is.Equal(r.StatusCode, 404)
 		return b.next().(node.Arrive)
 	}
@@ -92,7 +92,7 @@
 	b.is.Equal(one.IdempotencyKey, "k")
 	b.is.Equal(one.Timeout.Seconds(), 2.5)
 	two := arrival(`{"user":"b","stream":true,"model":"m@2","prompt":[5,6,7],"max_tokens":9}`)
-	b.is.Equal(one.Fingerprint, two.Fingerprint) // the same work for an upstream
+	b.is.Equal(one.Fingerprint, two.Fingerprint) // model version, user and stream don't count
 	b.is.Equal(one.Prefix, two.Prefix)
 	b.is.True(one.Body != two.Body)
 	three := arrival(`{"model":"m@1","prompt":[5,6,8],"max_tokens":9}`)
@@ -115,14 +115,14 @@
 			return
 		}
 		is.True(c.maxTokens >= 1 && c.maxTokens <= maxMaxTokens)
-		is.True(c.tokens >= 1)
+		is.True(c.promptTokens >= 1)
 		var sent struct {
 			Model string          `json:"model"`
 			N     *int64          `json:"n"`
 			Max   json.RawMessage `json:"max_tokens"`
 		}
 		is.NoErr(json.Unmarshal(c.encode(quotes), &sent))
-		is.Equal(sent.Model, "quotes@2") // no trick makes the upstream read another model
+		is.Equal(sent.Model, "quotes@2") // the upstream can't read another model
 		is.True(sent.N == nil || *sent.N == 1)
 	})
 }
@@ -136,7 +136,7 @@
 		end := whole.scan(b)
 		var parts events
 		at := 0
-		for i := range b { // the same bytes one by one give the same events
+		for i := range b { // parsing byte by byte gives the same events
 			at += parts.scan(b[at : i+1])
 		}
 		is.Equal(at, end)
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -17,9 +17,9 @@
 	"gentiancroft/internal/upstream"
 )
 
-// backstop is how long after its timeout a request is ended by its handler, in
-// case the node did not.
-const backstop = 5 * time.Second
+// timeoutGrace is how long after a request's timeout its handler ends it, in case the
+// node has not.
+const timeoutGrace = 5 * time.Second
 
 func newRequestID() core.RequestID {
 	var b [12]byte
@@ -27,186 +27,193 @@
 	return core.RequestID(hex.EncodeToString(b[:]))
 }
 
-// task serves one caller request from its parsing to the end of its answer.
+// task serves one request from its arrival to the end of its answer.
 type task struct {
-	server  *Server
-	request *inbound
-	x       Exchange
-	conn    *hangup.Conn // nil where hang-ups can't be seen
-	line    line
+	server   *Server
+	request  *parsedRequest
+	exchange Exchange
+	conn     *hangup.Conn // nil if hang-ups can't be detected
+	line     requestLog
 
-	ctx     context.Context // ends at once when the caller hangs up
-	cancel  context.CancelFunc
-	told    chan struct{} // closed once the node knows that the caller is gone
-	mu      sync.Mutex
-	gone    bool
-	keeping bool // a recorded attempt runs: it is not cancelled by a hang-up
+	ctx            context.Context // ends when the caller hangs up, but not during a recorded attempt
+	cancel         context.CancelFunc
+	hangUpReported chan struct{} // closed once the hang-up was reported to the node
+	mu             sync.Mutex
+	hungUp         bool // the caller has hung up
+	recording      bool // a recorded attempt runs, which a hang-up doesn't cancel
 }
 
-// request serves one caller request up to the start of its answer.
-func (s *Server) request(ctx *fasthttp.RequestCtx) {
+// serveRequest serves one request up to the start of its answer.
+func (s *Server) serveRequest(ctx *fasthttp.RequestCtx) {
 	id := newRequestID()
 	ctx.Response.Header.Set("X-Request-Id", string(id))
 	s.metrics.requests.Inc(1)
-	t := &task{server: s, line: newLine(s, id), told: make(chan struct{})}
-	inbound, refusal := s.parse(ctx, id)
+	t := &task{server: s, line: newRequestLog(s, id), hangUpReported: make(chan struct{})}
+	parsed, refusal := s.parse(ctx, id)
 	if refusal != nil {
-		t.line.end(refusal.Code)
-		refuse(ctx, refusal)
+		t.line.write(refusal.Code)
+		writeRefusal(ctx, refusal)
 		return
 	}
-	t.request = inbound
-	t.line.model = inbound.arrive.Model
-	t.ctx, t.cancel = context.WithTimeout(context.Background(), inbound.arrive.Timeout+backstop)
-	t.x = s.node.Begin(inbound.arrive)
-	t.conn = hangup.Watch(ctx.Conn(), t.hangUp) // after Begin, so that Gone never overtakes the arrival
+	t.request = parsed
+	t.line.model = parsed.arrival.Model
+	t.ctx, t.cancel = context.WithTimeout(context.Background(), parsed.arrival.Timeout+timeoutGrace)
+	t.exchange = s.node.Begin(parsed.arrival)
+	t.conn = hangup.Watch(ctx.Conn(), t.hangUp) // after Begin, so that the node receives the request before its hang-up
 	t.serve(ctx)
 }
 
-// hangUp ends the request's work. An attempt whose outcome is being recorded
-// runs on, so that a repeat gets the outcome and not "unknown".
+// hangUp records that the caller hung up and cancels the request's work. A recorded
+// attempt continues, so that a retry with the same idempotency key gets its outcome and
+// not an unknown result; the hang-up is then reported after it.
 func (t *task) hangUp() {
 	t.mu.Lock()
-	first := !t.gone
-	t.gone = true
-	keeping := t.keeping
+	first := !t.hungUp
+	t.hungUp = true
+	recording := t.recording
 	t.mu.Unlock()
 	if !first {
 		return
 	}
-	t.server.metrics.gone.Inc(1)
-	if !keeping {
-		t.tellGone()
+	t.server.metrics.hungUp.Inc(1)
+	if !recording {
+		t.reportHangUp()
 	}
 }
 
-func (t *task) tellGone() {
+// reportHangUp cancels the request's work and reports the hang-up to the node.
+func (t *task) reportHangUp() {
 	t.cancel()
-	t.server.node.Tell(node.Gone{ID: t.request.arrive.ID})
-	close(t.told)
+	t.server.node.Tell(node.Gone{ID: t.request.arrival.ID})
+	close(t.hangUpReported)
 }
 
-func (t *task) isGone() bool {
+func (t *task) hasHungUp() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.gone
+	return t.hungUp
 }
 
-// keep guards a recorded attempt from hang-ups; false where the caller has
-// gone before it began.
-func (t *task) keep() bool {
+// startRecorded marks that a recorded attempt runs, so that a hang-up doesn't cancel it.
+// It returns false if the caller has already hung up.
+func (t *task) startRecorded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.keeping = !t.gone
-	return t.keeping
+	t.recording = !t.hungUp
+	return t.recording
 }
 
-// unkeep ends the guard and tells of a hang-up that came meanwhile.
-func (t *task) unkeep() {
+// endRecorded marks the end of a recorded attempt and reports a hang-up that happened
+// during it.
+func (t *task) endRecorded() {
 	t.mu.Lock()
-	t.keeping = false
-	gone := t.gone
+	t.recording = false
+	hungUp := t.hungUp
 	t.mu.Unlock()
-	if gone {
-		t.tellGone()
+	if hungUp {
+		t.reportHangUp()
 	}
 }
 
-// serve follows the node's decisions until the answer has begun or the request
-// has ended.
+// serve carries out the node's decisions until the answer has started or the request has
+// ended.
 func (t *task) serve(ctx *fasthttp.RequestCtx) {
 	for {
 		select {
 		case <-t.ctx.Done():
-			t.abandoned(ctx)
+			t.handleCancelled(ctx)
 			return
-		case decision := <-t.x.Decisions():
-			if t.decided(ctx, decision) {
+		case decision := <-t.exchange.Decisions():
+			if t.carryOut(ctx, decision) {
 				return
 			}
 		}
 	}
 }
 
-// abandoned ends a request whose caller is gone or whose time is long over.
-func (t *task) abandoned(ctx *fasthttp.RequestCtx) {
-	if t.isGone() {
-		t.refused(ctx, &core.Refusal{Code: core.CodeCancelled, Message: "the caller hung up", Ran: core.RanUnknown})
+// handleCancelled ends a request after a hang-up or after its timeout and timeoutGrace.
+func (t *task) handleCancelled(ctx *fasthttp.RequestCtx) {
+	if t.hasHungUp() {
+		t.endRefused(ctx, &core.Refusal{Code: core.CodeCancelled, Message: "the caller hung up", Ran: core.RanUnknown})
 		return
 	}
 	t.hangUp()
-	t.refused(ctx, &core.Refusal{Code: core.CodeDeadline, Message: "no answer in time", Ran: core.RanUnknown})
+	t.endRefused(ctx, &core.Refusal{Code: core.CodeDeadline, Message: "no answer in time", Ran: core.RanUnknown})
 }
 
-// decided carries out a decision and reports whether the request needs no more.
-func (t *task) decided(ctx *fasthttp.RequestCtx, decision node.Effect) bool {
+// carryOut carries out a decision. It returns true if the request needs no further
+// decisions.
+func (t *task) carryOut(ctx *fasthttp.RequestCtx, decision node.Effect) bool {
 	switch d := decision.(type) {
 	case node.Refuse:
-		t.refused(ctx, d.Refusal)
+		t.endRefused(ctx, d.Refusal)
 	case node.Cut:
-		t.refused(ctx, d.Refusal)
+		t.endRefused(ctx, d.Refusal)
 	case node.Replay:
-		t.whole(ctx, d.Outcome)
+		t.writeOutcome(ctx, d.Outcome)
 		ctx.Response.Header.Set("X-Replayed", "true")
 		t.finish(core.Code("replayed"))
 	case node.Dispatch:
-		return t.attempt(ctx, d)
+		return t.runAttempt(ctx, d)
 	default:
 		return false
 	}
 	return true
 }
 
-func (t *task) refused(ctx *fasthttp.RequestCtx, r *core.Refusal) {
-	refuse(ctx, r)
+// endRefused ends the request with a refusal.
+func (t *task) endRefused(ctx *fasthttp.RequestCtx, r *core.Refusal) {
+	writeRefusal(ctx, r)
 	t.finish(r.Code)
 }
 
-func (t *task) whole(ctx *fasthttp.RequestCtx, o core.Outcome) {
+// writeOutcome writes a complete answer.
+func (t *task) writeOutcome(ctx *fasthttp.RequestCtx, o core.Outcome) {
 	ctx.SetStatusCode(o.Status)
 	ctx.SetContentType(o.ContentType)
 	ctx.SetBody(o.Body)
 }
 
-// finish ends the request on this host.
+// finish releases what the task holds and writes the request's log line.
 func (t *task) finish(outcome core.Code) {
 	if t.conn != nil {
 		t.conn.Release()
 	}
 	t.cancel()
-	t.x.Close()
-	t.line.end(outcome)
+	t.exchange.Close()
+	t.line.write(outcome)
 }
 
-// attempt runs one attempt and reports whether the answer has begun.
-func (t *task) attempt(ctx *fasthttp.RequestCtx, d node.Dispatch) bool {
-	t.line.dispatched(d)
-	if d.Record && !t.keep() {
-		t.ended(node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: node.EndNotRun})
+// runAttempt carries out one attempt. It returns true if the answer has started.
+func (t *task) runAttempt(ctx *fasthttp.RequestCtx, d node.Dispatch) bool {
+	t.line.addDispatch(d)
+	if d.Record && !t.startRecorded() {
+		t.attemptEnded(node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: node.EndNotRun})
 		return false
 	}
-	attempt, cancel := t.x.Attempt(t.ctx)
-	if t.begin(ctx, d, attempt, cancel) {
+	attempt, cancel := t.exchange.Attempt(t.ctx)
+	if t.sendAttempt(ctx, d, attempt, cancel) {
 		return true
 	}
 	if d.Record {
-		t.unkeep()
+		t.endRecorded()
 	}
 	cancel()
 	return false
 }
 
-// begin sends the attempt. A failed attempt is told to the node, which decides
-// what comes next.
-func (t *task) begin(ctx *fasthttp.RequestCtx, d node.Dispatch, attempt context.Context, cancel context.CancelFunc) bool {
+// sendAttempt sends the request of an attempt and starts the caller's answer. If the
+// attempt fails, sendAttempt reports that to the node, which decides whether to retry, and
+// returns false.
+func (t *task) sendAttempt(ctx *fasthttp.RequestCtx, d node.Dispatch, attempt context.Context, cancel context.CancelFunc) bool {
 	answer, err := t.server.client.Do(attempt, t.call(d))
 	if err != nil {
-		t.ended(failed(d, attempt, err))
+		t.attemptEnded(endOfError(d, attempt, err))
 		return false
 	}
-	if kind := judge(d, answer); kind != 0 {
+	if kind := endOfHeader(d, answer); kind != 0 {
 		answer.Close()
-		t.ended(node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: kind})
+		t.attemptEnded(node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: kind})
 		return false
 	}
 	if strings.HasPrefix(answer.ContentType, "text/event-stream") && !d.Record {
@@ -222,7 +229,7 @@
 		Method:   t.request.method,
 		Path:     t.request.path,
 		Headers:  t.request.headers,
-		Body:     t.request.sent(d.Adapter),
+		Body:     t.request.upstreamBody(d.Adapter),
 		Request:  d.ID,
 		Adapter:  d.Adapter,
 		Class:    d.Class,
@@ -232,19 +239,20 @@
 	}
 }
 
-// ended tells the node of an attempt's end, after the hang-up that caused it.
-func (t *task) ended(e node.Ended) {
+// attemptEnded reports the end of an attempt to the node. If the caller has hung up, it
+// waits until the hang-up has been reported.
+func (t *task) attemptEnded(e node.Ended) {
 	t.mu.Lock()
-	wait := t.gone && !t.keeping
+	wait := t.hungUp && !t.recording
 	t.mu.Unlock()
 	if wait {
-		<-t.told
+		<-t.hangUpReported
 	}
 	t.server.node.Tell(e)
 }
 
-// failed is the end of an attempt that gave no answer.
-func failed(d node.Dispatch, attempt context.Context, err error) node.Ended {
+// endOfError returns how an attempt without a complete answer ended.
+func endOfError(d node.Dispatch, attempt context.Context, err error) node.Ended {
 	e := node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: node.EndFailed}
 	switch {
 	case upstream.NotReached.Has(err):
@@ -257,10 +265,10 @@
 	return e
 }
 
-// judge says how an answer's header ends its attempt, 0 where the answer is
-// the caller's. Statuses of a service are its answer, save where it says that
-// it did not run the request.
-func judge(d node.Dispatch, a *upstream.Answer) node.EndKind {
+// endOfHeader returns how an attempt ended if its answer's header shows a failure, or 0
+// if the answer is to be delivered to the caller. A plain service's error status is
+// delivered unless the service reports that it did not run the request.
+func endOfHeader(d node.Dispatch, a *upstream.Answer) node.EndKind {
 	engine := d.Adapter != (core.AdapterRef{})
 	switch {
 	case engine && a.Status == http.StatusNotFound:
@@ -275,44 +283,45 @@
 	return 0
 }
 
-// deliver buffers an answer whole before the caller sees any of it, so that a
-// broken one can still be tried elsewhere.
+// deliver buffers the whole answer before any of it is sent to the caller, so that the
+// request can still be retried if the answer is incomplete.
 func (t *task) deliver(ctx *fasthttp.RequestCtx, d node.Dispatch, attempt context.Context, cancel context.CancelFunc, answer *upstream.Answer) bool {
 	body, err := upstream.ReadWhole(answer, upstream.MaxAnswer)
 	answer.Close()
 	if err != nil {
-		t.ended(failed(d, attempt, err))
+		t.attemptEnded(endOfError(d, attempt, err))
 		return false
 	}
 	outcome := core.Outcome{Status: answer.Status, ContentType: answer.ContentType, Body: body}
 	e := node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: node.EndOK}
-	t.count(&e, jsonUsage(body), t.request.arrive.MaxTokens)
+	t.countTokens(&e, jsonUsage(body), t.request.arrival.MaxTokens)
 	if d.Record {
 		e.Outcome = outcome
 	}
-	t.ended(e)
+	t.attemptEnded(e)
 	if d.Record {
-		t.unkeep()
+		t.endRecorded()
 	}
 	cancel()
-	t.whole(ctx, outcome)
+	t.writeOutcome(ctx, outcome)
 	setAdapter(ctx, d)
 	if answer.RetryAfter != "" {
 		ctx.Response.Header.Set("Retry-After", answer.RetryAfter)
 	}
-	t.line.used = e.Used
+	t.line.usedTokens = e.Used
 	t.finish(outcomeOK)
 	return true
 }
 
-// count fills in the tokens that an attempt used. Without the upstream's own
-// count it takes the estimate of the prompt and what was generated at most.
-func (t *task) count(e *node.Ended, u *usage, generated core.Tokens) {
+// countTokens sets the tokens that an attempt used: from the upstream's report u, or,
+// without one, the prompt's estimate plus generated, the number of generated tokens or
+// its maximum.
+func (t *task) countTokens(e *node.Ended, u *usage, generated core.Tokens) {
 	if t.request.completion == nil {
 		return
 	}
 	e.Received = generated
-	e.Used = t.request.arrive.Prompt + generated
+	e.Used = t.request.arrival.Prompt + generated
 	if u == nil {
 		return
 	}
--- a/internal/entry/line.go
+++ b/internal/entry/requestlog.go
@@ -10,39 +10,40 @@
 	"gentiancroft/internal/core/node"
 )
 
-// line is the one log line of a request. It never holds a key or a prompt.
-type line struct {
-	server    *Server
-	id        core.RequestID
-	model     string
-	started   time.Time
-	first     time.Duration
-	workspace core.WorkspaceID
-	adapter   core.AdapterRef
-	upstream  core.UpstreamID
-	attempts  int
-	used      core.Tokens
+// requestLog collects the fields of a request's log line. It must not contain a key or a
+// prompt.
+type requestLog struct {
+	server          *Server
+	id              core.RequestID
+	model           string // as the caller gave it
+	started         time.Time
+	timeToFirstByte time.Duration // 0: no streamed answer
+	workspace       core.WorkspaceID
+	adapter         core.AdapterRef
+	upstream        core.UpstreamID
+	attempts        int
+	usedTokens      core.Tokens
 }
 
-func newLine(s *Server, id core.RequestID) line {
+func newRequestLog(s *Server, id core.RequestID) requestLog {
 	s.metrics.open.Inc(1)
-	return line{server: s, id: id, started: time.Now()}
+	return requestLog{server: s, id: id, started: time.Now()}
 }
 
-func (l *line) dispatched(d node.Dispatch) {
+func (l *requestLog) addDispatch(d node.Dispatch) {
 	l.workspace = d.Workspace
 	l.adapter = d.Adapter
 	l.upstream = d.Upstream
 	l.attempts++
 }
 
-func (l *line) firstByte() {
-	l.first = time.Since(l.started)
-	l.server.metrics.firstByte.Update(l.first.Microseconds())
+func (l *requestLog) recordFirstByte() {
+	l.timeToFirstByte = time.Since(l.started)
+	l.server.metrics.firstByte.Update(l.timeToFirstByte.Microseconds())
 }
 
-// end writes the line and counts the outcome.
-func (l *line) end(outcome core.Code) {
+// write writes the log line and counts the outcome.
+func (l *requestLog) write(outcome core.Code) {
 	s := l.server
 	total := time.Since(l.started)
 	s.metrics.open.Dec(1)
@@ -60,8 +61,8 @@
 		"upstream":  l.upstream,
 		"attempts":  l.attempts,
 		"outcome":   outcome,
-		"tokens":    int64(l.used),
-		"first_ms":  l.first.Milliseconds(),
+		"tokens":    int64(l.usedTokens),
+		"first_ms":  l.timeToFirstByte.Milliseconds(),
 		"total_ms":  total.Milliseconds(),
 	}).Info("request")
 }
@@ -70,9 +71,9 @@
 type counters struct {
 	registry   metrics.Registry
 	requests   metrics.Counter
-	open       metrics.Counter // requests being served now
-	gone       metrics.Counter // callers that hung up
-	unreadable metrics.Counter
+	open       metrics.Counter   // requests in progress
+	hungUp     metrics.Counter   // requests whose caller hung up
+	unreadable metrics.Counter   // requests that could not be read
 	firstByte  metrics.Histogram // microseconds
 	total      metrics.Histogram // microseconds
 }
@@ -82,14 +83,14 @@
 		registry:   r,
 		requests:   metrics.GetOrRegisterCounter("entry.requests", r),
 		open:       metrics.GetOrRegisterCounter("entry.open", r),
-		gone:       metrics.GetOrRegisterCounter("entry.hung_up", r),
+		hungUp:     metrics.GetOrRegisterCounter("entry.hung_up", r),
 		unreadable: metrics.GetOrRegisterCounter("entry.unreadable", r),
 		firstByte:  histogram("entry.first_byte_us", r),
 		total:      histogram("entry.total_us", r),
 	}
 }
 
-// histogram samples the last minutes with a bounded reservoir.
+// histogram returns a histogram over a bounded sample of about the last five minutes.
 func histogram(name string, r metrics.Registry) metrics.Histogram {
 	const reservoir, decay = 1028, 0.015
 	return metrics.GetOrRegisterHistogram(name, r, metrics.NewExpDecaySample(reservoir, decay))
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,8 +1,10 @@
-// Package entry is the callers' HTTP interface of a host.
+// Package entry is the HTTP server for callers on a host.
 //
-// It bounds and parses requests, hands them to the node, carries out its
-// decisions, and tells it at once when a caller hangs up. Per Dispatch it tells
-// exactly one Ended; a Gone comes before the Ended that it causes.
+// It checks and parses requests, passes them to the node, which decides what happens to
+// them, and carries out its decisions: it sends attempts to upstreams and returns answers
+// or refusals. It reports a caller's hang-up to the node at once, except during a recorded
+// attempt. Invariant: the end of each dispatched attempt is reported exactly once, and a
+// hang-up is reported before the end of the attempt that it cancels.
 package entry
 
 import (
@@ -21,17 +23,18 @@
 	"gentiancroft/internal/upstream"
 )
 
-// Limits bound what callers may send and take.
+// Limits bound the size of callers' requests, their connections and the time that
+// callers may take.
 type Limits struct {
 	Body        int           // bytes
 	Header      int           // bytes
-	Connections int           // open at once
-	Read        time.Duration // for a request to arrive
+	Connections int           // open at the same time
+	Read        time.Duration // for receiving a request
 	Idle        time.Duration // between two requests on a connection
-	Stall       time.Duration // for a caller to take what is written to it
+	Stall       time.Duration // for a caller to accept written data
 }
 
-// DefaultLimits are used where settings give none.
+// DefaultLimits are the limits that apply where the settings give none.
 var DefaultLimits = Limits{
 	Body:        1 << 20,
 	Header:      16 << 10,
@@ -41,7 +44,7 @@
 	Stall:       10 * time.Second,
 }
 
-// Server answers callers.
+// Server is the HTTP server for callers.
 type Server struct {
 	node      Node
 	client    *upstream.Client
@@ -56,45 +59,45 @@
 	http      *fasthttp.Server
 }
 
-// Option changes a server under construction.
+// Option configures a new server.
 type Option func(*Server)
 
-// WithStatus serves the pages that need to know the fleet.
+// WithStatus serves the pages that show the state of the host and the fleet.
 func WithStatus(st Status) Option { return func(s *Server) { s.status = st } }
 
-// WithRoutes adds routes, such as the console's, before the callers' own.
+// WithRoutes adds routes, such as the console's, that take precedence over the callers'.
 func WithRoutes(add func(*router.Router)) Option {
 	return func(s *Server) { s.routes = append(s.routes, add) }
 }
 
-// WithRegistry counts into a registry and shows it at /metrics.
+// WithRegistry sets the metrics registry, which /metrics shows.
 func WithRegistry(r metrics.Registry) Option {
 	return func(s *Server) { s.metrics = newCounters(r) }
 }
 
-// WithLogger writes the request lines to a logger.
+// WithLogger sets the logger for the log lines of requests.
 func WithLogger(l log.Interface) Option { return func(s *Server) { s.logger = l } }
 
-// WithHost names the host in logs.
+// WithHost sets the host identity in log lines.
 func WithHost(id core.HostID) Option { return func(s *Server) { s.self = id } }
 
-// WithLimits replaces the limits.
+// WithLimits replaces DefaultLimits.
 func WithLimits(l Limits) Option { return func(s *Server) { s.limits = l } }
 
-// WithClient sends attempts with a client; without it the server makes its own.
+// WithClient sets the client for attempts; without it the server creates one.
 func WithClient(c *upstream.Client) Option { return func(s *Server) { s.client = c } }
 
-// New returns a server that hands requests to a host.
+// New returns a server that passes requests to a host.
 func New(h *host.Host, keySecret []byte, options ...Option) *Server {
 	return NewFor(hostNode{h}, keySecret, options...)
 }
 
-// NewFor returns a server that hands requests to any node.
+// NewFor returns a server that passes requests to any node.
 func NewFor(n Node, keySecret []byte, options ...Option) *Server {
 	s := &Server{
 		node:      n,
 		keySecret: keySecret,
-		hashKey:   fingerprintKey(keySecret),
+		hashKey:   deriveHashKey(keySecret),
 		logger:    log.Log,
 		limits:    DefaultLimits,
 		metrics:   newCounters(metrics.NewRegistry()),
@@ -107,7 +110,7 @@
 	}
 	s.http = &fasthttp.Server{
 		Handler:            s.router().Handler,
-		ErrorHandler:       s.unreadable,
+		ErrorHandler:       s.handleReadError,
 		Name:               "gentiancroft",
 		MaxRequestBodySize: s.limits.Body,
 		ReadBufferSize:     s.limits.Header,
@@ -118,7 +121,7 @@
 
 		DisablePreParseMultipartForm: true,
 		SecureErrorLogMessage:        true,
-		Logger:                       quiet{},
+		Logger:                       discardLogger{},
 	}
 	return s
 }
@@ -134,23 +137,23 @@
 	}
 	r.GET("/healthz", s.healthz)
 	r.GET("/readyz", s.readyz)
-	r.GET("/metrics", s.exposition)
+	r.GET("/metrics", s.serveMetrics)
 	if s.status != nil {
 		r.GET("/v1/entries", s.entries)
 		r.GET("/v1/models", s.models)
 	}
-	r.NotFound = s.request
+	r.NotFound = s.serveRequest
 	return r
 }
 
-// quiet drops fasthttp's own lines, which may hold parts of a request.
-type quiet struct{}
+// discardLogger drops fasthttp's own log lines, which may contain parts of a request.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Serve answers callers on l until ctx ends; then it takes no new connection,
-// closes idle ones, and returns once every request in flight has been answered.
+// Serve serves requests on connections from l until ctx ends. Then it accepts no new
+// connections, closes idle ones, and returns once all requests in flight are answered.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	drained := make(chan error, 1)
 	stop := context.AfterFunc(ctx, func() { drained <- s.http.Shutdown() })
--- a/internal/entry/sse.go
+++ b/internal/entry/sse.go
@@ -7,21 +7,22 @@
 	"gentiancroft/internal/core"
 )
 
-// maxEvent is the longest server-sent event in bytes.
-const maxEvent = 256 << 10
+// maxEventBytes is the maximum size of a server-sent event.
+const maxEventBytes = 256 << 10
 
-// usage is an upstream's own count of tokens.
+// usage is an upstream's report of the tokens that a request used.
 type usage struct {
 	Prompt    core.Tokens `json:"prompt_tokens"`
 	Generated core.Tokens `json:"completion_tokens"`
 }
 
-// events follows a stream of server-sent events without changing it.
+// events parses a stream of server-sent events and collects what it needs from them. It
+// doesn't change the stream.
 type events struct {
-	generated core.Tokens // events that carried generated text
-	usage     *usage
-	done      bool // [DONE] was seen
-	failed    bool // the upstream reported an error inside the stream
+	generated core.Tokens // counted by events with generated text
+	usage     *usage      // nil until reported
+	done      bool        // [DONE] was seen
+	failed    bool        // the upstream reported an error inside the stream
 }
 
 var (
@@ -32,8 +33,8 @@
 	markNull  = []byte(`"usage":null`)
 )
 
-// scan returns the length of the whole events that b begins with. It stops
-// after [DONE], and before an event that reports an error.
+// scan parses the complete events at the start of b and returns their length. It stops
+// after [DONE] and before an event that reports an error.
 func (e *events) scan(b []byte) int {
 	end := 0
 	for !e.done && !e.failed {
@@ -41,7 +42,7 @@
 		if n == 0 {
 			break
 		}
-		e.event(b[end : end+n])
+		e.parseEvent(b[end : end+n])
 		if e.failed {
 			break
 		}
@@ -50,8 +51,8 @@
 	return end
 }
 
-// eventLength is the length of the event that b begins with, with its empty
-// line, or 0 where it is not whole yet.
+// eventLength returns the length of the event at the start of b, including the empty line
+// that ends it, or 0 if the event is incomplete.
 func eventLength(b []byte) int {
 	at := 0
 	for {
@@ -67,28 +68,29 @@
 	}
 }
 
-func (e *events) event(b []byte) {
+func (e *events) parseEvent(b []byte) {
 	for line := range bytes.Lines(b) {
 		if bytes.HasPrefix(line, fieldData) {
-			e.data(bytes.TrimSpace(line[len(fieldData):]))
+			e.parseData(bytes.TrimSpace(line[len(fieldData):]))
 		}
 	}
 }
 
-func (e *events) data(b []byte) {
+func (e *events) parseData(b []byte) {
 	switch {
 	case bytes.Equal(b, markDone):
 		e.done = true
 	case bytes.HasPrefix(b, markError):
 		e.failed = true
 	case bytes.Contains(b, markUsage) && !bytes.Contains(b, markNull):
-		e.counted(b)
+		e.parseUsage(b)
 	default:
 		e.generated++
 	}
 }
 
-func (e *events) counted(b []byte) {
+// parseUsage records the usage in an event's data.
+func (e *events) parseUsage(b []byte) {
 	var body struct {
 		Choices []json.RawMessage `json:"choices"`
 		Usage   *usage            `json:"usage"`
@@ -104,13 +106,13 @@
 	}
 }
 
-// plausible reports whether a count can be believed at all; it never lets a
-// faulty upstream charge a workspace below zero or past any bound.
+// plausible reports whether a usage is given and within the limits, so that a faulty
+// upstream can't charge a workspace a negative or unbounded number of tokens.
 func (u *usage) plausible() bool {
 	return u != nil && u.Prompt >= 0 && u.Generated >= 0 && u.Prompt <= maxMaxTokens && u.Generated <= maxMaxTokens
 }
 
-// jsonUsage reads the usage of a whole JSON answer, nil where it has none.
+// jsonUsage returns the usage in a complete JSON answer, or nil if it has none.
 func jsonUsage(b []byte) *usage {
 	var body struct {
 		Usage *usage `json:"usage"`
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -13,56 +13,55 @@
 	"gentiancroft/internal/upstream"
 )
 
-// readBytes is how much of a stream is read at once.
+// readBytes is the buffer space for one read from a stream.
 const readBytes = 4 << 10
 
-// buffers are those of streams that have ended, for the next ones.
-var buffers = sync.Pool{New: func() any {
+// bufferPool holds the buffers of ended streams for reuse.
+var bufferPool = sync.Pool{New: func() any {
 	b := make([]byte, 0, 2*readBytes)
 	return &b
 }}
 
-// recycle gives a stream's buffer back unless one long event has blown it up.
+// recycle returns a stream's buffer to the pool, unless a long event has enlarged it.
 func (s *stream) recycle() {
 	if cap(s.buffer) <= 2*readBytes {
 		b := s.buffer[:0]
-		buffers.Put(&b)
+		bufferPool.Put(&b)
 	}
 	s.buffer = nil
 }
 
-// stream passes server-sent events on to a caller, whole events only, so that
-// a stream that breaks can always end with a typed event of its own. It is
-// read and closed by the caller's connection; its buffer holds at most one
-// event and one read.
+// stream is the body of a streamed answer. It forwards only complete server-sent events,
+// so that a stream that fails can end with an error event of this host's own. The HTTP
+// server reads and closes it. Its buffer holds at most one incomplete event and one read.
 type stream struct {
-	task     *task
-	dispatch node.Dispatch
-	attempt  context.Context
-	cancel   context.CancelFunc
-	answer   *upstream.Answer
-	events   events
-	buffer   []byte
-	ready    int  // bytes of whole events at the buffer's start
-	last     bool // nothing is read from the upstream any more
-	over     bool // the attempt's end was told
-	outcome  core.Code
+	task        *task
+	dispatch    node.Dispatch
+	attempt     context.Context
+	cancel      context.CancelFunc
+	answer      *upstream.Answer
+	events      events
+	buffer      []byte
+	readyBytes  int  // length of the complete events at the buffer's start
+	readingDone bool // nothing more is read from the upstream
+	ended       bool // the attempt's end has been reported to the node
+	outcome     core.Code
 }
 
-// beginStream waits for the first whole event; a stream that fails before it
-// can still be tried elsewhere.
+// beginStream waits for the first complete event and starts the caller's answer. It
+// returns false if the stream failed before; the request can then still be retried.
 func (t *task) beginStream(ctx *fasthttp.RequestCtx, d node.Dispatch, attempt context.Context, cancel context.CancelFunc, answer *upstream.Answer) bool {
-	s := &stream{task: t, dispatch: d, attempt: attempt, cancel: cancel, answer: answer, outcome: outcomeOK, buffer: *buffers.Get().(*[]byte)}
-	for s.ready == 0 {
+	s := &stream{task: t, dispatch: d, attempt: attempt, cancel: cancel, answer: answer, outcome: outcomeOK, buffer: *bufferPool.Get().(*[]byte)}
+	for s.readyBytes == 0 {
 		if err := s.fill(); err != nil {
 			answer.Close()
 			s.recycle()
-			t.ended(failed(d, attempt, err))
+			t.attemptEnded(endOfError(d, attempt, err))
 			return false
 		}
 	}
 	t.server.node.Tell(node.FirstByte{ID: d.ID, Attempt: d.Attempt})
-	t.line.firstByte()
+	t.line.recordFirstByte()
 	ctx.SetStatusCode(answer.Status)
 	ctx.SetContentType(answer.ContentType)
 	ctx.Response.Header.Set("Cache-Control", "no-store")
@@ -71,18 +70,19 @@
 	return true
 }
 
-// fill reads from the upstream once. Any end but the one after [DONE] is an error.
+// fill reads from the upstream once and finds the complete events. An end of the stream
+// without [DONE] is an error.
 func (s *stream) fill() error {
-	if len(s.buffer) > maxEvent {
-		return upstream.TooLong.New("an event is over %d bytes", maxEvent)
+	if len(s.buffer) > maxEventBytes {
+		return upstream.TooLong.New("an event is over %d bytes", maxEventBytes)
 	}
 	s.buffer = slices.Grow(s.buffer, readBytes)
 	n, err := s.answer.Body.Read(s.buffer[len(s.buffer):cap(s.buffer)])
 	s.buffer = s.buffer[:len(s.buffer)+n]
-	s.ready += s.events.scan(s.buffer[s.ready:])
+	s.readyBytes += s.events.scan(s.buffer[s.readyBytes:])
 	switch {
 	case s.events.done:
-		s.last = true
+		s.readingDone = true
 		return nil
 	case s.events.failed:
 		return upstream.Broken.New("the upstream reported an error")
@@ -94,66 +94,66 @@
 
 // Read implements io.Reader.
 func (s *stream) Read(p []byte) (int, error) {
-	for s.ready == 0 {
-		if s.last {
+	for s.readyBytes == 0 {
+		if s.readingDone {
 			s.end(node.EndOK, nil)
 			return 0, io.EOF
 		}
 		if err := s.fill(); err != nil {
-			s.broken(err)
+			s.handleFailure(err)
 		}
 	}
-	n := copy(p, s.buffer[:s.ready])
+	n := copy(p, s.buffer[:s.readyBytes])
 	s.buffer = append(s.buffer[:0], s.buffer[n:]...)
-	s.ready -= n
+	s.readyBytes -= n
 	return n, nil
 }
 
-// broken ends the attempt and puts the typed last event behind what is ready.
-func (s *stream) broken(err error) {
+// handleFailure ends the attempt and appends the error event to the complete events.
+func (s *stream) handleFailure(err error) {
 	kind := node.EndCancelled
-	refusal := s.task.x.CutBy()
-	if refusal == nil && s.task.isGone() {
+	refusal := s.task.exchange.CutBy()
+	if refusal == nil && s.task.hasHungUp() {
 		refusal = &core.Refusal{Code: core.CodeCancelled, Message: "the caller hung up", Ran: core.RanYes}
 	}
 	if refusal == nil {
-		refusal = &core.Refusal{Code: core.CodeStreamBroken, Message: "the answer broke off", Ran: core.RanYes, RetryAfter: retryBroken}
+		refusal = &core.Refusal{Code: core.CodeStreamBroken, Message: "the answer broke off", Ran: core.RanYes, RetryAfter: brokenStreamRetryAfter}
 		if s.attempt.Err() == nil {
 			kind = node.EndBroken
 		}
 	}
 	s.outcome = refusal.Code
-	if s.task.isGone() {
+	if s.task.hasHungUp() {
 		s.outcome = core.CodeCancelled
 	}
 	s.end(kind, err)
-	s.last = true
-	s.buffer = append(s.buffer[:s.ready], lastEvent(refusal)...)
-	s.ready = len(s.buffer)
+	s.readingDone = true
+	s.buffer = append(s.buffer[:s.readyBytes], errorEvent(refusal)...)
+	s.readyBytes = len(s.buffer)
 }
 
-// end tells the node, once, how the attempt ended.
+// end ends the attempt, if it has not ended yet, and reports it to the node.
 func (s *stream) end(kind node.EndKind, err error) {
-	if s.over {
+	if s.ended {
 		return
 	}
-	s.over = true
+	s.ended = true
 	e := node.Ended{ID: s.dispatch.ID, Attempt: s.dispatch.Attempt, Kind: kind}
 	e.Crashed = kind == node.EndBroken && upstream.Dropped(err)
-	s.task.count(&e, s.events.usage, s.events.generated)
-	s.task.line.used = e.Used
+	s.task.countTokens(&e, s.events.usage, s.events.generated)
+	s.task.line.usedTokens = e.Used
 	if kind == node.EndOK {
 		s.answer.Settle()
 	} else {
 		s.answer.Close()
 	}
-	s.task.ended(e)
+	s.task.attemptEnded(e)
 }
 
-// Close implements io.Closer. It is called once the last byte was handed over,
-// or when the caller's connection failed before.
+// Close implements io.Closer. It is called after the last byte was read, or when the
+// caller's connection failed before.
 func (s *stream) Close() error {
-	if !s.over {
+	if !s.ended {
 		s.task.hangUp()
 		s.outcome = core.CodeCancelled
 		s.end(node.EndCancelled, nil)
