--- a/internal/core/node/arrive.go
+++ b/internal/core/node/admit.go
@@ -10,40 +10,41 @@
 	"gentiancroft/internal/core/limit"
 )
 
-// When a refused caller should come back.
+// Delays after which a refused caller may retry.
 const (
-	retryNoUpstream = time.Second
-	retryCutOff     = 2 * time.Second
-	retryLeaving    = 100 * time.Millisecond // at another host
-	retryDeadline   = time.Second
+	retryAfterNoUpstream = time.Second
+	retryAfterCutOff     = 2 * time.Second
+	retryAfterLeaving    = 100 * time.Millisecond // short: the caller retries at another host
+	retryAfterDeadline   = time.Second
 )
 
-// arrive checks a request against the configuration in force and begins it.
-func (n *Node) arrive(e Arrive) {
+// handleArrival admits a request under the configuration in force and starts it,
+// or refuses it.
+func (n *Node) handleArrival(e Arrive) {
 	r, refusal := n.admit(e)
 	if refusal != nil {
-		n.note("admission", string(refusal.Code), e.ID)
+		n.logDecision("admission", string(refusal.Code), e.ID)
 		n.emit(Refuse{ID: e.ID, Refusal: refusal})
 		return
 	}
-	n.note("admission", "admitted", e.ID)
+	n.logDecision("admission", "admitted", e.ID)
 	n.requests.add(r)
 	n.reserve(r)
 }
 
-// admit turns an arrival into a request, or says why not.
+// admit returns the request for an arrival, or the refusal.
 func (n *Node) admit(e Arrive) (*request, *core.Refusal) {
 	if n.leaving.closed {
-		return nil, core.Refuse(core.CodeLeaving, retryLeaving, "this host is leaving; ask for entries again")
+		return nil, core.Refuse(core.CodeLeaving, retryAfterLeaving, "this host is leaving; ask for entries again")
 	}
 	if n.snapshot == nil {
-		return nil, core.Refuse(core.CodeCutOff, retryCutOff, "this host has no configuration yet")
+		return nil, core.Refuse(core.CodeCutOff, retryAfterCutOff, "this host has no configuration yet")
 	}
 	route := n.snapshot.Route(e.Path)
 	if route == nil {
 		return nil, core.Refuse(core.CodeUnknownRoute, 0, "no route "+e.Path)
 	}
-	r := &request{arrive: e, route: route, deadline: n.now.Add(e.Timeout)}
+	r := &request{arrival: e, route: route, deadline: n.now.Add(e.Timeout)}
 	if refusal := n.authorize(r); refusal != nil {
 		return nil, refusal
 	}
@@ -56,7 +57,7 @@
 	return r, nil
 }
 
-// authorize finds the workspace that a request runs for. Keeps: except on
+// authorize sets the workspace that a request runs for. Invariant: except on
 // routes open to all, a request runs only for the workspace of its key.
 func (n *Node) authorize(r *request) *core.Refusal {
 	if r.route.Open {
@@ -67,16 +68,16 @@
 		return nil
 	}
 	if n.feed.CutOff(n.now) {
-		return core.Refuse(core.CodeCutOff, retryCutOff, "this host can't tell whether keys are still valid")
+		return core.Refuse(core.CodeCutOff, retryAfterCutOff, "this host can't tell whether keys are still valid")
 	}
-	key := n.snapshot.Key(r.arrive.KeyHash)
+	key := n.snapshot.Key(r.arrival.KeyHash)
 	if key == nil {
 		return core.Refuse(core.CodeNoKey, 0, "the key is missing or not valid")
 	}
 	if key.Withdrawn {
 		return core.Refuse(core.CodeKeyWithdrawn, 0, "the key has been withdrawn")
 	}
-	if !permitted(r.route.Workspaces, key.Workspace) {
+	if !workspacePermitted(r.route.Workspaces, key.Workspace) {
 		return core.Refuse(core.CodeRouteForbidden, 0, "this workspace may not use the route")
 	}
 	r.key = key
@@ -87,13 +88,14 @@
 	return nil
 }
 
-// permitted reports whether a list of workspaces, empty for all, has one.
-func permitted(list []core.WorkspaceID, ws core.WorkspaceID) bool {
+// workspacePermitted reports whether a list of workspaces contains ws. An empty
+// list permits all.
+func workspacePermitted(list []core.WorkspaceID, ws core.WorkspaceID) bool {
 	return len(list) == 0 || slices.Contains(list, ws)
 }
 
-// resolve fixes the exact adapter version once. Keeps: a request runs on the
-// version it named, or on the one that was in force when it came.
+// resolve sets the exact adapter version, once per request. Invariant: a request
+// runs on the version that it names, else on the adapter's default at its arrival.
 func (n *Node) resolve(r *request) *core.Refusal {
 	class, ok := config.ParseClass(r.route.Class)
 	if !ok {
@@ -103,7 +105,7 @@
 	if r.route.Kind == config.RouteService {
 		return nil
 	}
-	ref, adapter, refusal := n.snapshot.Resolve(r.arrive.Model, r.workspace.ID)
+	ref, adapter, refusal := n.snapshot.Resolve(r.arrival.Model, r.workspace.ID)
 	if refusal != nil {
 		return refusal
 	}
@@ -112,22 +114,24 @@
 	return nil
 }
 
-// cost is what a request may use at most.
+// cost is the maximum of tokens that a request may use.
 func (r *request) cost() core.Tokens {
 	if r.route.Kind == config.RouteService {
 		return core.Tokens(r.route.Cost)
 	}
-	return r.arrive.Prompt + r.arrive.MaxTokens
+	return r.arrival.Prompt + r.arrival.MaxTokens
 }
 
-// reserve sets tokens aside before anything else is spent on a request.
+// reserve requests the reservation of the tokens that a request may use; it comes
+// before any other work on the request.
 func (n *Node) reserve(r *request) {
 	r.stage = stageLimit
-	n.limitResult(n.limit.Reserve(n.now, n.lease, r.id(), r.workspace.ID, r.cost()))
+	n.applyLimitResult(n.limit.Reserve(n.now, n.lease, r.id(), r.workspace.ID, r.cost()))
 }
 
-func (n *Node) limited(d limit.Decision) {
-	r := n.requests.at(d.ID, stageLimit)
+// handleLimitDecision continues a request whose tokens are reserved, or refuses it.
+func (n *Node) handleLimitDecision(d limit.Decision) {
+	r := n.requests.atStage(d.ID, stageLimit)
 	if r == nil {
 		return
 	}
@@ -140,23 +144,23 @@
 		return
 	}
 	r.stage = stageRecord
-	n.onceResult(n.once.Begin(n.now, once.Request{ID: r.id(), Workspace: r.workspace.ID, Key: r.arrive.IdempotencyKey, Body: r.arrive.Body}))
+	n.applyOnceResult(n.once.Begin(n.now, once.Request{ID: r.id(), Workspace: r.workspace.ID, Key: r.arrival.IdempotencyKey, Body: r.arrival.Body}))
 }
 
-// recorded goes on with a non-idempotent request. Keeps: it is dispatched only
-// after its record stands.
-func (n *Node) recorded(d once.Decision) {
-	r := n.requests.at(d.ID, stageRecord)
+// handleOnceDecision places, replays or refuses a non-idempotent request.
+// Invariant: it is dispatched only after its at-most-once record is stored.
+func (n *Node) handleOnceDecision(d once.Decision) {
+	r := n.requests.atStage(d.ID, stageRecord)
 	if r == nil {
 		return
 	}
-	n.note("once", onceReasons[d.Kind], d.ID)
+	n.logDecision("once", onceReasons[d.Kind], d.ID)
 	switch d.Kind {
 	case once.Run:
-		r.record = true
+		r.hasRecord = true
 		n.place(r)
 	case once.Replay:
-		n.end(r, core.RanNo)
+		n.abandon(r, core.RanNo)
 		n.emit(Replay{ID: d.ID, Outcome: d.Outcome})
 	case once.Refuse:
 		n.refuse(r, d.Refusal)
--- a/internal/core/node/bench_test.go
+++ b/internal/core/node/bench_test.go
@@ -12,9 +12,9 @@
 	"gentiancroft/internal/core/config"
 )
 
-// largeDocument is a deployment of the size of two years ahead.
+// largeDocument returns a deployment of the size expected in two years.
 func largeDocument(upstreams, adapters, workspaces int) *config.Document {
-	d := sample()
+	d := sampleDocument()
 	d.Upstreams, d.Adapters, d.Workspaces, d.Keys = nil, nil, nil, nil
 	for i := range upstreams {
 		d.Upstreams = append(d.Upstreams, config.Upstream{ID: core.UpstreamID(fmt.Sprintf("drafter-%03d", i)), Kind: config.UpstreamEngine, Pool: "drafter", Address: fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250), Domain: "region-0-a", Base: "base", Slots: 32, Batch: 32})
@@ -30,38 +30,38 @@
 	return config.Canonical(d)
 }
 
-// control sums what a fleet spends on control.
-type control struct {
+// controlCost sums the bytes and time that the hosts of a fleet spend on control.
+type controlCost struct {
 	bytes map[core.HostID]int // sent, encoded
 	spent map[core.HostID]time.Duration
 }
 
-func (f *fleet) measureControl() *control {
-	c := &control{bytes: map[core.HostID]int{}, spent: map[core.HostID]time.Duration{}}
-	f.watch = func(from *fakeHost, x ToPeer) {
+func (f *fleet) measureControl() *controlCost {
+	c := &controlCost{bytes: map[core.HostID]int{}, spent: map[core.HostID]time.Duration{}}
+	f.onSend = func(from *fakeHost, x ToPeer) {
 		b, err := cbor.Marshal(x.Message)
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		c.bytes[from.id] += len(b)
 	}
-	f.timed = func(h *fakeHost, d time.Duration) { c.spent[h.id] += d }
+	f.onStep = func(h *fakeHost, d time.Duration) { c.spent[h.id] += d }
 	return c
 }
 
-// report gives means and maxima a node and second.
-func (c *control) report(b *testing.B, hosts int, span time.Duration) {
+// report reports means and maxima per node and second.
+func (c *controlCost) report(b *testing.B, hosts int, span time.Duration) {
 	seconds := span.Seconds()
-	var bytes, most int
+	var bytes, maxBytes int
 	var spent, busiest time.Duration
 	for h, n := range c.bytes {
 		bytes += n
-		most = max(most, n)
+		maxBytes = max(maxBytes, n)
 		spent += c.spent[h]
 		busiest = max(busiest, c.spent[h])
 	}
 	b.ReportMetric(float64(bytes)/float64(hosts)/seconds, "B/s/node")
-	b.ReportMetric(float64(most)/seconds, "B/s/busiest")
+	b.ReportMetric(float64(maxBytes)/seconds, "B/s/busiest")
 	b.ReportMetric(100*spent.Seconds()/float64(hosts)/seconds, "%core/node")
 	b.ReportMetric(100*busiest.Seconds()/seconds, "%core/busiest")
 }
@@ -74,8 +74,8 @@
 }
 
 // BenchmarkFleet runs whole nodes in virtual time, at rest and under requests,
-// and reports what control costs a node: leases, feed, limits, placement,
-// polls and claims together. The data path (answer bytes) is not in it.
+// and reports the cost of control per node: leases, feed, limits, placement,
+// polls and claims together. The data path (answer bytes) is not included.
 func BenchmarkFleet(b *testing.B) {
 	const span = 20 * time.Second
 	for _, size := range []struct{ hosts, upstreams, adapters, workspaces, rate int }{
@@ -90,7 +90,7 @@
 				before := heapBytes()
 				f := emptyFleet(b, largeDocument(size.upstreams, size.adapters, size.workspaces))
 				f.regions, f.domains = 3, 8
-				f.warm()
+				f.preloadAdapters()
 				for i := range size.hosts {
 					f.join(i)
 					f.run(10 * time.Millisecond)
@@ -98,7 +98,7 @@
 				f.run(30 * time.Second)
 				calls := f.calls
 				c := f.measureControl()
-				f.offer(size.rate, size.workspaces, span)
+				f.sendRequests(size.rate, size.workspaces, span)
 				c.report(b, size.hosts, span)
 				b.ReportMetric(float64(f.calls-calls)/span.Seconds(), "objectcalls/s")
 				b.ReportMetric(float64(heapBytes()-before)/float64(size.hosts)/(1<<20), "MB/node")
@@ -122,23 +122,23 @@
 	}
 }
 
-// warmEach is how many adapters each engine holds from the start; requests are
-// for these.
-const warmEach = 3
+// adaptersPerEngine is the number of adapters loaded on each engine from the start;
+// all requests are for these.
+const adaptersPerEngine = 3
 
 func adapterName(i int) string { return fmt.Sprintf("quotes-%05d", i) }
 
-// warm lets every engine hold its part of the most popular adapters.
-func (f *fleet) warm() {
-	for i := range warmEach * len(f.engines) {
+// preloadAdapters loads the most popular adapters, spread over the engines.
+func (f *fleet) preloadAdapters() {
+	for i := range adaptersPerEngine * len(f.engines) {
 		u := core.UpstreamID(fmt.Sprintf("drafter-%03d", i%len(f.engines)))
 		f.engines[u].adapters[core.AdapterRef{ID: core.AdapterID(adapterName(i)), Version: 2}] = true
 	}
 }
 
-// offer lets requests arrive evenly over hosts for a while, three in five of
-// them hung up.
-func (f *fleet) offer(rate, workspaces int, span time.Duration) {
+// sendRequests sends rate requests per second, spread over the hosts, for the span.
+// The callers of three in five hang up after 300 ms.
+func (f *fleet) sendRequests(rate, workspaces int, span time.Duration) {
 	if rate == 0 {
 		f.run(span)
 		return
@@ -149,7 +149,7 @@
 		n++
 		id := core.RequestID(fmt.Sprint("r", n))
 		h := f.hosts[n*7919%len(f.hosts)]
-		a := ask(string(id), fmt.Sprintf("workspace-%03d", n%workspaces), adapterName(n%(warmEach*len(f.engines))))
+		a := completionRequest(string(id), fmt.Sprintf("workspace-%03d", n%workspaces), adapterName(n%(adaptersPerEngine*len(f.engines))))
 		f.step(h, a)
 		if n%5 < 3 {
 			f.after(300*time.Millisecond, func() { f.step(h, Gone{ID: id}) })
--- a/internal/core/node/configure.go
+++ b/internal/core/node/configure.go
@@ -9,26 +9,26 @@
 	"gentiancroft/internal/core/placement"
 )
 
-// configure puts the feed's configuration in force once it is newer. Keeps: a
-// configuration in force never reverts.
-func (n *Node) configure() {
-	if n.feed.ConfigVersion() <= n.version() {
+// updateConfiguration puts the feed's configuration in force if it is newer.
+// Invariant: the version in force never decreases.
+func (n *Node) updateConfiguration() {
+	if n.feed.ConfigVersion() <= n.configVersion() {
 		return
 	}
 	head, chunks, ok := n.feed.Config()
-	if !ok || head.Version <= n.version() {
+	if !ok || head.Version <= n.configVersion() {
 		return
 	}
 	document, err := n.decode(head, chunks)
 	if err != nil {
-		n.note("configuration", "undecodable", "")
+		n.logDecision("configuration", "undecodable", "")
 		return
 	}
-	n.apply(config.NewSnapshot(head.Version, document))
-	n.note("configuration", "in_force", "")
+	n.applySnapshot(config.NewSnapshot(head.Version, document))
+	n.logDecision("configuration", "in_force", "")
 }
 
-// decode reads a document; the decoder keeps what did not change.
+// decode decodes a configuration document. The decoder reuses unchanged chunks.
 func (n *Node) decode(head config.Head, chunks [][]byte) (*config.Document, error) {
 	byHash := make(map[string][]byte, len(chunks))
 	for i, c := range chunks {
@@ -40,23 +40,23 @@
 	})
 }
 
-// version is the configuration version in force, 0 where there is none.
-func (n *Node) version() uint64 {
+// configVersion returns the version of the configuration in force, 0 if there is none.
+func (n *Node) configVersion() uint64 {
 	if n.snapshot == nil {
 		return 0
 	}
 	return n.snapshot.Version
 }
 
-func (n *Node) apply(s *config.Snapshot) {
+func (n *Node) applySnapshot(s *config.Snapshot) {
 	n.snapshot = s
-	n.lease.SetShards(shards(s.Document))
-	n.limit.Configure(n.now, s.Version, limits(s.Document))
-	n.placementResult(n.placement.Configure(n.now, n.lease, s))
-	n.withdrawKeys()
+	n.lease.SetShards(shardsOf(s.Document))
+	n.limit.Configure(n.now, s.Version, limitsOf(s.Document))
+	n.applyPlacementResult(n.placement.Configure(n.now, n.lease, s))
+	n.refuseInvalidKeys()
 }
 
-func shards(d *config.Document) []core.Shard {
+func shardsOf(d *config.Document) []core.Shard {
 	all := make([]core.Shard, 0, len(d.Upstreams)+len(d.Workspaces)+1)
 	for _, u := range d.Upstreams {
 		all = append(all, core.Shard{Kind: core.ShardUpstream, Name: string(u.ID)})
@@ -67,7 +67,7 @@
 	return append(all, placement.LoaderShard)
 }
 
-func limits(d *config.Document) []limit.Limit {
+func limitsOf(d *config.Document) []limit.Limit {
 	all := make([]limit.Limit, 0, len(d.Workspaces))
 	for _, w := range d.Workspaces {
 		all = append(all, limit.Limit{Workspace: w.ID, Rate: core.Tokens(w.Rate), Burst: core.Tokens(w.Burst)})
@@ -75,40 +75,41 @@
 	return all
 }
 
-// withdrawKeys ends the requests whose keys are no longer valid: queued ones
-// are refused, running ones cut.
-func (n *Node) withdrawKeys() {
+// refuseInvalidKeys ends the requests whose keys are no longer valid for their
+// workspace; it also aborts answers that have started.
+func (n *Node) refuseInvalidKeys() {
 	for _, r := range n.requests.all() {
-		if r.key == nil || r.gone {
+		if r.key == nil || r.callerDone {
 			continue
 		}
-		k := n.snapshot.Key(r.arrive.KeyHash)
+		k := n.snapshot.Key(r.arrival.KeyHash)
 		if k == nil || k.Withdrawn || k.Workspace != r.workspace.ID {
 			n.refuse(r, core.Refuse(core.CodeKeyWithdrawn, 0, "the key has been withdrawn"))
 		}
 	}
 }
 
-// cutGrace is how long a host tries to learn whether its configuration is the
-// newest before it cuts running requests: one that was paused finds out at once.
-const cutGrace = time.Second
+// cutOffGrace is how long a host tries to confirm that its configuration is the
+// newest before it ends requests with keys: a host that was paused confirms it
+// soon after it resumes.
+const cutOffGrace = time.Second
 
-// failClosed ends the requests that came with a key once this host can't tell
-// any more whether keys are valid.
+// failClosed ends the requests with a key once this host has not been able to
+// confirm for cutOffGrace that keys are valid.
 func (n *Node) failClosed() {
 	if n.snapshot == nil || !n.feed.CutOff(n.now) {
-		n.cutSince = 0
+		n.cutOffSince = 0
 		return
 	}
-	if n.cutSince == 0 {
-		n.cutSince = n.now
+	if n.cutOffSince == 0 {
+		n.cutOffSince = n.now
 	}
-	if n.now.Sub(n.cutSince) < cutGrace {
+	if n.now.Sub(n.cutOffSince) < cutOffGrace {
 		return
 	}
 	for _, r := range n.requests.all() {
-		if r.key != nil && !r.gone {
-			n.refuse(r, core.Refuse(core.CodeCutOff, retryCutOff, "this host can't tell whether keys are still valid"))
+		if r.key != nil && !r.callerDone {
+			n.refuse(r, core.Refuse(core.CodeCutOff, retryAfterCutOff, "this host can't tell whether keys are still valid"))
 		}
 	}
 }
--- a/internal/core/node/effects.go
+++ b/internal/core/node/effects.go
@@ -4,7 +4,7 @@
 	"gentiancroft/internal/core"
 )
 
-// Effect is something the node wants done outside.
+// Effect is an action that the node's caller carries out.
 type Effect interface{ isEffect() }
 
 // Dispatch sends an attempt of a request to an upstream.
@@ -15,25 +15,25 @@
 	Address   string
 	Adapter   core.AdapterRef // zero for a plain service
 	Fence     core.Fence
-	Until     core.Instant // of this host's clock; not to be sent from then on
+	Until     core.Instant // on this host's clock; it must not be sent from then on
 	Workspace core.WorkspaceID
 	Class     core.Class
-	Record    bool // the answer is recorded: buffer it whole
+	Record    bool // the whole answer is buffered and recorded
 }
 
-// Cancel ends an attempt at its upstream.
+// Cancel cancels an attempt at its upstream.
 type Cancel struct {
 	ID      core.RequestID
 	Attempt int
 }
 
-// Refuse is the final answer of a request that has not begun to answer.
+// Refuse is the final answer of a request whose answer has not started.
 type Refuse struct {
 	ID      core.RequestID
 	Refusal *core.Refusal
 }
 
-// Cut ends a running answer with a typed last event.
+// Cut aborts an answer that has started, with a last event of the refusal's type.
 type Cut struct {
 	ID      core.RequestID
 	Refusal *core.Refusal
@@ -58,17 +58,18 @@
 	Message PeerMessage
 }
 
-// Note is a decision with its reason, for the log and the metrics.
+// Note is a decision log entry; it is also counted in the metrics.
 type Note struct {
-	Name   string // of the decision, one of few
-	Reason string // one of few, "" where only the detail tells
-	Detail string // for the log alone
+	Name   string // of the decision, from a small fixed set
+	Reason string // from a small fixed set; "" if the decision has only a detail
+	Detail string // for the log only
 	ID     core.RequestID
 }
 
-// Left says that the host may exit: nothing is in flight and all is handed over.
+// Left reports that the host may exit: no request is in flight, and its shards
+// are handed off, its lease was lost or the store did not confirm in time.
 type Left struct {
-	Fenced bool // this identity is over: rejoin under a new one
+	Fenced bool // the host lost its lease and must rejoin under a new identity
 }
 
 func (Dispatch) isEffect() {}
@@ -82,13 +83,13 @@
 func (Note) isEffect()     {}
 func (Left) isEffect()     {}
 
-// Poll asks an upstream for its report.
+// Poll requests an upstream's report.
 type Poll struct {
 	Upstream core.UpstreamID
 	Address  string
 }
 
-// ListHosts asks the platform for its lagging list.
+// ListHosts reads the platform's host list, which lags behind.
 type ListHosts struct{}
 
 func (Poll) isEffect()      {}
--- a/internal/core/node/events.go
+++ b/internal/core/node/events.go
@@ -1,5 +1,8 @@
-// Package node composes the decision machines into one host. Events go in,
-// effects come out; it does no I/O and reads no clock.
+// Package node composes the decision machines of one host: lease, feed, limit,
+// placement, at-most-once records and crash records. From events and the current
+// time it decides which requests are admitted, which upstream runs them and when
+// the host may exit. Its caller carries out the effects; the package does no I/O
+// and reads no clock.
 package node
 
 import (
@@ -11,84 +14,84 @@
 // Event is something that happened outside the node.
 type Event interface{ isEvent() }
 
-// Arrive is a caller's request, already parsed and bounded.
+// Arrive is a caller's request, parsed and checked against the size limits.
 type Arrive struct {
 	ID             core.RequestID
-	KeyHash        string // "" where the caller sent none
+	KeyHash        string // "" if the caller sent none
 	Path           string
 	Model          string
 	Prompt         core.Tokens // estimate from the body
-	MaxTokens      core.Tokens // most that may be generated
+	MaxTokens      core.Tokens // maximum of generated tokens
 	IdempotencyKey string
-	Fingerprint    uint64 // keyed hash of what an upstream would run
-	Body           uint64 // hash of the body, to tell a repeat from a reused idempotency key
-	Prefix         uint64 // hash of the prompt's head, for prefix locality
+	Fingerprint    uint64 // keyed hash of the content that an upstream would run; 0: no crash check
+	Body           uint64 // hash of the body; distinguishes a repeat from a reused idempotency key
+	Prefix         uint64 // hash of the start of the prompt, for prefix cache affinity
 	Timeout        time.Duration
 }
 
-// Gone says that the caller hung up.
+// Gone reports that the caller hung up.
 type Gone struct{ ID core.RequestID }
 
-// FirstByte says that the caller has been sent the first byte of an answer, so
-// that the request can't be tried elsewhere any more.
+// FirstByte reports that the first byte of an answer was sent to the caller; the
+// request can't be retried from then on.
 type FirstByte struct {
 	ID      core.RequestID
 	Attempt int
 }
 
-// EndKind is how an attempt at an upstream ended.
+// EndKind classifies the end of an attempt.
 type EndKind uint8
 
-// Ends of an attempt.
+// Values of EndKind.
 const (
 	EndOK        EndKind = iota + 1 // whole answer delivered
 	EndNotRun                       // the upstream refused before running, or was never reached
 	EndFailed                       // failed before the first byte to the caller; may have run
 	EndBroken                       // broke off after the first byte to the caller
-	EndMissing                      // the upstream does not hold the adapter
+	EndMissing                      // the adapter is not loaded on the upstream
 	EndCancelled                    // cancelled by this host
 )
 
-// Ended says that an attempt is over at the upstream.
+// Ended reports the end of an attempt at an upstream.
 type Ended struct {
 	ID       core.RequestID
 	Attempt  int
 	Kind     EndKind
 	Used     core.Tokens  // prompt and generated tokens
-	Counted  bool         // Used is the upstream's own count
-	Crashed  bool         // the upstream died or dropped all its connections
+	Counted  bool         // Used is the upstream's count
+	Crashed  bool         // the upstream crashed or closed all its connections
 	Outcome  core.Outcome // of a non-idempotent request
 	Received core.Tokens  // generated tokens seen by this host
 }
 
-// Report is an upstream's own account of itself, as polled.
+// Report is the result of a poll of an upstream.
 type Report struct{ core.UpstreamReport }
 
-// OrderDone is the end of an adapter order.
+// OrderDone is the result of an adapter order.
 type OrderDone struct{ core.OrderDone }
 
-// ObjectDone is the end of an object API call.
+// ObjectDone is the result of an object API call.
 type ObjectDone struct{ Result core.ObjectResult }
 
-// FromPeer is a message that came over a host link.
+// FromPeer is a message that was received over a host link.
 type FromPeer struct {
 	From    core.HostID
 	Message PeerMessage
 }
 
-// HostsListed is the platform's lagging list.
+// HostsListed is the platform's list of hosts and upstreams, which lags behind.
 type HostsListed struct{ Hosts []ListedHost }
 
-// ListedHost is one entry of the platform's list, a host or an upstream.
+// ListedHost is one entry of the platform's list: a host or an upstream.
 type ListedHost struct {
 	Name    string
 	Leaving bool
 }
 
-// Tick says that time has passed.
+// Tick runs the timers.
 type Tick struct{}
 
-// Leave asks the node to shut down gracefully.
+// Leave starts a graceful shutdown.
 type Leave struct{}
 
 func (Arrive) isEvent()      {}
@@ -103,7 +106,7 @@
 func (Tick) isEvent()        {}
 func (Leave) isEvent()       {}
 
-// Query runs a read between two steps. It is not part of the node's decisions.
+// Query runs a read-only function between two steps; it affects no decision.
 type Query struct {
 	Do func(n *Node, now core.Instant)
 }
--- a/internal/core/node/finish.go
+++ b/internal/core/node/finish.go
@@ -6,25 +6,26 @@
 	"gentiancroft/internal/core/placement"
 )
 
-func (n *Node) firstByte(e FirstByte) {
-	if r := n.requests.at(e.ID, stageRunning); r != nil && r.attempt == e.Attempt {
-		r.answered = true
+func (n *Node) handleFirstByte(e FirstByte) {
+	if r := n.requests.atStage(e.ID, stageRunning); r != nil && r.attempt == e.Attempt {
+		r.firstByteSent = true
 	}
 }
 
-// gone ends a request whose caller hung up, at whatever stage it is.
-func (n *Node) gone(e Gone) {
+// handleCallerGone ends a request whose caller hung up, at any stage. A running
+// attempt is cancelled; its end is still accounted for.
+func (n *Node) handleCallerGone(e Gone) {
 	r := n.requests.byID[e.ID]
-	if r == nil || r.gone {
+	if r == nil || r.callerDone {
 		return
 	}
-	n.note("cancel", stageNames[r.stage], e.ID)
+	n.logDecision("cancel", stageNames[r.stage], e.ID)
 	if r.stage == stageRunning {
-		r.gone = true
+		r.callerDone = true
 		n.emit(Cancel{ID: e.ID, Attempt: r.attempt})
 		return
 	}
-	n.end(r, r.mayHaveRun())
+	n.abandon(r, r.mayHaveRun())
 }
 
 var stageNames = map[stage]string{
@@ -35,21 +36,21 @@
 	stageRunning: "running",
 }
 
-// refuse gives a request its final answer now. A running attempt is cancelled
-// and its end awaited for the books alone.
+// refuse gives a request its final answer now. A running attempt is cancelled; its
+// end is awaited only to account for its use.
 func (n *Node) refuse(r *request, refusal *core.Refusal) {
-	if r.gone {
+	if r.callerDone {
 		return
 	}
-	refusal = truthful(r, refusal)
-	n.note("refusal", string(refusal.Code), r.id())
+	refusal = correctRan(r, refusal)
+	n.logDecision("refusal", string(refusal.Code), r.id())
 	if r.stage != stageRunning {
-		n.end(r, refusal.Ran)
+		n.abandon(r, refusal.Ran)
 		n.emit(Refuse{ID: r.id(), Refusal: refusal})
 		return
 	}
-	r.gone = true
-	if r.answered {
+	r.callerDone = true
+	if r.firstByteSent {
 		n.emit(Cut{ID: r.id(), Refusal: refusal})
 		return
 	}
@@ -57,12 +58,12 @@
 	n.emit(Cancel{ID: r.id(), Attempt: r.attempt})
 }
 
-// truthful corrects what a refusal says about running. Keeps: a refusal that
-// says "not run" is true.
-func truthful(r *request, refusal *core.Refusal) *core.Refusal {
+// correctRan returns the refusal with Ran set to what is known of the request.
+// Invariant: a refusal says "not run" only if no attempt may have run.
+func correctRan(r *request, refusal *core.Refusal) *core.Refusal {
 	ran := refusal.Ran
 	switch {
-	case r.answered:
+	case r.firstByteSent:
 		ran = core.RanYes
 	case refusal.Ran == core.RanNo && r.mayHaveRun() != core.RanNo:
 		ran = core.RanUnknown
@@ -75,41 +76,44 @@
 	return &corrected
 }
 
-// end gives back all that a request holds while no attempt of it runs.
-func (n *Node) end(r *request, ran core.Ran) {
+// abandon removes a request without a running attempt and releases its tokens,
+// ticket, claim and record.
+func (n *Node) abandon(r *request, ran core.Ran) {
 	n.requests.remove(r)
 	switch r.stage {
 	case stageRecord:
-		n.onceResult(n.once.Forget(n.now, r.id()))
+		n.applyOnceResult(n.once.Forget(n.now, r.id()))
 	case stagePlace, stageClaim:
-		n.placementResult(n.placement.Withdraw(n.now, n.lease, r.id()))
+		n.applyPlacementResult(n.placement.Withdraw(n.now, n.lease, r.id()))
 	}
 	n.releaseClaim(r, suspect.EndNotSent)
-	if r.record {
-		n.onceResult(n.once.Finish(n.now, r.id(), core.Outcome{}, ran))
+	if r.hasRecord {
+		n.applyOnceResult(n.once.Finish(n.now, r.id(), core.Outcome{}, ran))
 	}
-	n.settle(r)
+	n.settleCharge(r)
 }
 
-// settle returns what was not used, or charges what earlier attempts used.
-func (n *Node) settle(r *request) {
-	if r.spent == 0 {
-		n.limitResult(n.limit.Cancel(n.now, n.lease, r.id()))
+// settleCharge refunds the unused part of the reservation, all of it if no attempt
+// used tokens.
+func (n *Node) settleCharge(r *request) {
+	if r.tokensUsed == 0 {
+		n.applyLimitResult(n.limit.Cancel(n.now, n.lease, r.id()))
 		return
 	}
-	n.limitResult(n.limit.Settle(n.now, n.lease, r.id(), min(r.spent, r.cost()), true))
+	n.applyLimitResult(n.limit.Settle(n.now, n.lease, r.id(), min(r.tokensUsed, r.cost()), true))
 }
 
-// ended takes the end of an attempt and decides whether to try elsewhere.
-func (n *Node) ended(e Ended) {
-	r := n.requests.at(e.ID, stageRunning)
+// handleAttemptEnd accounts for the end of an attempt, releases its ticket and
+// claim, and completes or retries the request.
+func (n *Node) handleAttemptEnd(e Ended) {
+	r := n.requests.atStage(e.ID, stageRunning)
 	if r == nil || r.attempt != e.Attempt {
-		n.note("attempt", "late", e.ID)
+		n.logDecision("attempt", "late", e.ID)
 		return
 	}
-	n.note("attempt", endReasons[e.Kind], e.ID)
-	n.account(r, e)
-	n.placementResult(n.placement.Release(n.now, n.lease, e.ID, placement.End{
+	n.logDecision("attempt", endReasons[e.Kind], e.ID)
+	n.addUsage(r, e)
+	n.applyPlacementResult(n.placement.Release(n.now, n.lease, e.ID, placement.End{
 		Used:       e.Used,
 		OK:         e.Kind == EndOK,
 		Missing:    e.Kind == EndMissing,
@@ -118,15 +122,15 @@
 	}))
 	n.releaseClaim(r, suspectEnd(e))
 	if e.Crashed {
-		n.suspectResult(n.suspect.Died(n.now, n.lease, r.ticket.Upstream, nil))
+		n.applySuspectResult(n.suspect.Died(n.now, n.lease, r.ticket.Upstream, nil))
 	}
 	switch e.Kind {
 	case EndOK:
-		n.succeeded(r, e)
+		n.handleSuccess(r, e)
 	case EndBroken, EndCancelled:
-		n.finished(r, core.RanUnknown)
+		n.complete(r, core.RanUnknown)
 	default:
-		n.failed(r, e)
+		n.handleFailure(r, e)
 	}
 }
 
@@ -151,78 +155,78 @@
 	return suspect.EndCut
 }
 
-// account adds up what an attempt used: the upstream's count, else what this
-// host saw, else the prompt that it must have read.
-func (n *Node) account(r *request, e Ended) {
+// addUsage adds the tokens that an attempt used: the cost of a service call, else
+// the tokens reported with the end, else the prompt, which the upstream may have read.
+func (n *Node) addUsage(r *request, e Ended) {
 	switch {
 	case e.Kind == EndNotRun || e.Kind == EndMissing:
 	case r.isService():
-		r.spent += r.cost()
+		r.tokensUsed += r.cost()
 	case e.Used > 0:
-		r.spent += e.Used
+		r.tokensUsed += e.Used
 	default:
-		r.spent += r.arrive.Prompt
+		r.tokensUsed += r.arrival.Prompt
 	}
 }
 
-func (n *Node) succeeded(r *request, e Ended) {
-	if r.record {
-		r.record = false
-		n.onceResult(n.once.Finish(n.now, e.ID, e.Outcome, core.RanYes))
+func (n *Node) handleSuccess(r *request, e Ended) {
+	if r.hasRecord {
+		r.hasRecord = false
+		n.applyOnceResult(n.once.Finish(n.now, e.ID, e.Outcome, core.RanYes))
 	}
-	n.finished(r, core.RanYes)
+	n.complete(r, core.RanYes)
 }
 
-// finished ends a request that has had its answer, or needs none any more.
-func (n *Node) finished(r *request, ran core.Ran) {
+// complete removes a request that was answered or needs no answer.
+func (n *Node) complete(r *request, ran core.Ran) {
 	n.requests.remove(r)
-	if r.record {
-		n.onceResult(n.once.Finish(n.now, r.id(), core.Outcome{}, ran))
+	if r.hasRecord {
+		n.applyOnceResult(n.once.Finish(n.now, r.id(), core.Outcome{}, ran))
 	}
-	n.settle(r)
+	n.settleCharge(r)
 }
 
-// failed tries a request elsewhere, or gives its final answer at once.
-func (n *Node) failed(r *request, e Ended) {
-	surely := e.Kind == EndNotRun || e.Kind == EndMissing
-	if surely {
+// handleFailure retries a request on another upstream or refuses it.
+func (n *Node) handleFailure(r *request, e Ended) {
+	didNotRun := e.Kind == EndNotRun || e.Kind == EndMissing
+	if didNotRun {
 		r.notRun++
 	}
-	if r.gone {
-		n.finished(r, r.mayHaveRun())
+	if r.callerDone {
+		n.complete(r, r.mayHaveRun())
 		return
 	}
 	if n.mayRetry(r) {
-		r.tried = append(r.tried, r.ticket.Upstream)
-		n.note("retry", endReasons[e.Kind], e.ID)
+		r.excluded = append(r.excluded, r.ticket.Upstream)
+		n.logDecision("retry", endReasons[e.Kind], e.ID)
 		n.place(r)
 		return
 	}
-	refusal := &core.Refusal{Code: core.CodeUpstreamFailed, Message: "the upstream failed", Ran: r.mayHaveRun(), RetryAfter: retryNoUpstream}
-	if surely {
+	refusal := &core.Refusal{Code: core.CodeUpstreamFailed, Message: "the upstream failed", Ran: r.mayHaveRun(), RetryAfter: retryAfterNoUpstream}
+	if didNotRun {
 		refusal.Code = core.CodeNoUpstream
 		refusal.Message = "no upstream took the request"
 	}
-	n.note("refusal", string(refusal.Code), e.ID)
-	n.finished(r, refusal.Ran)
+	n.logDecision("refusal", string(refusal.Code), e.ID)
+	n.complete(r, refusal.Ran)
 	n.emit(Refuse{ID: e.ID, Refusal: refusal})
 }
 
-// mayRetry reports whether a request may be tried on another upstream. Keeps:
-// a non-idempotent request is never dispatched twice, and nothing is tried
-// again once the caller has seen a byte.
+// mayRetry reports whether a request may be tried on another upstream, and takes
+// the retry from the budget if so. Invariants: a non-idempotent request is never
+// dispatched twice; no request is retried after the first byte to its caller.
 func (n *Node) mayRetry(r *request) bool {
-	if r.answered || !r.route.Idempotent || r.attempt >= maxAttempts || n.now >= r.deadline {
+	if r.firstByteSent || !r.route.Idempotent || r.attempt >= maxAttempts || n.now >= r.deadline {
 		return false
 	}
 	return n.retries.Retry(n.now)
 }
 
-// expire ends the requests whose deadline has passed.
-func (n *Node) expire() {
+// refuseExpired refuses the requests whose deadline has passed.
+func (n *Node) refuseExpired() {
 	for _, r := range n.requests.all() {
-		if n.now >= r.deadline && !r.gone {
-			n.refuse(r, core.Refuse(core.CodeDeadline, retryDeadline, "no whole answer before the request's deadline"))
+		if n.now >= r.deadline && !r.callerDone {
+			n.refuse(r, core.Refuse(core.CodeDeadline, retryAfterDeadline, "no whole answer before the request's deadline"))
 		}
 	}
 }
--- a/internal/core/node/fleet_test.go
+++ b/internal/core/node/fleet_test.go
@@ -13,56 +13,56 @@
 	"gentiancroft/internal/standin/platform"
 )
 
-// Times of the fakes.
+// Delays of the fakes.
 const (
 	linkDelay   = 1500 * time.Microsecond
 	objectDelay = 5 * time.Millisecond
 	loadDelay   = 250 * time.Millisecond
-	runDelay    = 400 * time.Millisecond // of a whole request at an engine
-	longDelay   = 10 * time.Second       // of a long one
-	firstDelay  = 200 * time.Millisecond // of the first byte
-	crashDelay  = 100 * time.Millisecond // until a poisoned request kills its engine
+	runDelay    = 400 * time.Millisecond // of a complete request at an engine
+	longDelay   = 10 * time.Second       // of a long request
+	firstDelay  = 200 * time.Millisecond // until the first byte
+	crashDelay  = 100 * time.Millisecond // until a poisoned request crashes its engine
 	tickDelay   = 50 * time.Millisecond
 )
 
-// poison starts the identities of requests that crash the engines they run on.
-const poison = "poison"
+// poisonPrefix marks the ids of requests that crash the engine they run on.
+const poisonPrefix = "poison"
 
-// long starts the identities of requests that run long.
-const long = "long"
+// longPrefix marks the ids of requests that run for longDelay.
+const longPrefix = "long"
 
-// happening is something due at an instant.
-type happening struct {
+// timedCall is a function to call at an instant; seq orders equal instants.
+type timedCall struct {
 	at  core.Instant
 	seq int
 	do  func()
 }
 
-type agenda []happening
+type timerQueue []timedCall
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a timerQueue) Len() int { return len(a) }
+func (a timerQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].seq < a[j].seq)
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a timerQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *timerQueue) Push(x any)   { *a = append(*a, x.(timedCall)) }
+func (a *timerQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	refusal *core.Refusal
 	adapter core.AdapterRef
 	outcome *core.Outcome // replayed
 	ok      bool
-	cut     bool
+	aborted bool
 }
 
-// run is a request at an engine.
-type run struct {
+// engineRun is a request at an engine.
+type engineRun struct {
 	host     *fakeHost
 	id       core.RequestID
 	attempt  int
@@ -70,44 +70,44 @@
 	answered bool
 }
 
-// engine is a fake upstream that checks what is asked of it.
+// engine is a fake upstream. It fails the test if an adapter in use is evicted.
 type engine struct {
-	id       core.UpstreamID
-	adapters map[core.AdapterRef]bool
-	running  []run
-	starts   map[core.RequestID]int
-	crashes  int
-	life     int
+	id          core.UpstreamID
+	adapters    map[core.AdapterRef]bool
+	running     []engineRun
+	starts      map[core.RequestID]int
+	crashes     int
+	incarnation int
 }
 
 type fakeHost struct {
-	node *Node
-	id   core.HostID
-	down bool // crashed
-	cut  bool // off from the store and all peers, not from its callers and upstreams
+	node        *Node
+	id          core.HostID
+	down        bool // crashed
+	partitioned bool // from the store and all peers, but not from its callers and upstreams
 }
 
 // fleet drives nodes, a store and engines in virtual time.
 type fleet struct {
-	t       testing.TB
-	now     core.Instant
-	agenda  agenda
-	seq     int
-	store   *platform.Store
-	hosts   []*fakeHost
-	engines map[core.UpstreamID]*engine
-	answers map[core.RequestID]*answer
-	regions int
-	domains int
-	watch   func(from *fakeHost, x ToPeer)     // of messages, for a measurement
-	timed   func(h *fakeHost, d time.Duration) // of steps, for a measurement
-	starts  int                                // requests begun at any engine
-	calls   int                                // to the object API
-	sends   int
-	left    []core.HostID
-	doc     *config.Document
-	version uint64
-	object  uint64
+	t                 testing.TB
+	now               core.Instant
+	timers            timerQueue
+	seq               int
+	store             *platform.Store
+	hosts             []*fakeHost
+	engines           map[core.UpstreamID]*engine
+	answers           map[core.RequestID]*answer
+	regions           int
+	domains           int
+	onSend            func(from *fakeHost, x ToPeer)     // called for each message, for measurements
+	onStep            func(h *fakeHost, d time.Duration) // called after each step, for measurements
+	starts            int                                // requests started at any engine
+	calls             int                                // object API calls
+	sends             int
+	left              []core.HostID
+	doc               *config.Document
+	version           uint64
+	headObjectVersion uint64
 }
 
 func newFleet(t testing.TB, hosts int, doc *config.Document) *fleet {
@@ -118,11 +118,11 @@
 	return f
 }
 
-// emptyFleet is a fleet of one region with three failure domains, without hosts.
+// emptyFleet returns a fleet of one region with three failure domains, without hosts.
 func emptyFleet(t testing.TB, doc *config.Document) *fleet {
 	f := &fleet{t: t, regions: 1, domains: 3, store: platform.NewStore(), engines: map[core.UpstreamID]*engine{}, answers: map[core.RequestID]*answer{}, doc: doc}
 	for _, u := range doc.Upstreams {
-		f.engines[u.ID] = &engine{id: u.ID, adapters: map[core.AdapterRef]bool{}, starts: map[core.RequestID]int{}, life: 1}
+		f.engines[u.ID] = &engine{id: u.ID, adapters: map[core.AdapterRef]bool{}, starts: map[core.RequestID]int{}, incarnation: 1}
 	}
 	f.publish(doc)
 	return f
@@ -143,7 +143,7 @@
 
 func (f *fleet) after(d time.Duration, do func()) {
 	f.seq++
-	heap.Push(&f.agenda, happening{f.now.Add(d), f.seq, do})
+	heap.Push(&f.timers, timedCall{f.now.Add(d), f.seq, do})
 }
 
 func (f *fleet) tick(h *fakeHost) {
@@ -153,18 +153,18 @@
 	})
 }
 
-// run lets virtual time pass.
+// run advances virtual time by d and makes the calls that become due.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
-	for len(f.agenda) > 0 && f.agenda[0].at <= end {
-		next := heap.Pop(&f.agenda).(happening)
+	for len(f.timers) > 0 && f.timers[0].at <= end {
+		next := heap.Pop(&f.timers).(timedCall)
 		f.now = next.at
 		next.do()
 	}
 	f.now = end
 }
 
-// publish accepts a configuration in the store.
+// publish writes a configuration to the store.
 func (f *fleet) publish(doc *config.Document) {
 	head, chunks, err := config.Encode(doc)
 	if err != nil {
@@ -180,14 +180,14 @@
 		f.t.Fatal(err)
 	}
 	op := core.ObjectUpdate
-	if f.object == 0 {
+	if f.headObjectVersion == 0 {
 		op = core.ObjectCreate
 	}
-	r := f.store.Do(core.ObjectCall{Op: op, Key: config.HeadKey, Value: value, IfVersion: f.object})
+	r := f.store.Do(core.ObjectCall{Op: op, Key: config.HeadKey, Value: value, IfVersion: f.headObjectVersion})
 	if r.Status != core.ObjectOK {
-		f.t.Fatalf("head not accepted: %v", r.Status)
+		f.t.Fatalf("the store did not accept the configuration head: %v", r.Status)
 	}
-	f.object = r.Object.Version
+	f.headObjectVersion = r.Object.Version
 }
 
 func (f *fleet) step(h *fakeHost, e Event) {
@@ -196,36 +196,36 @@
 	}
 	began := time.Now()
 	effects := h.node.Step(f.now, e)
-	if f.timed != nil {
-		f.timed(h, time.Since(began))
+	if f.onStep != nil {
+		f.onStep(h, time.Since(began))
 	}
 	for _, effect := range effects {
-		f.do(h, effect)
+		f.execute(h, effect)
 	}
 }
 
-func (f *fleet) do(h *fakeHost, effect Effect) {
+func (f *fleet) execute(h *fakeHost, effect Effect) {
 	switch x := effect.(type) {
 	case Dispatch:
-		f.after(linkDelay, func() { f.begin(h, x) })
+		f.after(linkDelay, func() { f.startRequest(h, x) })
 	case Cancel:
 		f.after(linkDelay, func() { f.cancel(h, x.ID, x.Attempt) })
 	case Refuse:
 		f.answer(x.ID).refusal = x.Refusal
 	case Cut:
 		f.answer(x.ID).refusal = x.Refusal
-		f.answer(x.ID).cut = true
+		f.answer(x.ID).aborted = true
 		f.after(linkDelay, func() { f.cancel(h, x.ID, h.attempt(x.ID)) })
 	case Replay:
 		f.answer(x.ID).outcome = &x.Outcome
 	case Order:
-		f.order(h, x.AdapterOrder)
+		f.executeOrder(h, x.AdapterOrder)
 	case Object:
 		f.callObject(h, x.Call)
 	case ToPeer:
 		f.sends++
-		if f.watch != nil {
-			f.watch(h, x)
+		if f.onSend != nil {
+			f.onSend(h, x)
 		}
 		f.after(linkDelay, func() { f.deliver(h, x) })
 	case Poll:
@@ -252,7 +252,7 @@
 
 func (f *fleet) deliver(from *fakeHost, x ToPeer) {
 	for _, h := range f.hosts {
-		if h.id == x.To && !from.down && !from.cut && !h.cut {
+		if h.id == x.To && !from.down && !from.partitioned && !h.partitioned {
 			f.step(h, FromPeer{From: from.id, Message: x.Message})
 		}
 	}
@@ -266,7 +266,7 @@
 	}
 	f.after(delay, func() {
 		r := core.ObjectResult{Status: core.ObjectUnavailable}
-		if !h.cut {
+		if !h.partitioned {
 			r = f.store.Do(c)
 		}
 		r.Tag = c.Tag
@@ -274,8 +274,8 @@
 	})
 }
 
-// order carries an adapter order out.
-func (f *fleet) order(h *fakeHost, o core.AdapterOrder) {
+// executeOrder loads or unloads an adapter after a delay.
+func (f *fleet) executeOrder(h *fakeHost, o core.AdapterOrder) {
 	e := f.engines[o.Upstream]
 	done := func() { f.step(h, OrderDone{core.OrderDone{ID: o.ID, OK: true, Sure: true}}) }
 	if o.Load {
@@ -300,7 +300,7 @@
 	e := f.engines[p.Upstream]
 	sent := f.now
 	f.after(2*linkDelay, func() {
-		r := core.UpstreamReport{Upstream: e.id, OK: true, Incarnation: fmt.Sprint(e.life), Running: len(e.running), Sent: sent}
+		r := core.UpstreamReport{Upstream: e.id, OK: true, Incarnation: fmt.Sprint(e.incarnation), Running: len(e.running), Sent: sent}
 		for a := range e.adapters {
 			load := core.AdapterLoad{Adapter: a}
 			for _, x := range e.running {
@@ -320,8 +320,8 @@
 	})
 }
 
-// begin starts a request at an engine.
-func (f *fleet) begin(h *fakeHost, d Dispatch) {
+// startRequest starts a request at an engine.
+func (f *fleet) startRequest(h *fakeHost, d Dispatch) {
 	e := f.engines[d.Upstream]
 	if d.Adapter != (core.AdapterRef{}) && !e.adapters[d.Adapter] {
 		f.step(h, Ended{ID: d.ID, Attempt: d.Attempt, Kind: EndMissing})
@@ -329,20 +329,20 @@
 	}
 	f.starts++
 	e.starts[d.ID]++
-	e.running = append(e.running, run{host: h, id: d.ID, attempt: d.Attempt, adapter: d.Adapter})
-	if strings.HasPrefix(string(d.ID), poison) {
+	e.running = append(e.running, engineRun{host: h, id: d.ID, attempt: d.Attempt, adapter: d.Adapter})
+	if strings.HasPrefix(string(d.ID), poisonPrefix) {
 		f.after(crashDelay, func() { f.crashOn(e, d) })
 	}
-	f.after(firstDelay, func() { f.first(e, d) })
+	f.after(firstDelay, func() { f.sendFirstByte(e, d) })
 	length := runDelay
-	if strings.HasPrefix(string(d.ID), long) {
+	if strings.HasPrefix(string(d.ID), longPrefix) {
 		length = longDelay
 	}
 	f.after(length, func() { f.finish(e, d) })
 }
 
-// first gives the first byte of a request that still runs.
-func (f *fleet) first(e *engine, d Dispatch) {
+// sendFirstByte sends the first byte of the answer if the request still runs.
+func (f *fleet) sendFirstByte(e *engine, d Dispatch) {
 	for i := range e.running {
 		r := &e.running[i]
 		if r.id == d.ID && r.attempt == d.Attempt {
@@ -353,7 +353,7 @@
 	}
 }
 
-// finish ends a request that still runs.
+// finish completes the request if it still runs.
 func (f *fleet) finish(e *engine, d Dispatch) {
 	r, ok := e.remove(d.ID, d.Attempt)
 	if !ok {
@@ -365,10 +365,10 @@
 	f.step(r.host, Ended{ID: d.ID, Attempt: d.Attempt, Kind: EndOK, Used: 20, Counted: true, Outcome: core.Outcome{Status: 200, Body: []byte("done")}})
 }
 
-func (e *engine) remove(id core.RequestID, attempt int) (run, bool) {
-	i := slices.IndexFunc(e.running, func(r run) bool { return r.id == id && r.attempt == attempt })
+func (e *engine) remove(id core.RequestID, attempt int) (engineRun, bool) {
+	i := slices.IndexFunc(e.running, func(r engineRun) bool { return r.id == id && r.attempt == attempt })
 	if i < 0 {
-		return run{}, false
+		return engineRun{}, false
 	}
 	r := e.running[i]
 	e.running = slices.Delete(e.running, i, i+1)
@@ -383,19 +383,19 @@
 	}
 }
 
-// crashOn kills an engine if a request still runs on it.
+// crashOn crashes an engine if the request still runs on it.
 func (f *fleet) crashOn(e *engine, d Dispatch) {
-	if slices.ContainsFunc(e.running, func(r run) bool { return r.id == d.ID && r.attempt == d.Attempt }) {
+	if slices.ContainsFunc(e.running, func(r engineRun) bool { return r.id == d.ID && r.attempt == d.Attempt }) {
 		f.crash(e)
 	}
 }
 
-// crash kills an engine: it restarts empty.
+// crash crashes an engine, which restarts without adapters.
 func (f *fleet) crash(e *engine) {
 	all := e.running
 	e.running = nil
 	e.adapters = map[core.AdapterRef]bool{}
-	e.life++
+	e.incarnation++
 	e.crashes++
 	for _, r := range all {
 		kind := EndFailed
--- a/internal/core/node/leaving.go
+++ b/internal/core/node/leaving.go
@@ -6,84 +6,87 @@
 	"gentiancroft/internal/core"
 )
 
-// releaseWait is how long a drained host waits for the store to take note of
-// its leaving before it exits without.
-const releaseWait = 10 * time.Second
+// releaseTimeout is how long a drained host waits for the store to record that it
+// leaves; then it exits without the record.
+const releaseTimeout = 10 * time.Second
 
-// leaving is how far a graceful shutdown has come.
-type leaving struct {
-	begun    bool
-	closed   bool // takes no request any more
-	released bool
-	left     bool
-	since    core.Instant
-	drained  core.Instant
+// leaveState is the progress of a graceful shutdown.
+type leaveState struct {
+	started   bool
+	closed    bool // new requests are refused
+	released  bool
+	completed bool
+	startedAt core.Instant
+	drainedAt core.Instant
 }
 
-// leave begins a graceful shutdown: out of the directory first, so that
-// callers who still keep this host's address are served until they ask again.
-func (n *Node) leave() {
-	if n.leaving.begun {
+// startLeave starts a graceful shutdown. The host is first removed from the
+// directory; callers that cached its address are still served for the keep time.
+func (n *Node) startLeave() {
+	if n.leaving.started {
 		return
 	}
-	n.leaving.begun = true
-	n.leaving.since = n.now
-	n.note("leave", "begun", "")
-	n.leaseOutput(n.lease.Leave(n.now))
+	n.leaving.started = true
+	n.leaving.startedAt = n.now
+	n.logDecision("leave", "begun", "")
+	n.applyLeaseOutput(n.lease.Leave(n.now))
 }
 
-// leaveOn takes the next step of a shutdown once it is due. Keeps: a graceful
-// shutdown cuts off no request in flight.
-func (n *Node) leaveOn() {
+// advanceLeave takes the steps of a shutdown that are due. Invariant: a graceful
+// shutdown aborts no request in flight before the drain time is over.
+func (n *Node) advanceLeave() {
 	l := &n.leaving
 	if n.lease.Lost() && !l.closed {
-		n.note("leave", "fenced", "")
-		l.begun, l.closed, l.since = true, true, n.now
+		n.logDecision("leave", "fenced", "")
+		l.started, l.closed, l.startedAt = true, true, n.now
 	}
-	if !l.begun || l.left {
+	if !l.started || l.completed {
 		return
 	}
-	waited := n.now.Sub(l.since)
+	waited := n.now.Sub(l.startedAt)
 	if !l.closed && waited >= n.settings.KeepTime {
-		n.note("leave", "closed", "")
+		n.logDecision("leave", "closed", "")
 		l.closed = true
 	}
 	if waited >= n.settings.Drain {
-		n.cutRest()
+		n.refuseRemaining()
 	}
 	if l.closed && n.idle() {
-		n.release()
+		n.releaseLease()
 	}
 }
 
-// idle reports whether nothing that callers wait for is left.
+// idle reports whether no request and no write of a record is pending.
 func (n *Node) idle() bool {
-	return n.requests.order.Len() == 0 && n.once.Pending() == 0
+	return n.requests.byArrival.Len() == 0 && n.once.Pending() == 0
 }
 
-func (n *Node) release() {
+// releaseLease returns the shares and the lease, and reports the end of the
+// shutdown once the store has recorded it, the lease is lost or releaseTimeout is
+// over. The lease is released after all shards are handed off.
+func (n *Node) releaseLease() {
 	l := &n.leaving
 	if !l.released {
 		l.released = true
-		l.drained = n.now
-		n.limitResult(n.limit.Leave(n.now, n.lease))
+		l.drainedAt = n.now
+		n.applyLimitResult(n.limit.Leave(n.now, n.lease))
 	}
-	late := n.now.Sub(l.drained) >= releaseWait
+	timedOut := n.now.Sub(l.drainedAt) >= releaseTimeout
 	if n.lease.Departures() == 0 && !n.lease.Lost() && !n.lease.Left() {
-		n.leaseOutput(n.lease.Release(n.now))
+		n.applyLeaseOutput(n.lease.Release(n.now))
 	}
-	if n.lease.Left() || n.lease.Lost() || late {
-		l.left = true
-		n.note("leave", "left", "")
+	if n.lease.Left() || n.lease.Lost() || timedOut {
+		l.completed = true
+		n.logDecision("leave", "left", "")
 		n.emit(Left{Fenced: n.lease.Lost()})
 	}
 }
 
-// cutRest ends what is still in flight when the drain time is over.
-func (n *Node) cutRest() {
+// refuseRemaining ends the requests in flight when the drain time is over.
+func (n *Node) refuseRemaining() {
 	for _, r := range n.requests.all() {
-		if !r.gone {
-			n.refuse(r, core.Refuse(core.CodeLeaving, retryLeaving, "this host has left"))
+		if !r.callerDone {
+			n.refuse(r, core.Refuse(core.CodeLeaving, retryAfterLeaving, "this host has left"))
 		}
 	}
 }
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -15,7 +15,8 @@
 	"gentiancroft/internal/core/placement"
 )
 
-// Settings of one node. The Self of each part is filled in.
+// Settings of one node. New sets the Self of each machine's settings. Zero values
+// of the other fields stand for the defaults.
 type Settings struct {
 	Self      core.Member
 	Seed      uint64
@@ -25,11 +26,11 @@
 	Placement placement.Settings
 	Retry     retry.Settings
 
-	PollEvery time.Duration // of an upstream by its owner
-	ListEvery time.Duration // of the platform's host list
-	KeepTime  time.Duration // how long a leaving host still takes requests
-	Drain     time.Duration // most that a leaving host waits for what is in flight
-	Capacity  int           // requests in flight at which this host counts as full
+	PollEvery time.Duration // interval of an owner's polls of an upstream
+	ListEvery time.Duration // interval of reads of the platform's host list
+	KeepTime  time.Duration // how long a leaving host still accepts requests
+	Drain     time.Duration // maximum time that a leaving host waits for requests in flight
+	Capacity  int           // requests in flight at which this host is fully utilized
 }
 
 // Defaults of Settings.
@@ -41,7 +42,7 @@
 	DefaultCapacity  = 512
 )
 
-func (s *Settings) fill() {
+func (s *Settings) setDefaults() {
 	core.OrDefault(&s.PollEvery, DefaultPollEvery)
 	core.OrDefault(&s.ListEvery, DefaultListEvery)
 	core.OrDefault(&s.KeepTime, DefaultKeepTime)
@@ -54,32 +55,32 @@
 	s.Placement.Domain = s.Self.Domain
 }
 
-// Node is one host's decisions.
+// Node makes all decisions of one host. It is not safe for concurrent use.
 type Node struct {
-	settings  Settings
-	rng       *core.Rand
-	now       core.Instant
-	out       []Effect
-	loop      []PeerMessage // from this host to itself
-	lease     *lease.Machine
-	feed      *feed.Machine
-	limit     *limit.Machine
-	placement *placement.Machine
-	once      *once.Machine
-	suspect   *suspect.Machine
-	retries   *retry.Budget
-	decoder   config.Decoder
-	snapshot  *config.Snapshot
-	requests  *table
-	calls     calls
-	members   members
-	listed    listed
-	due       due
-	leaving   leaving
-	cutSince  core.Instant // when this host found itself cut off, 0: it is not
+	settings     Settings
+	rng          *core.Rand
+	now          core.Instant
+	effects      []Effect
+	selfMessages []PeerMessage // sent by this host to itself, not handled yet
+	lease        *lease.Machine
+	feed         *feed.Machine
+	limit        *limit.Machine
+	placement    *placement.Machine
+	once         *once.Machine
+	suspect      *suspect.Machine
+	retries      *retry.Budget
+	decoder      config.Decoder
+	snapshot     *config.Snapshot
+	requests     *requestTable
+	calls        pendingCalls
+	propagated   propagated
+	listed       hostList
+	due          due
+	leaving      leaveState
+	cutOffSince  core.Instant // since when the configuration may be outdated; 0: it is not
 }
 
-// due is when periodic work is next done.
+// due holds the times at which periodic work is next done.
 type due struct {
 	poll core.Instant
 	list core.Instant
@@ -89,7 +90,7 @@
 // New returns the node of a host that is not a member yet and has no
 // configuration.
 func New(s Settings) *Node {
-	s.fill()
+	s.setDefaults()
 	rng := core.NewRand(s.Seed)
 	return &Node{
 		settings:  s,
@@ -101,70 +102,71 @@
 		once:      once.New(s.Self.Host, core.NewRand(rng.Uint64())),
 		suspect:   suspect.New(s.Self.Host, core.NewRand(rng.Uint64())),
 		retries:   retry.NewBudget(s.Retry),
-		requests:  newTable(),
-		calls:     calls{open: map[uint64]call{}},
+		requests:  newRequestTable(),
+		calls:     pendingCalls{open: map[uint64]pendingCall{}},
 	}
 }
 
-// Step handles one event and returns what to do.
+// Step handles one event and returns the effects to carry out, in order. Time
+// never goes back: an earlier now counts as the latest one.
 func (n *Node) Step(now core.Instant, event Event) []Effect {
 	n.now = max(n.now, now)
-	n.out = nil
+	n.effects = nil
 	switch e := event.(type) {
 	case Arrive:
-		n.arrive(e)
+		n.handleArrival(e)
 	case Gone:
-		n.gone(e)
+		n.handleCallerGone(e)
 	case FirstByte:
-		n.firstByte(e)
+		n.handleFirstByte(e)
 	case Ended:
-		n.ended(e)
+		n.handleAttemptEnd(e)
 	case Report:
-		n.placementResult(n.placement.Report(n.now, n.lease, e.UpstreamReport))
+		n.applyPlacementResult(n.placement.Report(n.now, n.lease, e.UpstreamReport))
 	case OrderDone:
-		n.placementResult(n.placement.OrderDone(n.now, n.lease, e.OrderDone))
+		n.applyPlacementResult(n.placement.OrderDone(n.now, n.lease, e.OrderDone))
 	case ObjectDone:
-		n.objectDone(e.Result)
+		n.routeObjectResult(e.Result)
 	case FromPeer:
-		n.fromPeer(e)
+		n.handlePeerMessage(e)
 	case HostsListed:
-		n.hostsListed(e)
+		n.updateHostList(e)
 	case Tick:
 		n.tick()
 	case Leave:
-		n.leave()
+		n.startLeave()
 	case Query:
 		e.Do(n, n.now)
 	}
-	n.loopBack()
-	n.spread()
-	n.loopBack()
-	return n.out
+	n.deliverToSelf()
+	n.propagate()
+	n.deliverToSelf()
+	return n.effects
 }
 
-func (n *Node) emit(e Effect) { n.out = append(n.out, e) }
+func (n *Node) emit(e Effect) { n.effects = append(n.effects, e) }
 
-func (n *Node) note(name, reason string, id core.RequestID) {
+func (n *Node) logDecision(name, reason string, id core.RequestID) {
 	n.emit(Note{Name: name, Reason: reason, ID: id})
 }
 
-// tick lets time pass in every machine.
+// tick runs the timers of every machine and of the node.
 func (n *Node) tick() {
-	n.leaseOutput(n.lease.Tick(n.now))
-	n.feedOutput(n.feed.Tick(n.now))
-	n.limitResult(n.limit.Tick(n.now, n.lease))
-	n.placementResult(n.placement.Tick(n.now, n.lease))
-	n.onceResult(n.once.Tick(n.now, n.lease))
-	n.suspectResult(n.suspect.Tick(n.now, n.lease))
-	n.expire()
+	n.applyLeaseOutput(n.lease.Tick(n.now))
+	n.applyFeedOutput(n.feed.Tick(n.now))
+	n.applyLimitResult(n.limit.Tick(n.now, n.lease))
+	n.applyPlacementResult(n.placement.Tick(n.now, n.lease))
+	n.applyOnceResult(n.once.Tick(n.now, n.lease))
+	n.applySuspectResult(n.suspect.Tick(n.now, n.lease))
+	n.refuseExpired()
 	n.failClosed()
 	n.poll()
 	n.publishLoad()
-	n.leaveOn()
+	n.advanceLeave()
 }
 
-// poll asks the upstreams that this host owns for their reports, and the
-// platform for its list.
+// poll requests the reports of the upstreams that this host owns, and the
+// platform's host list, when they are due.
 func (n *Node) poll() {
 	if n.now >= n.due.poll {
 		n.due.poll = n.now.Add(n.settings.PollEvery)
@@ -187,14 +189,15 @@
 	return n.snapshot.Upstream(id)
 }
 
-// listed is the platform's lagging list, as far as it says who is leaving.
-type listed struct {
-	leaving   []string // sorted
-	upstreams []core.UpstreamID
+// hostList holds the leaving hosts and upstreams of the platform's list, which
+// lags behind.
+type hostList struct {
+	leaving   []string          // sorted
+	upstreams []core.UpstreamID // the leaving ones among them that are upstreams, sorted
 }
 
-func (n *Node) hostsListed(e HostsListed) {
-	n.listed = listed{}
+func (n *Node) updateHostList(e HostsListed) {
+	n.listed = hostList{}
 	for _, h := range e.Hosts {
 		if !h.Leaving {
 			continue
@@ -206,5 +209,5 @@
 	}
 	slices.Sort(n.listed.leaving)
 	slices.Sort(n.listed.upstreams)
-	n.placementResult(n.placement.Leaving(n.now, n.lease, n.listed.upstreams))
+	n.applyPlacementResult(n.placement.Leaving(n.now, n.lease, n.listed.upstreams))
 }
--- a/internal/core/node/node_test.go
+++ b/internal/core/node/node_test.go
@@ -13,8 +13,8 @@
 
 var secret = []byte("secret")
 
-// sample is a small deployment.
-func sample() *config.Document {
+// sampleDocument returns the configuration of a small deployment.
+func sampleDocument() *config.Document {
 	d := &config.Document{
 		BaseModels: []config.BaseModel{{ID: "base"}},
 		Workspaces: []config.Workspace{
@@ -40,17 +40,17 @@
 	return config.Canonical(d)
 }
 
-func ask(id, key, model string) Arrive {
+func completionRequest(id, key, model string) Arrive {
 	return Arrive{ID: core.RequestID(id), KeyHash: config.HashKey(secret, key), Path: "/v1/completions", Model: model, Prompt: 10, MaxTokens: 50, Fingerprint: core.Fingerprint(1, id), Timeout: time.Minute}
 }
 
-func booking(id, idempotencyKey string) Arrive {
+func bookingRequest(id, idempotencyKey string) Arrive {
 	return Arrive{ID: core.RequestID(id), KeyHash: config.HashKey(secret, "key-1"), Path: "/bookings", IdempotencyKey: idempotencyKey, Body: 7, Fingerprint: 7, Timeout: time.Minute}
 }
 
-// ready returns a fleet whose hosts are members and hold the configuration.
-func ready(t *testing.T, hosts int) *fleet {
-	f := newFleet(t, hosts, sample())
+// readyFleet returns a fleet whose hosts are all ready.
+func readyFleet(t *testing.T, hosts int) *fleet {
+	f := newFleet(t, hosts, sampleDocument())
 	f.run(15 * time.Second)
 	for _, h := range f.hosts {
 		if ok, why := h.node.Ready(); !ok {
@@ -62,25 +62,25 @@
 
 func TestColdAndWarmAdapterOnAnyHost(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 3)
-	f.step(f.hosts[0], ask("cold", "key-1", "quotes-03"))
+	f := readyFleet(t, 3)
+	f.step(f.hosts[0], completionRequest("cold", "key-1", "quotes-03"))
 	f.run(3 * time.Second)
 	is.True(f.answers["cold"] != nil && f.answers["cold"].ok)
 	is.Equal(f.answers["cold"].adapter, core.AdapterRef{ID: "quotes-03", Version: 2}) // the default version
-	f.step(f.hosts[1], ask("warm", "key-2", "quotes-03@2"))
-	f.run(600 * time.Millisecond) // no load in it
+	f.step(f.hosts[1], completionRequest("warm", "key-2", "quotes-03@2"))
+	f.run(600 * time.Millisecond) // too short for an adapter load
 	is.True(f.answers["warm"].ok)
 	is.Equal(f.starts, 2)
 }
 
 func TestRefusals(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 3)
-	f.step(f.hosts[0], ask("bad key", "nobody", "quotes-03"))
-	f.step(f.hosts[0], ask("bad adapter", "key-1", "unknown"))
-	f.step(f.hosts[0], ask("bad version", "key-1", "quotes-03@9"))
-	f.step(f.hosts[0], booking("no idempotency key", ""))
-	large := ask("too large", "key-1", "quotes-03")
+	f := readyFleet(t, 3)
+	f.step(f.hosts[0], completionRequest("bad key", "nobody", "quotes-03"))
+	f.step(f.hosts[0], completionRequest("bad adapter", "key-1", "unknown"))
+	f.step(f.hosts[0], completionRequest("bad version", "key-1", "quotes-03@9"))
+	f.step(f.hosts[0], bookingRequest("no idempotency key", ""))
+	large := completionRequest("too large", "key-1", "quotes-03")
 	large.MaxTokens = 1 << 20
 	f.step(f.hosts[0], large)
 	f.run(time.Second)
@@ -91,19 +91,19 @@
 	is.Equal(f.answers["too large"].refusal.Code, core.CodeNeverFits)
 	is.Equal(f.starts, 0)
 	for id, a := range f.answers {
-		is.Equal(a.refusal.Ran, core.RanNo) // true: nothing was started
+		is.Equal(a.refusal.Ran, core.RanNo) // as no engine was sent a request
 		_ = id
 	}
 }
 
-func TestBookingRunsOnceWhicheverHostsItIsSentTo(t *testing.T) {
+func TestRequestWithIdempotencyKeyRunsOnceAcrossHosts(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 3)
+	f := readyFleet(t, 3)
 	for i, h := range f.hosts {
-		f.step(h, booking(fmt.Sprint("at once ", i), "crew-17"))
+		f.step(h, bookingRequest(fmt.Sprint("at once ", i), "crew-17"))
 	}
 	f.run(5 * time.Second)
-	f.step(f.hosts[2], booking("later", "crew-17"))
+	f.step(f.hosts[2], bookingRequest("later", "crew-17"))
 	f.run(5 * time.Second)
 	is.Equal(f.starts, 1)
 	is.Equal(string(f.answers["later"].outcome.Body), "done")
@@ -111,40 +111,40 @@
 
 func TestWithdrawnKeyStopsARunningStreamEverywhere(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 3)
-	f.step(f.hosts[0], ask("warm up", "key-1", "quotes-01"))
+	f := readyFleet(t, 3)
+	f.step(f.hosts[0], completionRequest("warm up", "key-1", "quotes-01"))
 	f.run(3 * time.Second)
 	for i, h := range f.hosts {
-		f.step(h, ask(fmt.Sprint(long, i), "key-1", "quotes-01"))
+		f.step(h, completionRequest(fmt.Sprint(longPrefix, i), "key-1", "quotes-01"))
 	}
 	f.run(firstDelay + 50*time.Millisecond)
 	doc := config.Canonical(f.doc)
 	doc.Keys[0].Withdrawn = true
 	f.publish(doc)
-	f.step(f.hosts[0], ask(long+"begun meanwhile", "key-1", "quotes-01"))
+	f.step(f.hosts[0], completionRequest(longPrefix+"begun meanwhile", "key-1", "quotes-01"))
 	f.run(3 * time.Second)
 	for i, h := range f.hosts {
-		a := f.answers[core.RequestID(fmt.Sprint(long, i))]
-		is.True(a.cut)
+		a := f.answers[core.RequestID(fmt.Sprint(longPrefix, i))]
+		is.True(a.aborted)
 		is.Equal(a.refusal.Code, core.CodeKeyWithdrawn)
 		is.Equal(a.refusal.Ran, core.RanYes)
-		f.step(h, ask(fmt.Sprint("next", i), "key-1", "quotes-01"))
+		f.step(h, completionRequest(fmt.Sprint("next", i), "key-1", "quotes-01"))
 		is.Equal(f.answers[core.RequestID(fmt.Sprint("next", i))].refusal.Ran, core.RanNo)
 	}
-	is.Equal(f.answers[long+"begun meanwhile"].refusal.Code, core.CodeKeyWithdrawn)
+	is.Equal(f.answers[longPrefix+"begun meanwhile"].refusal.Code, core.CodeKeyWithdrawn)
 	f.run(time.Second)
 	for _, e := range f.engines {
-		is.Equal(len(e.running), 0) // cut at the engines, too
+		is.Equal(len(e.running), 0) // cancelled at the engines, too
 	}
 }
 
-func TestLostHostsShardsMove(t *testing.T) {
+func TestShardsOfLostHostMove(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 4)
+	f := readyFleet(t, 4)
 	f.hosts[1].down = true
 	f.run(20 * time.Second)
 	for i := range 12 {
-		f.step(f.hosts[0], ask(fmt.Sprint("after", i), "key-1", fmt.Sprintf("quotes-%02d", i)))
+		f.step(f.hosts[0], completionRequest(fmt.Sprint("after", i), "key-1", fmt.Sprintf("quotes-%02d", i)))
 		f.run(2 * time.Second)
 	}
 	for i := range 12 {
@@ -153,14 +153,14 @@
 	is.Equal(len(f.hosts[0].node.Members()), 3)
 }
 
-func TestGracefulLeaveCutsNothing(t *testing.T) {
+func TestGracefulLeaveAbortsNoRequest(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 3)
-	f.step(f.hosts[0], ask("warm up", "key-1", "quotes-04"))
+	f := readyFleet(t, 3)
+	f.step(f.hosts[0], completionRequest("warm up", "key-1", "quotes-04"))
 	f.run(3 * time.Second)
 	f.step(f.hosts[0], Leave{})
-	for i := range 60 { // callers keep the address for a while
-		f.step(f.hosts[0], ask(fmt.Sprint("kept", i), "key-1", "quotes-04"))
+	for i := range 60 { // callers use the cached address for 6 s
+		f.step(f.hosts[0], completionRequest(fmt.Sprint("kept", i), "key-1", "quotes-04"))
 		f.run(100 * time.Millisecond)
 	}
 	f.run(30 * time.Second)
@@ -171,12 +171,12 @@
 	is.Equal(len(f.hosts[1].node.Members()), 2)
 }
 
-func TestCallersThatHangUpCostNothingMore(t *testing.T) {
+func TestHungUpRequestsLeaveNoWork(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 3)
+	f := readyFleet(t, 3)
 	for i := range 50 {
 		id := core.RequestID(fmt.Sprint("r", i))
-		f.step(f.hosts[i%3], ask(string(id), "key-1", fmt.Sprintf("quotes-%02d", i%12)))
+		f.step(f.hosts[i%3], completionRequest(string(id), "key-1", fmt.Sprintf("quotes-%02d", i%12)))
 		f.run(time.Duration(i) * 7 * time.Millisecond)
 		f.step(f.hosts[i%3], Gone{ID: id})
 	}
@@ -193,9 +193,9 @@
 func TestSameEventsSameEffects(t *testing.T) {
 	is := is.New(t)
 	trace := func() string {
-		f := ready(t, 3)
+		f := readyFleet(t, 3)
 		for i := range 20 {
-			f.step(f.hosts[i%3], ask(fmt.Sprint("r", i), "key-1", fmt.Sprintf("quotes-%02d", i%12)))
+			f.step(f.hosts[i%3], completionRequest(fmt.Sprint("r", i), "key-1", fmt.Sprintf("quotes-%02d", i%12)))
 			f.run(50 * time.Millisecond)
 		}
 		f.run(5 * time.Second)
@@ -204,18 +204,18 @@
 	is.Equal(trace(), trace())
 }
 
-func TestCrashingRequestTakesTwoUpstreamsAtMost(t *testing.T) {
+func TestCrashingRequestCrashesAtMostTwoUpstreams(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 3)
-	f.step(f.hosts[0], ask("warm up", "key-1", "quotes-01"))
+	f := readyFleet(t, 3)
+	f.step(f.hosts[0], completionRequest("warm up", "key-1", "quotes-01"))
 	f.run(3 * time.Second)
-	for round := range 10 { // its caller sends it through every host at once, again and again
+	for round := range 10 { // the caller repeats the crashing request on all hosts at once
 		for i, h := range f.hosts {
-			a := ask(fmt.Sprint(poison, round, "-", i), "key-2", "quotes-01")
+			a := completionRequest(fmt.Sprint(poisonPrefix, round, "-", i), "key-2", "quotes-01")
 			a.Fingerprint = 666
 			f.step(h, a)
 		}
-		f.step(f.hosts[round%3], ask(fmt.Sprint("innocent", round), "key-1", "quotes-01"))
+		f.step(f.hosts[round%3], completionRequest(fmt.Sprint("innocent", round), "key-1", "quotes-01"))
 		f.run(2 * time.Second)
 	}
 	f.run(30 * time.Second)
@@ -225,52 +225,52 @@
 	}
 	is.True(crashes > 0)
 	is.True(crashes <= 2)
-	last := f.answers[core.RequestID(fmt.Sprint(poison, 9, "-", 0))]
+	last := f.answers[core.RequestID(fmt.Sprint(poisonPrefix, 9, "-", 0))]
 	is.Equal(last.refusal.Code, core.CodeSuspect)
 	is.Equal(last.refusal.Ran, core.RanNo)
-	for round := range 10 { // they had no byte yet when their batch died: tried elsewhere
+	for round := range 10 { // no byte was sent when the engine crashed, so they are retried on another one
 		is.True(f.answers[core.RequestID(fmt.Sprint("innocent", round))].ok)
 	}
 }
 
-func TestEngineRestartedEmptyNeverAnswersFromTheBaseModel(t *testing.T) {
+func TestRestartedEngineNeverAnswersFromBaseModel(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 3)
-	f.step(f.hosts[0], ask("warm up", "key-1", "quotes-01"))
+	f := readyFleet(t, 3)
+	f.step(f.hosts[0], completionRequest("warm up", "key-1", "quotes-01"))
 	f.run(3 * time.Second)
 	for _, e := range f.engines {
 		if len(e.adapters) > 0 {
-			f.crash(e) // idle: nobody notices until the next poll
+			f.crash(e) // idle: not detected before the next poll
 		}
 	}
-	f.step(f.hosts[1], ask("next", "key-1", "quotes-01"))
+	f.step(f.hosts[1], completionRequest("next", "key-1", "quotes-01"))
 	f.run(5 * time.Second)
-	is.True(f.answers["next"].ok) // tried elsewhere or after a load; begin checks the adapter
+	is.True(f.answers["next"].ok) // on another engine or after a load; startRequest checks the adapter
 }
 
-func TestHostCutOffFailsClosedWhileOthersAreFresh(t *testing.T) {
+func TestHostCutOffFailsClosedWhileOthersServe(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 4)
-	f.step(f.hosts[0], ask("warm up", "key-1", "quotes-01"))
+	f := readyFleet(t, 4)
+	f.step(f.hosts[0], completionRequest("warm up", "key-1", "quotes-01"))
 	f.run(3 * time.Second)
-	f.hosts[3].cut = true
+	f.hosts[3].partitioned = true
 	f.run(10 * time.Second)
-	f.step(f.hosts[3], ask("at the cut host", "key-1", "quotes-01"))
-	f.step(f.hosts[0], ask("elsewhere", "key-1", "quotes-01"))
+	f.step(f.hosts[3], completionRequest("at the cut host", "key-1", "quotes-01"))
+	f.step(f.hosts[0], completionRequest("elsewhere", "key-1", "quotes-01"))
 	f.run(3 * time.Second)
 	is.Equal(f.answers["at the cut host"].refusal.Code, core.CodeCutOff)
 	is.Equal(f.answers["at the cut host"].refusal.Ran, core.RanNo)
 	is.True(f.answers["elsewhere"].ok)
-	f.hosts[3].cut = false
+	f.hosts[3].partitioned = false
 	f.run(30 * time.Second)
-	is.Equal(f.left, []core.HostID{"host-3"}) // fenced meanwhile: its process rejoins under a new identity
+	is.Equal(f.left, []core.HostID{"host-3"}) // it was fenced; its process would rejoin under a new identity
 }
 
 func TestOwnerLostDuringAStoreOutage(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 4)
+	f := readyFleet(t, 4)
 	for i := range 12 {
-		f.step(f.hosts[i%4], ask(fmt.Sprint("before", i), "key-1", fmt.Sprintf("quotes-%02d", i%4)))
+		f.step(f.hosts[i%4], completionRequest(fmt.Sprint("before", i), "key-1", fmt.Sprintf("quotes-%02d", i%4)))
 		f.run(time.Second)
 	}
 	f.store.SetDown(true)
@@ -279,7 +279,7 @@
 	f.run(10 * time.Second)
 	served := 0
 	for i := range 30 {
-		f.step(f.hosts[i%2], ask(fmt.Sprint("during", i), "key-1", fmt.Sprintf("quotes-%02d", i%4)))
+		f.step(f.hosts[i%2], completionRequest(fmt.Sprint("during", i), "key-1", fmt.Sprintf("quotes-%02d", i%4)))
 		f.run(500 * time.Millisecond)
 	}
 	f.run(10 * time.Second)
@@ -292,22 +292,22 @@
 	is.True(served > 0)
 	f.store.SetDown(false)
 	f.run(30 * time.Second)
-	f.step(f.hosts[0], ask("after", "key-1", "quotes-01"))
+	f.step(f.hosts[0], completionRequest("after", "key-1", "quotes-01"))
 	f.run(5 * time.Second)
 	is.True(f.answers["after"].ok)
 }
 
-func TestPausedHostFinishesWhatItStreams(t *testing.T) {
+func TestPausedHostCompletesRunningStream(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 4)
-	f.step(f.hosts[1], ask("warm up", "key-1", "quotes-01"))
+	f := readyFleet(t, 4)
+	f.step(f.hosts[1], completionRequest("warm up", "key-1", "quotes-01"))
 	f.run(3 * time.Second)
-	f.step(f.hosts[1], ask(long, "key-1", "quotes-01")) // 10 s
+	f.step(f.hosts[1], completionRequest(longPrefix, "key-1", "quotes-01")) // 10 s
 	f.run(time.Second)
 	f.hosts[1].down = true
-	f.run(7 * time.Second) // past the bound of freshness
+	f.run(7 * time.Second) // longer than a configuration counts as fresh
 	f.hosts[1].down = false
 	f.run(4 * time.Second)
-	is.True(f.answers[long].refusal == nil)
-	is.True(f.answers[long].ok)
+	is.True(f.answers[longPrefix].refusal == nil)
+	is.True(f.answers[longPrefix].ok)
 }
--- a/internal/core/node/outage_test.go
+++ b/internal/core/node/outage_test.go
@@ -12,14 +12,14 @@
 
 func TestStoreOutageDoesNotStopServing(t *testing.T) {
 	is := is.New(t)
-	f := ready(t, 3)
-	f.step(f.hosts[0], ask("before", "key-1", "quotes-02"))
+	f := readyFleet(t, 3)
+	f.step(f.hosts[0], completionRequest("before", "key-1", "quotes-02"))
 	f.run(3 * time.Second)
 	f.store.SetDown(true)
 	f.run(10 * time.Minute)
 	for i, h := range f.hosts {
-		f.step(h, ask(fmt.Sprint("during", i), "key-1", "quotes-02"))
-		f.step(h, booking(fmt.Sprint("booking", i), "crew-1"))
+		f.step(h, completionRequest(fmt.Sprint("during", i), "key-1", "quotes-02"))
+		f.step(h, bookingRequest(fmt.Sprint("booking", i), "crew-1"))
 	}
 	f.run(5 * time.Second)
 	for i := range f.hosts {
@@ -30,7 +30,7 @@
 	}
 	f.store.SetDown(false)
 	f.run(20 * time.Second)
-	f.step(f.hosts[1], ask("after", "key-2", "quotes-05"))
+	f.step(f.hosts[1], completionRequest("after", "key-2", "quotes-05"))
 	f.run(3 * time.Second)
 	is.True(f.answers["after"].ok)
 }
--- a/internal/core/node/peer.go
+++ b/internal/core/node/peer.go
@@ -9,7 +9,7 @@
 	"gentiancroft/internal/core/placement"
 )
 
-// PeerMessage is everything one host tells another; exactly one field is set.
+// PeerMessage is a message between hosts; exactly one field is set.
 type PeerMessage struct {
 	Lease     *lease.Message     `cbor:"1,keyasint,omitempty"`
 	Feed      *feed.Message      `cbor:"2,keyasint,omitempty"`
@@ -18,28 +18,28 @@
 	Suspect   *suspect.Message   `cbor:"5,keyasint,omitempty"`
 }
 
-// fromPeer hands a message to the machine that it is for.
-func (n *Node) fromPeer(e FromPeer) {
+// handlePeerMessage passes a message to the machine that it is for.
+func (n *Node) handlePeerMessage(e FromPeer) {
 	m := e.Message
 	switch {
 	case m.Lease != nil:
-		n.leaseOutput(n.lease.Peer(n.now, e.From, *m.Lease))
+		n.applyLeaseOutput(n.lease.Peer(n.now, e.From, *m.Lease))
 	case m.Feed != nil:
-		n.feedOutput(n.feed.Peer(n.now, e.From, *m.Feed))
+		n.applyFeedOutput(n.feed.Peer(n.now, e.From, *m.Feed))
 	case m.Limit != nil:
-		n.limitResult(n.limit.Peer(n.now, n.lease, e.From, *m.Limit))
+		n.applyLimitResult(n.limit.Peer(n.now, n.lease, e.From, *m.Limit))
 	case m.Placement != nil:
-		n.placementResult(n.placement.Peer(n.now, n.lease, e.From, *m.Placement))
+		n.applyPlacementResult(n.placement.Peer(n.now, n.lease, e.From, *m.Placement))
 	case m.Suspect != nil:
-		n.suspectResult(n.suspect.Peer(n.now, n.lease, e.From, *m.Suspect))
+		n.applySuspectResult(n.suspect.Peer(n.now, n.lease, e.From, *m.Suspect))
 	}
 }
 
-// send emits a message to a host of the membership in force. One to a host
-// that is not a member is dropped, as the network may drop it.
+// send emits a message to a member of the membership in force. A message to any
+// other host is dropped; the machines cope with lost messages.
 func (n *Node) send(to core.HostID, m PeerMessage) {
 	if to == n.settings.Self.Host {
-		n.loop = append(n.loop, m)
+		n.selfMessages = append(n.selfMessages, m)
 		return
 	}
 	for _, member := range n.lease.Members() {
@@ -48,14 +48,14 @@
 			return
 		}
 	}
-	n.note("peer_message", "receiver_unknown", "")
+	n.logDecision("peer_message", "receiver_unknown", "")
 }
 
-// loopBack hands this host its messages to itself.
-func (n *Node) loopBack() {
-	for len(n.loop) > 0 {
-		m := n.loop[0]
-		n.loop = n.loop[1:]
-		n.fromPeer(FromPeer{From: n.settings.Self.Host, Message: m})
+// deliverToSelf handles the messages that this host sent to itself.
+func (n *Node) deliverToSelf() {
+	for len(n.selfMessages) > 0 {
+		m := n.selfMessages[0]
+		n.selfMessages = n.selfMessages[1:]
+		n.handlePeerMessage(FromPeer{From: n.settings.Self.Host, Message: m})
 	}
 }
--- a/internal/core/node/read.go
+++ b/internal/core/node/read.go
@@ -11,16 +11,16 @@
 	"gentiancroft/internal/core/feed"
 )
 
-// Ready reports whether this host serves callers, and if not why.
+// Ready reports whether this host serves callers, and the reason.
 func (n *Node) Ready() (bool, string) {
 	switch {
-	case n.leaving.begun:
+	case n.leaving.started:
 		return false, "leaving"
 	case n.snapshot == nil:
 		return false, "no configuration"
 	case !n.lease.Joined():
 		return false, "not a member yet"
-	case n.members.joined == 0 || n.members.settled < n.members.joined:
+	case n.propagated.joinedView == 0 || n.propagated.lowestApplied < n.propagated.joinedView:
 		return false, "ownership not settled yet"
 	case n.feed.CutOff(n.now):
 		return false, "cut off"
@@ -28,10 +28,10 @@
 	return true, "ready"
 }
 
-// Snapshot is the configuration in force, or nil.
+// Snapshot returns the configuration in force, or nil.
 func (n *Node) Snapshot() *config.Snapshot { return n.snapshot }
 
-// Members is the membership in force.
+// Members returns the members in force.
 func (n *Node) Members() []core.Member { return n.lease.Members() }
 
 // Owns reports whether this host may act for a shard now.
@@ -40,11 +40,11 @@
 	return ok
 }
 
-// InFlight is how many requests this host answers for.
-func (n *Node) InFlight() int { return n.requests.order.Len() }
+// InFlight returns the number of requests that this host has not completed.
+func (n *Node) InFlight() int { return n.requests.byArrival.Len() }
 
-// Entries tells the holder of a key which hosts to use. Without a valid key it
-// names hosts all the same, but no workspace's homes.
+// Entries returns the entry hosts for a caller. Without a known key the answer
+// depends on no workspace: all usable hosts count as homes.
 func (n *Node) Entries(keyHash string, domain core.Domain) directory.Answer {
 	in := directory.Input{
 		Members:   n.lease.Members(),
@@ -57,32 +57,33 @@
 	if n.snapshot != nil {
 		if k := n.snapshot.Key(keyHash); k != nil {
 			in.Workspace = k.Workspace
-			in.Share = n.share(k.Workspace)
+			in.Share = n.rateShare(k.Workspace)
 		}
 	}
 	return directory.Entries(in)
 }
 
-// share is a workspace's part of all rates.
-func (n *Node) share(ws core.WorkspaceID) float64 {
-	var own, all int64
+// rateShare returns a workspace's fraction of the sum of all rates.
+func (n *Node) rateShare(ws core.WorkspaceID) float64 {
+	var rate, sum int64
 	for _, w := range n.snapshot.Document.Workspaces {
-		all += w.Rate
+		sum += w.Rate
 		if w.ID == ws {
-			own = w.Rate
+			rate = w.Rate
 		}
 	}
-	if all == 0 {
+	if sum == 0 {
 		return 0
 	}
-	return float64(own) / float64(all)
+	return float64(rate) / float64(sum)
 }
 
-// suspected joins what this host and the watchers that are members suspect.
+// suspected returns the hosts that this host or another member has published as
+// suspected, sorted.
 func (n *Node) suspected() []core.HostID {
 	all := slices.Clone(n.lease.Suspected(n.now))
 	for _, e := range n.feed.Topic(feed.TopicSuspects) {
-		if !slices.Contains(n.members.hosts, core.HostID(e.Key.Name)) {
+		if !slices.Contains(n.propagated.hosts, core.HostID(e.Key.Name)) {
 			continue
 		}
 		var hosts []core.HostID
@@ -94,13 +95,14 @@
 	return slices.Compact(all)
 }
 
+// loads returns the published utilization of hosts; 1 is fully utilized.
 func (n *Node) loads() map[core.HostID]float64 {
-	const full = 1000
+	const perMille = 1000
 	out := map[core.HostID]float64{}
 	for _, e := range n.feed.Topic(feed.TopicLoad) {
 		var load int
 		if cbor.Unmarshal(e.Value, &load) == nil {
-			out[core.HostID(e.Key.Name)] = float64(load) / full
+			out[core.HostID(e.Key.Name)] = float64(load) / perMille
 		}
 	}
 	return out
--- a/internal/core/node/request.go
+++ b/internal/core/node/request.go
@@ -8,43 +8,43 @@
 	"gentiancroft/internal/core/placement"
 )
 
-// stage is how far a request has come. A request waits for one thing at a time.
+// stage is what a request waits for; it waits for one thing at a time.
 type stage uint8
 
 const (
 	stageLimit   stage = iota + 1 // for tokens
 	stageRecord                   // for its at-most-once record
 	stagePlace                    // for a ticket
-	stageClaim                    // for leave from its fingerprint's home
+	stageClaim                    // for the permission of its fingerprint's home
 	stageRunning                  // for the end of its attempt
 )
 
-// request is one caller's request while this host answers for it.
+// request is a caller's request that this host has admitted and not completed.
 type request struct {
-	arrive    Arrive
-	key       *config.Key // nil on a route open to all
-	workspace *config.Workspace
-	route     *config.Route
-	adapter   core.AdapterRef
-	base      core.BaseModel
-	class     core.Class
-	deadline  core.Instant
-	stage     stage
-	ticket    *placement.Ticket
-	attempt   int         // of dispatches
-	notRun    int         // attempts that surely did not run
-	spent     core.Tokens // by all attempts
-	tried     []core.UpstreamID
-	record    bool // an at-most-once record is this request's to finish
-	claim     bool // asked of, or granted by, the fingerprint's home
-	answered  bool // the first byte has gone to the caller
-	gone      bool // the caller hung up, or was given a final answer
-	element   *list.Element
+	arrival       Arrive
+	key           *config.Key // nil on a route open to all
+	workspace     *config.Workspace
+	route         *config.Route
+	adapter       core.AdapterRef
+	base          core.BaseModel
+	class         core.Class
+	deadline      core.Instant
+	stage         stage
+	ticket        *placement.Ticket
+	attempt       int         // number of the last dispatch, 0 before the first
+	notRun        int         // attempts that surely did not run
+	tokensUsed    core.Tokens // of all attempts
+	excluded      []core.UpstreamID
+	hasRecord     bool // this request must finish its at-most-once record
+	hasClaim      bool // a claim is requested or granted
+	firstByteSent bool // the first byte of the answer was sent to the caller
+	callerDone    bool // the caller hung up or has its final answer
+	element       *list.Element
 }
 
-func (r *request) id() core.RequestID { return r.arrive.ID }
+func (r *request) id() core.RequestID { return r.arrival.ID }
 
-// mayHaveRun is what can truly be said of a request now.
+// mayHaveRun returns RanNo if no attempt can have run, else RanUnknown.
 func (r *request) mayHaveRun() core.Ran {
 	if r.attempt > r.notRun {
 		return core.RanUnknown
@@ -52,28 +52,28 @@
 	return core.RanNo
 }
 
-// table holds the requests in order of arrival.
-type table struct {
-	byID  map[core.RequestID]*request
-	order *list.List
+// requestTable holds the requests by id and in order of arrival.
+type requestTable struct {
+	byID      map[core.RequestID]*request
+	byArrival *list.List
 }
 
-func newTable() *table {
-	return &table{byID: map[core.RequestID]*request{}, order: list.New()}
+func newRequestTable() *requestTable {
+	return &requestTable{byID: map[core.RequestID]*request{}, byArrival: list.New()}
 }
 
-func (t *table) add(r *request) {
+func (t *requestTable) add(r *request) {
 	t.byID[r.id()] = r
-	r.element = t.order.PushBack(r)
+	r.element = t.byArrival.PushBack(r)
 }
 
-func (t *table) remove(r *request) {
+func (t *requestTable) remove(r *request) {
 	delete(t.byID, r.id())
-	t.order.Remove(r.element)
+	t.byArrival.Remove(r.element)
 }
 
-// at returns the request that waits at a stage, or nil.
-func (t *table) at(id core.RequestID, s stage) *request {
+// atStage returns the request if it waits at stage s, else nil.
+func (t *requestTable) atStage(id core.RequestID, s stage) *request {
 	r := t.byID[id]
 	if r == nil || r.stage != s {
 		return nil
@@ -81,10 +81,10 @@
 	return r
 }
 
-// all lists the requests in order of arrival.
-func (t *table) all() []*request {
-	out := make([]*request, 0, t.order.Len())
-	for e := t.order.Front(); e != nil; e = e.Next() {
+// all returns the requests in order of arrival. They may be removed meanwhile.
+func (t *requestTable) all() []*request {
+	out := make([]*request, 0, t.byArrival.Len())
+	for e := t.byArrival.Front(); e != nil; e = e.Next() {
 		out = append(out, e.Value.(*request))
 	}
 	return out
--- a/internal/core/node/start_test.go
+++ b/internal/core/node/start_test.go
@@ -8,20 +8,20 @@
 	"gentiancroft/internal/core"
 )
 
-// A fresh fleet refuses nobody within the rate once its hosts say that they are
-// ready, however their starts interleave.
-func TestFreshFleetRefusesNobody(t *testing.T) {
+// A new fleet whose hosts are ready refuses no request within the rate limits,
+// whatever the delay between the starts of its hosts.
+func TestNewFleetRefusesNoRequest(t *testing.T) {
 	for gap := range 40 {
-		f := emptyFleet(t, sample())
+		f := emptyFleet(t, sampleDocument())
 		for i := range 3 {
 			f.join(i)
 			f.run(time.Duration(gap*7) * time.Millisecond)
 		}
-		f.untilReady()
+		f.runUntilReady()
 		for i, h := range f.hosts {
 			for _, key := range []string{"key-1", "key-2"} {
 				id := core.RequestID(fmt.Sprint(gap, key, i))
-				f.step(h, ask(string(id), key, "quotes-01"))
+				f.step(h, completionRequest(string(id), key, "quotes-01"))
 				f.run(100 * time.Millisecond)
 				if r := f.answer(id).refusal; r != nil {
 					t.Errorf("starts %d ms apart, %s, %s: %v", gap*7, h.id, key, r)
@@ -31,10 +31,10 @@
 	}
 }
 
-// untilReady lets time pass until every host is ready.
-func (f *fleet) untilReady() {
-	const most = 400
-	for range most {
+// runUntilReady advances time until every host is ready, at most maxTicks ticks.
+func (f *fleet) runUntilReady() {
+	const maxTicks = 400
+	for range maxTicks {
 		ready := 0
 		for _, h := range f.hosts {
 			if ok, _ := h.node.Ready(); ok {
@@ -46,5 +46,5 @@
 		}
 		f.run(tickDelay)
 	}
-	f.t.Fatal("not ready")
+	f.t.Fatal("not all hosts are ready in time")
 }
--- a/internal/core/node/vitals.go
+++ b/internal/core/node/vitals.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Vitals are what an operator looks at first.
+// Vitals are the main state values of a node, for the gauges.
 type Vitals struct {
 	Ready         bool
-	InFlight      int           // requests this host answers for
-	Members       int           // hosts in the membership in force
-	View          uint64        // version of the membership this host acts under
-	Settled       uint64        // version that no live host acts before
-	Holding       bool          // the lease runs
+	InFlight      int           // requests not completed
+	Members       int           // members in force
+	View          uint64        // version of the membership in force
+	Settled       uint64        // lowest view that a live host may act under
+	Holding       bool          // the lease is valid
 	Outage        bool          // the object API does not answer
 	CutOff        bool          // requests with keys are refused
-	Configuration uint64        // version in force, 0 for none
-	Fresh         time.Duration // since when that was known to be the newest
-	Owned         int           // upstreams that this host polls as owner
-	Loans         uint64        // requests that waited for a loan of tokens
-	Granted       uint64        // requests within their limit
-	Limited       uint64        // requests refused by their limit
+	Configuration uint64        // version in force, 0: none
+	Fresh         time.Duration // time since this version was known to be the newest
+	Owned         int           // upstreams that this host owns and polls
+	Loans         uint64        // requests granted by a loan of tokens
+	Granted       uint64        // requests within their workspace's limit
+	Limited       uint64        // requests refused by their workspace's limit
 }
 
-// Vitals returns the present values.
+// Vitals returns the current values.
 func (n *Node) Vitals() Vitals {
 	ready, _ := n.Ready()
 	v := Vitals{
@@ -32,7 +32,7 @@
 		Holding:       n.lease.Holding(n.now),
 		Outage:        n.lease.Outage(n.now),
 		CutOff:        n.feed.CutOff(n.now),
-		Configuration: n.version(),
+		Configuration: n.configVersion(),
 		Owned:         len(n.placement.Polls()),
 	}
 	if asOf, ok := n.feed.Freshness(); ok {
