--- a/internal/host/exchange.go
+++ b/internal/host/exchange.go
@@ -8,9 +8,9 @@
 	"gentiancroft/internal/core/node"
 )
 
-// decisionRing holds every decision that one request can be sent before its
-// handler looks: each attempt gives at most a dispatch and an end.
-const decisionRing = 16
+// decisionBuffer has room for all decisions of one request: each attempt gives at
+// most a dispatch and an end, so none is dropped if the handler is slow.
+const decisionBuffer = 16
 
 // Exchange is the handler's side of one request.
 type Exchange struct {
@@ -18,32 +18,33 @@
 	Decisions chan node.Effect // Dispatch, Refuse, Replay or Cut
 	host      *Host
 
-	mu        sync.Mutex
-	cancel    context.CancelFunc
-	cancelled bool // before an attempt was there to cancel
-	cut       *core.Refusal
+	mu           sync.Mutex
+	cancel       context.CancelFunc
+	cancelled    bool // also before the attempt has started
+	abortRefusal *core.Refusal
 }
 
-// Begin hands a request to the node.
+// Begin passes a request to the node. If the event queue is full, the exchange
+// receives a refusal.
 func (h *Host) Begin(a node.Arrive) *Exchange {
-	x := &Exchange{ID: a.ID, Decisions: make(chan node.Effect, decisionRing), host: h}
+	x := &Exchange{ID: a.ID, Decisions: make(chan node.Effect, decisionBuffer), host: h}
 	h.mu.Lock()
 	h.exchanges[a.ID] = x
 	h.mu.Unlock()
 	if !h.Offer(a) {
-		x.decide(node.Refuse{ID: a.ID, Refusal: core.Refuse(core.CodeOverloaded, overloadedRetry, "the host is overloaded")})
+		x.deliver(node.Refuse{ID: a.ID, Refusal: core.Refuse(core.CodeOverloaded, retryAfterOverload, "the host is overloaded")})
 	}
 	return x
 }
 
-// Close forgets the request.
+// Close removes the exchange; later decisions on the request are dropped.
 func (x *Exchange) Close() {
 	x.host.mu.Lock()
 	delete(x.host.exchanges, x.ID)
 	x.host.mu.Unlock()
 }
 
-// Attempt returns the context of an attempt; the node's cancel or cut ends it,
+// Attempt returns the context of an attempt. The node's cancel or abort cancels it,
 // also one that came before this call.
 func (x *Exchange) Attempt(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
@@ -56,20 +57,21 @@
 	return ctx, cancel
 }
 
-// CutBy is the refusal that a running answer was cut with, or nil.
+// CutBy returns the refusal that the answer was aborted with, or nil.
 func (x *Exchange) CutBy() *core.Refusal {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.cut
+	return x.abortRefusal
 }
 
-func (x *Exchange) decide(effect node.Effect) {
+// deliver applies a cancel or abort and passes the other decisions to the handler.
+func (x *Exchange) deliver(effect node.Effect) {
 	switch e := effect.(type) {
 	case node.Cancel:
-		x.end(nil)
+		x.cancelAttempt(nil)
 		return
 	case node.Cut:
-		x.end(e.Refusal)
+		x.cancelAttempt(e.Refusal)
 	}
 	select {
 	case x.Decisions <- effect:
@@ -77,12 +79,13 @@
 	}
 }
 
-// end cancels the attempt under way, or the one that is about to begin.
-func (x *Exchange) end(cut *core.Refusal) {
+// cancelAttempt cancels the running attempt, or the next one if none runs. A nil
+// refusal is a cancel without an abort.
+func (x *Exchange) cancelAttempt(refusal *core.Refusal) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if cut != nil {
-		x.cut = cut
+	if refusal != nil {
+		x.abortRefusal = refusal
 	}
 	x.cancelled = true
 	if x.cancel != nil {
--- a/internal/host/executors.go
+++ b/internal/host/executors.go
@@ -8,41 +8,41 @@
 	"gentiancroft/internal/supervise"
 )
 
-// Bounds of what may be under way outside the node at once.
+// Concurrent executions per kind of effect, and the queue size of each kind.
 const (
 	objectWorkers = 32
 	orderWorkers  = 64
 	pollWorkers   = 16
-	workRing      = 1024
+	workQueueSize = 1024
 )
 
-// Orders carries adapter orders to engines.
+// Orders sends adapter orders to engines.
 type Orders interface {
-	// Do runs an order to its end; it is not sent from Grant.Until on.
+	// Do sends an order, but not from Grant.Until on, and returns its result.
 	Do(ctx context.Context, o core.AdapterOrder) core.OrderDone
 }
 
-// Objects carries calls to the object API.
+// Objects makes calls to the object API.
 type Objects interface {
 	Do(ctx context.Context, c core.ObjectCall) core.ObjectResult
 }
 
-// Polls asks an upstream for its report.
+// Polls requests reports of upstreams.
 type Polls interface {
 	Poll(ctx context.Context, u core.UpstreamID, address string) core.UpstreamReport
 }
 
-// Listing reads the platform's lagging list.
+// Listing reads the platform's host list, which lags behind.
 type Listing interface {
 	List(ctx context.Context) ([]node.ListedHost, error)
 }
 
-// Links carries messages to other hosts. A message may be lost.
+// Links sends messages to other hosts. A message may be lost.
 type Links interface {
 	Send(to core.HostID, address string, m node.PeerMessage)
 }
 
-// Carriers are the ways out of a host.
+// Carriers are the executors of a node's effects.
 type Carriers struct {
 	Orders  Orders
 	Objects Objects
@@ -51,31 +51,31 @@
 	Links   Links
 }
 
-// work is one job for a pool of workers.
-type work func(ctx context.Context)
+// job is a unit of work for a pool.
+type job func(ctx context.Context)
 
-// pool runs jobs from a ring with a fixed number of workers.
+// pool runs jobs from a bounded queue with a fixed number of workers.
 type pool struct {
 	name    string
 	workers int
-	ring    *supervise.Ring[work]
+	ring    *supervise.Ring[job]
 }
 
 func newPool(name string, workers int) *pool {
-	return &pool{name: name, workers: workers, ring: supervise.NewRing[work](name, workRing, supervise.Refuse)}
+	return &pool{name: name, workers: workers, ring: supervise.NewRing[job](name, workQueueSize, supervise.Refuse)}
 }
 
-// submit reports whether the job was taken.
-func (p *pool) submit(w work) bool { return p.ring.Push(w) == nil }
+// submit enqueues a job. It returns false if the queue is full.
+func (p *pool) submit(w job) bool { return p.ring.Push(w) == nil }
 
-// register puts the pool's workers under supervision.
-func (p *pool) register(t *supervise.Tree) {
+// register adds the pool's workers to the supervisor tree.
+func (p *pool) register(tree *supervise.Tree) {
 	for i := range p.workers {
-		t.Add(workerName(p.name, i), p.work)
+		tree.Add(workerName(p.name, i), p.runJobs)
 	}
 }
 
-func (p *pool) work(ctx context.Context) error {
+func (p *pool) runJobs(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/host/gauges.go
+++ b/internal/host/gauges.go
@@ -7,10 +7,10 @@
 	"gentiancroft/internal/exposition"
 )
 
-// vitalsEvery is how many ticks pass between two readings of the vitals.
-const vitalsEvery = 20
+// ticksPerUpdate is the number of ticks from one update of the gauges to the next.
+const ticksPerUpdate = 20
 
-// Gauges of a host, 1 for true.
+// Names of a host's gauges. A boolean gauge is 1 for true.
 const (
 	GaugeReady         = "host.ready"
 	GaugeInFlight      = "host.in_flight"
@@ -28,8 +28,9 @@
 	GaugeLoans         = "limit.borrowed"
 )
 
-// readVitals shows the node's vitals as gauges. The node's own duty calls it.
-func (h *Host) readVitals() {
+// updateGauges sets the gauges from the node's state and the queues. Only the
+// node's worker may call it.
+func (h *Host) updateGauges() {
 	v := h.node.Vitals()
 	h.gauge(GaugeReady, exposition.Truth(v.Ready))
 	h.gauge(GaugeInFlight, int64(v.InFlight))
@@ -47,8 +48,8 @@
 	h.gauge(GaugeLoans, int64(v.Loans))
 	for _, p := range []*pool{h.objects, h.orders, h.polls} {
 		s := p.ring.Stats()
-		h.gauge("ring."+plainName(s.Name)+".length", int64(s.Length))
-		h.gauge("ring."+plainName(s.Name)+".refused", s.Refused)
+		h.gauge("ring."+metricName(s.Name)+".length", int64(s.Length))
+		h.gauge("ring."+metricName(s.Name)+".refused", s.Refused)
 	}
 	s := h.events.Stats()
 	h.gauge("ring.events.length", int64(s.Length))
@@ -59,11 +60,11 @@
 	metrics.GetOrRegisterGauge(name, h.metrics).Update(value)
 }
 
-// vitalsDue counts ticks and reports whether the vitals are due.
-func (h *Host) vitalsDue(e node.Event) bool {
+// gaugesDue counts ticks and reports whether the gauges are to be updated.
+func (h *Host) gaugesDue(e node.Event) bool {
 	if _, ok := e.(node.Tick); !ok {
 		return false
 	}
 	h.ticks++
-	return h.ticks%vitalsEvery == 0
+	return h.ticks%ticksPerUpdate == 0
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,5 +1,7 @@
-// Package host runs one node: a single duty takes events from a bounded ring,
-// steps the node and hands its effects to the carriers.
+// Package host runs one node: a single goroutine takes events from a bounded queue,
+// steps the node and passes its effects to executors, which do the I/O in pools of
+// workers. If the event queue is full, new requests are refused, ticks and peer
+// messages dropped; all other decisions are the node's.
 package host
 
 import (
@@ -18,9 +20,9 @@
 )
 
 const (
-	eventRing       = 8192
-	tickEvery       = 50 * time.Millisecond
-	overloadedRetry = time.Second // when a caller refused by a full ring should come back
+	eventQueueSize     = 8192
+	tickInterval       = 50 * time.Millisecond
+	retryAfterOverload = time.Second // after a refusal because the event queue is full
 )
 
 // Metric names.
@@ -32,31 +34,31 @@
 	decisionPrefix     = "decision."
 )
 
-// Host owns a node and its event ring.
+// Host owns a node and its event queue.
 type Host struct {
-	node     *node.Node
-	carriers Carriers
-	metrics  metrics.Registry
-	events   *supervise.Ring[node.Event]
-	objects  *pool
-	orders   *pool
-	polls    *pool
-	own      []node.Event // of the node's duty alone
-	ticks    int          // of the node's duty alone
-	start    time.Time
-	left     chan Left
+	node        *node.Node
+	executors   Carriers
+	metrics     metrics.Registry
+	events      *supervise.Ring[node.Event]
+	objects     *pool
+	orders      *pool
+	polls       *pool
+	localEvents []node.Event // used by the node's worker only
+	ticks       int          // used by the node's worker only
+	start       time.Time
+	left        chan Left
 
 	mu        sync.Mutex
 	exchanges map[core.RequestID]*Exchange
 }
 
-// New returns a host whose duties are not running yet.
+// New returns a host whose workers are not started. Register adds them to a tree.
 func New(n *node.Node, c Carriers, registry metrics.Registry, start time.Time) *Host {
 	return &Host{
 		node:      n,
-		carriers:  c,
+		executors: c,
 		metrics:   registry,
-		events:    supervise.NewRing[node.Event]("events", eventRing, supervise.Refuse),
+		events:    supervise.NewRing[node.Event]("events", eventQueueSize, supervise.Refuse),
 		objects:   newPool("object calls", objectWorkers),
 		orders:    newPool("adapter orders", orderWorkers),
 		polls:     newPool("polls", pollWorkers),
@@ -66,40 +68,43 @@
 	}
 }
 
-// Register puts the host's duties under supervision.
+// Register adds the host's workers to the supervisor tree.
 func (h *Host) Register(t *supervise.Tree) {
 	h.objects.register(t)
 	h.orders.register(t)
 	h.polls.register(t)
-	t.Add("node", h.run)
-	t.Add("ticker", supervise.Every(tickEvery, h.tick))
+	t.Add("node", h.runNode)
+	t.Add("ticker", supervise.Every(tickInterval, h.tick))
 }
 
 // Now is the host's monotonic clock.
 func (h *Host) Now() core.Instant { return core.Instant(time.Since(h.start)) }
 
-// Left says that the host may exit.
+// Left reports that the host may exit.
 type Left = node.Left
 
-// Left gives one value once the host may exit.
+// Left returns a channel that gives one value once the host may exit.
 func (h *Host) Left() <-chan Left { return h.left }
 
-// Tell hands the node an event and waits while the ring is full: an event that
-// ends something must not be lost. The node's own duty never calls it.
+// Tell enqueues an event and blocks while the queue is full: an event that ends
+// something must not be lost. The node's worker must not call it, as it would block
+// itself.
 func (h *Host) Tell(e node.Event) { h.events.Put(e) }
 
-// Offer hands the node an event unless the ring is full.
+// Offer enqueues an event. It returns false if the queue is full.
 func (h *Host) Offer(e node.Event) bool { return h.events.TryPush(e) }
 
-// FromPeer hands the node a message from a link; a full ring drops it, as the
-// network may.
+// FromPeer enqueues a message from a link. If the queue is full, the message is
+// dropped and counted; the node copes with lost messages.
 func (h *Host) FromPeer(from core.HostID, m node.PeerMessage) {
 	if !h.Offer(node.FromPeer{From: from, Message: m}) {
 		h.count(MetricPeerDropped)
 	}
 }
 
-// Read runs f between two steps of the node and waits for it.
+// Read runs f between two steps of the node and waits until it returns. It returns
+// an error if the event queue is full, or if ctx ends first; in that case f may
+// still run later.
 func (h *Host) Read(ctx context.Context, f func(n *node.Node, now core.Instant)) error {
 	done := make(chan struct{})
 	q := node.Query{Do: func(n *node.Node, now core.Instant) {
@@ -117,26 +122,27 @@
 	}
 }
 
-func (h *Host) run(ctx context.Context) error {
+func (h *Host) runNode(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case e := <-h.events.Items():
 			h.step(e)
-			h.stepOwn()
-			if h.vitalsDue(e) {
-				h.readVitals()
+			h.stepLocalEvents()
+			if h.gaugesDue(e) {
+				h.updateGauges()
 			}
 		}
 	}
 }
 
-// stepOwn steps the events that carrying out effects gave rise to.
-func (h *Host) stepOwn() {
-	for len(h.own) > 0 {
-		e := h.own[0]
-		h.own = h.own[1:]
+// stepLocalEvents steps the events that result from effects that could not be
+// submitted.
+func (h *Host) stepLocalEvents() {
+	for len(h.localEvents) > 0 {
+		e := h.localEvents[0]
+		h.localEvents = h.localEvents[1:]
 		h.step(e)
 	}
 }
@@ -147,7 +153,7 @@
 	metrics.GetOrRegisterCounter(MetricEvents, h.metrics).Inc(1)
 	metrics.GetOrRegisterCounter(MetricStepTime, h.metrics).Inc(int64(h.Now().Sub(now)))
 	for _, effect := range effects {
-		h.do(effect)
+		h.execute(effect)
 	}
 }
 
@@ -159,105 +165,106 @@
 
 func (h *Host) count(name string) { metrics.GetOrRegisterCounter(name, h.metrics).Inc(1) }
 
-func (h *Host) do(effect node.Effect) {
+func (h *Host) execute(effect node.Effect) {
 	switch x := effect.(type) {
 	case node.Dispatch:
-		h.decide(x.ID, x)
+		h.deliverDecision(x.ID, x)
 	case node.Refuse:
-		h.decide(x.ID, x)
+		h.deliverDecision(x.ID, x)
 	case node.Replay:
-		h.decide(x.ID, x)
+		h.deliverDecision(x.ID, x)
 	case node.Cut:
-		h.decide(x.ID, x)
+		h.deliverDecision(x.ID, x)
 	case node.Cancel:
-		h.decide(x.ID, x)
+		h.deliverDecision(x.ID, x)
 	case node.Order:
-		h.order(x.AdapterOrder)
+		h.executeOrder(x.AdapterOrder)
 	case node.Object:
-		h.object(x.Call)
+		h.callObject(x.Call)
 	case node.Poll:
 		h.poll(x)
 	case node.ListHosts:
-		h.list()
+		h.listHosts()
 	case node.ToPeer:
-		h.carriers.Links.Send(x.To, x.Address, x.Message)
+		h.executors.Links.Send(x.To, x.Address, x.Message)
 	case node.Note:
-		h.note(x)
+		h.logDecision(x)
 	case node.Left:
-		h.left <- x // the node says so once
+		h.left <- x // the node emits it once
 	default:
-		log.WithField("effect", fmt.Sprintf("%T", effect)).Error("effect without a carrier")
+		log.WithField("effect", fmt.Sprintf("%T", effect)).Error("effect has no executor and is dropped")
 	}
 }
 
-func (h *Host) decide(id core.RequestID, effect node.Effect) {
+// deliverDecision passes a decision to the request's handler, if it still waits.
+func (h *Host) deliverDecision(id core.RequestID, effect node.Effect) {
 	h.mu.Lock()
 	x := h.exchanges[id]
 	h.mu.Unlock()
 	if x != nil {
-		x.decide(effect)
+		x.deliver(effect)
 	}
 }
 
-func (h *Host) order(o core.AdapterOrder) {
-	taken := h.orders.submit(func(ctx context.Context) {
-		h.Tell(node.OrderDone{OrderDone: h.carriers.Orders.Do(ctx, o)})
+func (h *Host) executeOrder(o core.AdapterOrder) {
+	accepted := h.orders.submit(func(ctx context.Context) {
+		h.Tell(node.OrderDone{OrderDone: h.executors.Orders.Do(ctx, o)})
 	})
-	if !taken {
-		h.own = append(h.own, node.OrderDone{OrderDone: core.OrderDone{ID: o.ID, Sure: true}})
+	if !accepted {
+		h.localEvents = append(h.localEvents, node.OrderDone{OrderDone: core.OrderDone{ID: o.ID, Sure: true}})
 	}
 }
 
-func (h *Host) object(c core.ObjectCall) {
-	taken := h.objects.submit(func(ctx context.Context) {
-		h.Tell(node.ObjectDone{Result: h.carriers.Objects.Do(ctx, c)})
+func (h *Host) callObject(c core.ObjectCall) {
+	accepted := h.objects.submit(func(ctx context.Context) {
+		h.Tell(node.ObjectDone{Result: h.executors.Objects.Do(ctx, c)})
 	})
-	if !taken {
-		h.own = append(h.own, node.ObjectDone{Result: core.ObjectResult{Tag: c.Tag, Status: core.ObjectUnavailable}})
+	if !accepted {
+		h.localEvents = append(h.localEvents, node.ObjectDone{Result: core.ObjectResult{Tag: c.Tag, Status: core.ObjectUnavailable}})
 	}
 }
 
 func (h *Host) poll(p node.Poll) {
 	h.polls.submit(func(ctx context.Context) {
 		sent := h.Now()
-		report := h.carriers.Polls.Poll(ctx, p.Upstream, p.Address)
+		report := h.executors.Polls.Poll(ctx, p.Upstream, p.Address)
 		report.Upstream = p.Upstream
 		report.Sent = sent
 		h.Tell(node.Report{UpstreamReport: report})
 	})
 }
 
-func (h *Host) list() {
+func (h *Host) listHosts() {
 	h.polls.submit(func(ctx context.Context) {
-		hosts, err := h.carriers.Listing.List(ctx)
+		hosts, err := h.executors.Listing.List(ctx)
 		if err != nil {
-			log.WithError(err).Debug("host list not read")
+			log.WithError(err).Debug("could not read the host list; the former one stays")
 			return
 		}
 		h.Tell(node.HostsListed{Hosts: hosts})
 	})
 }
 
-// note counts a decision by its name and reason and logs it with its detail.
-func (h *Host) note(n node.Note) {
-	name := decisionPrefix + plainName(n.Name)
+// logDecision counts a decision by its name and reason and logs it at debug level.
+func (h *Host) logDecision(n node.Note) {
+	name := decisionPrefix + metricName(n.Name)
 	if n.Reason != "" {
 		name += "." + n.Reason
 	}
 	h.count(name)
-	if !debugging() {
+	if !debugEnabled() {
 		return
 	}
 	log.WithFields(log.Fields{"decision": n.Name, "reason": n.Reason, "detail": n.Detail, "request": string(n.ID)}).Debug("decided")
 }
 
-// debugging reports whether debug lines are written at all.
-func debugging() bool {
+// debugEnabled reports whether debug lines are written.
+func debugEnabled() bool {
 	l, ok := log.Log.(*log.Logger)
 	return !ok || l.Level <= log.DebugLevel
 }
 
-// plainName makes a name fit for a metric.
-func plainName(s string) string { return strings.ReplaceAll(s, " ", "_") }
+// metricName replaces the spaces of a name for use in a metric's name.
+func metricName(s string) string { return strings.ReplaceAll(s, " ", "_") }
 
 func workerName(pool string, i int) string { return fmt.Sprintf("%s %d", pool, i) }
