--- a/internal/wiring/convert.go
+++ b/internal/wiring/convert.go
@@ -14,7 +14,8 @@
 	"gentiancroft/internal/settings"
 )
 
-// From turns a process's settings into a host's.
+// From converts the settings of a process into those of a host. It returns an error
+// if the key secret or the certificates can't be read.
 func From(h *settings.Host) (Settings, error) {
 	secret, err := h.KeySecret()
 	if err != nil {
@@ -33,14 +34,14 @@
 		Platform:  h.Platform,
 		KeySecret: secret,
 		Material:  material,
-		Limits:    limitsOf(h.Limits),
-		Node:      nodeOf(h),
+		Limits:    entryLimits(h.Limits),
+		Node:      nodeSettings(h),
 	}
 	s.Routes = append(s.Routes, consoleRoutes(s, h.OperatorHashes()))
 	return s, nil
 }
 
-func limitsOf(l settings.Limits) entry.Limits {
+func entryLimits(l settings.Limits) entry.Limits {
 	d := entry.DefaultLimits
 	limits := entry.Limits{
 		Body:        l.Body.Or(d.Body),
@@ -56,7 +57,7 @@
 	return limits
 }
 
-func nodeOf(h *settings.Host) node.Settings {
+func nodeSettings(h *settings.Host) node.Settings {
 	return node.Settings{
 		Lease:     lease.Settings{Term: h.Timings.LeaseTerm.Value(), Renew: h.Timings.LeaseRenew.Value()},
 		Feed:      feed.Settings{Ping: h.Timings.FeedPing.Value(), Read: h.Timings.FeedRead.Value(), Bound: h.Timings.FeedBound.Value()},
@@ -68,7 +69,7 @@
 	}
 }
 
-// consoleRoutes adds the operators' console to a host.
+// consoleRoutes returns a function that registers the operators' console.
 func consoleRoutes(s Settings, operators map[string]string) func(*router.Router) {
 	byName := make(map[string]string, len(operators))
 	for hash, name := range operators {
--- a/internal/wiring/executors.go
+++ b/internal/wiring/executors.go
@@ -14,11 +14,11 @@
 	"gentiancroft/internal/upstream"
 )
 
-// listing reads the platform's list.
-type listing struct{ client *platform.Client }
+// hostLister reads the platform's host list.
+type hostLister struct{ client *platform.Client }
 
 // List implements host.Listing.
-func (l listing) List(ctx context.Context) ([]node.ListedHost, error) {
+func (l hostLister) List(ctx context.Context) ([]node.ListedHost, error) {
 	listed, err := l.client.Hosts(ctx)
 	if err != nil {
 		return nil, err
@@ -30,11 +30,11 @@
 	return hosts, nil
 }
 
-// links carries peer messages as CBOR over host links.
-type links struct{ links *peer.Links }
+// peerLinks sends peer messages as CBOR over host links.
+type peerLinks struct{ links *peer.Links }
 
 // Send implements host.Links.
-func (l links) Send(to core.HostID, address string, m node.PeerMessage) {
+func (l peerLinks) Send(to core.HostID, address string, m node.PeerMessage) {
 	payload, err := cbor.Marshal(m)
 	if err != nil {
 		log.WithError(err).Error("peer message not encoded")
@@ -43,8 +43,9 @@
 	l.links.Send(to, address, payload)
 }
 
-// receive decodes what comes over a link. What can't be decoded is dropped.
-func receive(h *host.Host) peer.Handler {
+// decodePeerMessages returns a link handler that decodes messages for a host. A
+// message that can't be decoded is logged and dropped.
+func decodePeerMessages(h *host.Host) peer.Handler {
 	return func(from core.HostID, payload []byte) {
 		var m node.PeerMessage
 		if err := cbor.Unmarshal(payload, &m); err != nil {
@@ -55,17 +56,17 @@
 	}
 }
 
-// carriers are a host's ways out.
-func carriers(p *platform.Client, u *upstream.Client, l *lateLinks, now func() core.Instant) host.Carriers {
+// newExecutors returns the executors of a host's effects.
+func newExecutors(p *platform.Client, u *upstream.Client, l *lateBoundLinks, now func() core.Instant) host.Carriers {
 	return host.Carriers{
 		Orders:  upstream.Orders{Client: u, Now: now},
 		Objects: p,
 		Polls:   u,
-		Listing: listing{client: p},
+		Listing: hostLister{client: p},
 		Links:   l,
 	}
 }
 
-// lateLinks breaks the circle between a host, which sends over its links, and
-// the links, which hand to the host.
-type lateLinks struct{ links }
+// lateBoundLinks breaks the dependency cycle between a host, which sends over its
+// links, and the links, which deliver to the host.
+type lateBoundLinks struct{ peerLinks }
--- a/internal/wiring/host.go
+++ b/internal/wiring/host.go
@@ -22,7 +22,7 @@
 	"gentiancroft/internal/upstream"
 )
 
-// Running is one host that has been put together.
+// Running is an assembled host.
 type Running struct {
 	ID      core.HostID
 	Address string // callers' ip:port
@@ -38,25 +38,25 @@
 	upstream *upstream.Client
 }
 
-// start is the zero of a host's monotonic clock.
-type start time.Time
+// clockStart is the zero time of a host's monotonic clock.
+type clockStart time.Time
 
-func (s start) now() core.Instant { return core.Instant(time.Since(time.Time(s))) }
+func (s clockStart) now() core.Instant { return core.Instant(time.Since(time.Time(s))) }
 
-// New puts a host together and binds its sockets. Run starts it.
+// New assembles a host and binds its sockets. Run starts it.
 func New(s Settings) (*Running, error) {
 	c := dig.New()
 	constructors := []any{
 		func() Settings { return s },
-		newMember,
-		func() start { return start(time.Now()) },
+		newHostIdentity,
+		func() clockStart { return clockStart(time.Now()) },
 		metrics.NewRegistry,
 		newTree,
 		newPlatform,
 		newUpstream,
 		newListener,
 		newNode,
-		func() *lateLinks { return &lateLinks{} },
+		func() *lateBoundLinks { return &lateBoundLinks{} },
 		newHost,
 		newLinks,
 		newEntry,
@@ -74,7 +74,7 @@
 	return r, nil
 }
 
-// identity is new with each process lifetime of a host.
+// identity is a host id and random seed, new for each process of a host.
 type identity struct {
 	host core.HostID
 	seed uint64
@@ -86,7 +86,7 @@
 	return identity{host: core.HostID(name + "/" + hex.EncodeToString(b[:4])), seed: binary.LittleEndian.Uint64(b[:])}
 }
 
-func newMember(s Settings) identity { return newIdentity(s.Name) }
+func newHostIdentity(s Settings) identity { return newIdentity(s.Name) }
 
 func newTree(s Settings, r metrics.Registry) *supervise.Tree { return supervise.NewTree(s.Name, r) }
 
@@ -94,24 +94,26 @@
 	return platform.New(platform.Options{Address: s.Platform})
 }
 
-func newUpstream(r metrics.Registry, t start) *upstream.Client { return upstream.NewClient(r, t.now) }
+func newUpstream(r metrics.Registry, t clockStart) *upstream.Client {
+	return upstream.NewClient(r, t.now)
+}
 
 func newListener(s Settings) (net.Listener, error) { return net.Listen("tcp", s.Callers) }
 
-// newLinks binds the links' socket and closes the circle with the host.
-func newLinks(s Settings, id identity, h *host.Host, late *lateLinks, r metrics.Registry, m memberLink) (*peer.Links, error) {
-	l, err := peer.New(peer.Settings{Self: id.host, Listen: string(m), Material: s.Material, Seed: id.seed, Registry: r}, receive(h))
+// newLinks opens the links' socket and connects the links to the host.
+func newLinks(s Settings, id identity, h *host.Host, late *lateBoundLinks, r metrics.Registry, m linkAddress) (*peer.Links, error) {
+	l, err := peer.New(peer.Settings{Self: id.host, Listen: string(m), Material: s.Material, Seed: id.seed, Registry: r}, decodePeerMessages(h))
 	if err != nil {
 		return nil, err
 	}
-	late.links = links{links: l}
+	late.peerLinks = peerLinks{links: l}
 	return l, nil
 }
 
-// memberLink is the links' ip:port, known before the links are made.
-type memberLink string
+// linkAddress is the links' ip:port, known before the links are opened.
+type linkAddress string
 
-func newNode(s Settings, id identity, l net.Listener) (*node.Node, memberLink, error) {
+func newNode(s Settings, id identity, l net.Listener) (*node.Node, linkAddress, error) {
 	link, err := fixedPort(s.Links)
 	if err != nil {
 		return nil, "", err
@@ -119,7 +121,7 @@
 	settings := s.Node
 	settings.Seed = id.seed
 	settings.Self = core.Member{Host: id.host, Address: l.Addr().String(), Link: link, Domain: s.Domain, Region: s.Region}
-	return node.New(settings), memberLink(link), nil
+	return node.New(settings), linkAddress(link), nil
 }
 
 // fixedPort replaces port 0 by a free one, since a member's link address is
@@ -140,8 +142,8 @@
 	return c.LocalAddr().String(), nil
 }
 
-func newHost(n *node.Node, p *platform.Client, u *upstream.Client, l *lateLinks, r metrics.Registry, t start) *host.Host {
-	return host.New(n, carriers(p, u, l, t.now), r, time.Time(t))
+func newHost(n *node.Node, p *platform.Client, u *upstream.Client, l *lateBoundLinks, r metrics.Registry, t clockStart) *host.Host {
+	return host.New(n, newExecutors(p, u, l, t.now), r, time.Time(t))
 }
 
 func newEntry(s Settings, id identity, h *host.Host, u *upstream.Client, r metrics.Registry) *entry.Server {
@@ -167,8 +169,9 @@
 	}
 }
 
-// Run serves until ctx ends, which stops the host at once, or until it has
-// left gracefully after Leave.
+// Run serves until ctx ends, which stops the host at once, or until the graceful
+// shutdown that Leave starts is complete. It returns a Fenced error if the host has
+// lost its lease.
 func (r *Running) Run(ctx context.Context) error {
 	all, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -197,5 +200,5 @@
 	return nil
 }
 
-// Leave begins a graceful shutdown; Run returns once it is over.
+// Leave starts a graceful shutdown; Run returns once it is complete.
 func (r *Running) Leave() { r.Host.Tell(node.Leave{}) }
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -25,7 +25,7 @@
 	"gentiancroft/internal/upstream"
 )
 
-// Adapter is what a relaying host needs of the platform that it runs on.
+// Adapter holds the platform's parts of a relaying host.
 type Adapter struct {
 	Carriers    func(store string, client *upstream.Client) gateway.Carriers
 	Dialect     relay.Dialect
@@ -34,7 +34,7 @@
 	Resolved    func(addresses []string, keep time.Duration) ([]byte, error)
 }
 
-// Relaying is one relaying host that has been put together.
+// Relaying is an assembled relaying host.
 type Relaying struct {
 	settings atomic.Pointer[settings.Relay]
 	adapter  Adapter
@@ -47,32 +47,32 @@
 
 // Times of a relaying host.
 const (
-	linkIdle       = 1500 * time.Millisecond // a link that is silent for so long is dead
-	replicaDial    = 300 * time.Millisecond  // for a connection to a replica to open
-	shutdownMargin = 400 * time.Millisecond  // from the end of the shutdown to the kill
-	refuseBefore   = 2 * time.Second         // from the refusal of requests to the end of the shutdown
-	streamsBefore  = 4800 * time.Millisecond // from the refusal of streams to the end of the shutdown
+	linkIdleTimeout    = 1500 * time.Millisecond // a link without traffic for so long counts as broken
+	replicaDialTimeout = 300 * time.Millisecond  // to open a connection to a replica
+	shutdownMargin     = 400 * time.Millisecond  // from the end of the shutdown to the kill of the process
+	requestRefusalLead = 2 * time.Second         // from the refusal of requests to the end of the shutdown
+	streamRefusalLead  = 4800 * time.Millisecond // from the refusal of streams to the end of the shutdown
 )
 
-// versionMargin is the part of an adapter version's grace that is used.
-const versionMargin = 0.4
+// versionGraceFraction is the fraction of an adapter version's grace that is used.
+const versionGraceFraction = 0.4
 
-// hostClock reads the clock that goes on while the machine is suspended.
-func hostClock() core.Instant {
+// bootTime reads CLOCK_BOOTTIME, which also advances while the machine is suspended.
+func bootTime() core.Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // the clock has been there since Linux 2.6.39
+		panic(err) // the clock exists since Linux 2.6.39
 	}
 	return core.Instant(t.Nano())
 }
 
-// newHostClock starts a clock at zero.
-func newHostClock() gateway.Clock {
-	start := hostClock()
-	return func() core.Instant { return hostClock() - start }
+// newBootClock returns a clock that starts at zero now.
+func newBootClock() gateway.Clock {
+	start := bootTime()
+	return func() core.Instant { return bootTime() - start }
 }
 
-// NewRelay puts a relaying host together. Run starts it.
+// NewRelay assembles a relaying host. Run opens its listeners and starts it.
 func NewRelay(s *settings.Relay, a Adapter) (*Relaying, error) {
 	c := dig.New()
 	constructors := []any{
@@ -82,9 +82,9 @@
 		metrics.NewRegistry,
 		func(r metrics.Registry) *supervise.Tree { return supervise.NewTree(s.Host.Name, r) },
 		newReplicaClient,
-		newRelayKey,
+		newLinkCertificate,
 		newRelayMachine,
-		func() *lateSender { return &lateSender{} },
+		func() *lateBoundSender { return &lateBoundSender{} },
 		newGateway,
 		newRelayLinks,
 		newRelayServer,
@@ -104,26 +104,26 @@
 
 func newReplicaClient(r metrics.Registry) *upstream.Client {
 	client := upstream.NewClient(r, nil)
-	client.DialTimeout = replicaDial
+	client.DialTimeout = replicaDialTimeout
 	return client
 }
 
-// relayKey is the certificate of a host's links; who trusts it is known once
-// there is a gateway.
-type relayKey struct {
+// linkCertificate is the certificate of a host's links. Its trust function is set
+// once the gateway exists.
+type linkCertificate struct {
 	material    peer.Material
 	fingerprint string
 	trust       func(core.HostID, string) bool
 }
 
-func newRelayKey(id identity) (*relayKey, error) {
-	k := &relayKey{}
+func newLinkCertificate(id identity) (*linkCertificate, error) {
+	k := &linkCertificate{}
 	material, fingerprint, err := peer.NewPinned(id.host, func(h core.HostID, f string) bool { return k.trust(h, f) })
 	k.material, k.fingerprint = material, fingerprint
 	return k, err
 }
 
-func newRelayMachine(s *settings.Relay, id identity, k *relayKey) *direct.Machine {
+func newRelayMachine(s *settings.Relay, id identity, k *linkCertificate) *direct.Machine {
 	shutdown := s.Shutdown.Value() - shutdownMargin
 	return direct.New(direct.Settings{
 		Self: fleet.Registration{
@@ -142,31 +142,31 @@
 		RetrySlack:   s.Retry.Slack,
 		RetryWindow:  s.Retry.Window.Value(),
 		VersionGrace: versionGrace(s),
-		LeaveStreams: shutdown - streamsBefore,
-		LeaveAfter:   shutdown - refuseBefore,
+		LeaveStreams: shutdown - streamRefusalLead,
+		LeaveAfter:   shutdown - requestRefusalLead,
 		LeaveBy:      shutdown,
 	})
 }
 
-// lateSender breaks the circle between a gateway, which sends over its links,
-// and the links, which hand to the gateway.
-type lateSender struct{ links *peer.Links }
+// lateBoundSender breaks the dependency cycle between a gateway, which sends over
+// its links, and the links, which deliver to the gateway.
+type lateBoundSender struct{ links *peer.Links }
 
 // Send implements gateway.Links.
-func (l *lateSender) Send(to core.HostID, address string, payload []byte) bool {
+func (l *lateBoundSender) Send(to core.HostID, address string, payload []byte) bool {
 	return l.links.Send(to, address, payload)
 }
 
-func newGateway(s *settings.Relay, a Adapter, m *direct.Machine, client *upstream.Client, late *lateSender, k *relayKey, r metrics.Registry) *gateway.Gateway {
+func newGateway(s *settings.Relay, a Adapter, m *direct.Machine, client *upstream.Client, late *lateBoundSender, k *linkCertificate, r metrics.Registry) *gateway.Gateway {
 	carriers := a.Carriers(s.Store, client)
 	carriers.Links = late
-	g := gateway.New(m, carriers, newHostClock(), r)
+	g := gateway.New(m, carriers, newBootClock(), r)
 	k.trust = g.Trusted
 	return g
 }
 
-func newRelayLinks(s *settings.Relay, id identity, k *relayKey, g *gateway.Gateway, late *lateSender, r metrics.Registry) (*peer.Links, error) {
-	l, err := peer.New(peer.Settings{Self: id.host, Listen: s.Listen.Links, Material: k.material, Seed: id.seed, Registry: r, Idle: linkIdle}, g.FromPeer)
+func newRelayLinks(s *settings.Relay, id identity, k *linkCertificate, g *gateway.Gateway, late *lateBoundSender, r metrics.Registry) (*peer.Links, error) {
+	l, err := peer.New(peer.Settings{Self: id.host, Listen: s.Listen.Links, Material: k.material, Seed: id.seed, Registry: r, Idle: linkIdleTimeout}, g.FromPeer)
 	if err != nil {
 		return nil, err
 	}
@@ -192,7 +192,8 @@
 	return running
 }
 
-// Run serves until the host has left after Leave, or ctx ends.
+// Run serves until the shutdown that Leave starts is complete, then returns nil, or
+// until the supervisor tree ends, as it does when ctx ends, then returns its error.
 func (r *Relaying) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -203,10 +204,10 @@
 	r.gateway.Register(r.tree)
 	r.tree.Add("links", r.links.Serve)
 	r.tree.Add("callers", func(context.Context) error { return r.server.Serve(listeners.callers) })
-	r.tree.Add("ready", page(listeners.ready, r.adapter.PathReady, r.ready))
-	r.tree.Add("directory", page(listeners.directory, r.adapter.PathResolve, r.resolve))
+	r.tree.Add("ready", pageServer(listeners.ready, r.adapter.PathReady, r.ready))
+	r.tree.Add("directory", pageServer(listeners.directory, r.adapter.PathResolve, r.resolve))
 	if listeners.metrics != nil {
-		r.tree.Add("metrics", page(listeners.metrics, "/metrics", r.metrics))
+		r.tree.Add("metrics", pageServer(listeners.metrics, "/metrics", r.metrics))
 	}
 	ended := r.tree.ServeBackground(ctx)
 	select {
@@ -217,7 +218,7 @@
 	}
 }
 
-// Leave begins a graceful shutdown.
+// Leave starts a graceful shutdown.
 func (r *Relaying) Leave() { r.gateway.Leave() }
 
 type relayListeners struct{ callers, ready, directory, metrics net.Listener }
@@ -241,8 +242,8 @@
 	return l, nil
 }
 
-// page is a duty that serves one page.
-func page(l net.Listener, path string, handler fasthttp.RequestHandler) supervise.Duty {
+// pageServer returns a worker that serves GET requests of one path.
+func pageServer(l net.Listener, path string, handler fasthttp.RequestHandler) supervise.Duty {
 	const header, idle = 4 << 10, 30 * time.Second // bytes; between two requests
 	routes := router.New()
 	routes.GET(path, handler)
@@ -270,7 +271,7 @@
 	}
 	body, err := r.adapter.Resolved(addresses, r.settings.Load().Keep.Value())
 	if err != nil {
-		log.WithError(err).Error("directory answer not encoded")
+		log.WithError(err).Error("could not encode the directory answer; it is answered with status 500")
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
--- a/internal/wiring/reload.go
+++ b/internal/wiring/reload.go
@@ -10,9 +10,9 @@
 	"gentiancroft/internal/settings"
 )
 
-// Apply puts changed settings in force. It returns the fields that have changed
-// and are used from the next start on.
-func (r *Relaying) Apply(s *settings.Relay) (later []string) {
+// Apply applies changed settings. It returns the sorted names of the changed
+// sections that take effect only at the next start.
+func (r *Relaying) Apply(s *settings.Relay) (afterRestart []string) {
 	old := r.settings.Load()
 	if s.Log != "" {
 		log.SetLevelFromString(s.Log)
@@ -32,14 +32,14 @@
 		"shutdown": s.Shutdown != old.Shutdown,
 	} {
 		if changed {
-			later = append(later, field)
+			afterRestart = append(afterRestart, field)
 		}
 	}
-	slices.Sort(later)
-	return later
+	slices.Sort(afterRestart)
+	return afterRestart
 }
 
-// versionGrace is how long an adapter's older version is still used.
+// versionGrace is how long an older version of an adapter may still be used.
 func versionGrace(s *settings.Relay) time.Duration {
-	return time.Duration(versionMargin * float64(s.Version.Value()))
+	return time.Duration(versionGraceFraction * float64(s.Version.Value()))
 }
--- a/internal/wiring/settings.go
+++ b/internal/wiring/settings.go
@@ -1,5 +1,6 @@
-// Package wiring puts a host together: node, carriers, links, the callers' and
-// operators' interfaces, under one supervisor tree.
+// Package wiring assembles both kinds of host from their settings: the machine, its
+// executors, the links and the interfaces for callers and operators, under one
+// supervisor tree. It contains no request handling.
 package wiring
 
 import (
@@ -14,15 +15,16 @@
 	"gentiancroft/internal/peer"
 )
 
-// Error is the class of failures to put a host together.
+// Error is the class of errors in assembling or running a host.
 var Error = errs.Class("wiring")
 
-// Fenced is returned by Run where this identity was fenced: run again.
+// Fenced is the class of the error that Run returns if the host's identity was
+// fenced: assemble the host again, which gives it a new identity.
 var Fenced = errs.Class("identity fenced")
 
 // Settings of one host.
 type Settings struct {
-	Name      string // of the host; its identity adds a number of its own
+	Name      string // of the host; its identity has a random suffix
 	Domain    core.Domain
 	Region    core.Region
 	Callers   string // ip:port to listen on
@@ -31,7 +33,7 @@
 	KeySecret []byte // hashes callers' keys
 	Material  peer.Material
 	Limits    entry.Limits
-	Node      node.Settings // its Self is filled in
-	StopAfter time.Duration // most that a killed host's duties take to end
+	Node      node.Settings // New sets its Self and Seed
+	StopAfter time.Duration // maximum time that a killed host's workers take to end
 	Routes    []func(*router.Router)
 }
--- a/internal/wiring/status.go
+++ b/internal/wiring/status.go
@@ -13,12 +13,13 @@
 	"gentiancroft/internal/host"
 )
 
-// readTimeout bounds a look into the node.
+// readTimeout bounds a read of the node's state.
 const readTimeout = 2 * time.Second
 
-// status answers the pages that need to know the fleet.
+// status answers the callers' pages that read the node's state.
 type status struct{ host *host.Host }
 
+// read runs f between two steps of the node and returns whether it ran in time.
 func (s status) read(f func(n *node.Node, now core.Instant)) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
@@ -35,7 +36,7 @@
 	return r.ok, r.reason
 }
 
-// readiness is whether a host serves, and if not why.
+// readiness is whether a host serves, and the reason.
 type readiness struct {
 	ok     bool
 	reason string
@@ -73,8 +74,8 @@
 	return models(snapshot, key.Workspace), nil
 }
 
-// models lists each adapter that a workspace may use, by its bare name and by
-// each version.
+// models returns the adapters that a workspace may use, each by its name alone and
+// by each of its versions.
 func models(s *config.Snapshot, ws core.WorkspaceID) []entry.Model {
 	var all []entry.Model
 	for _, a := range s.Document.Adapters {
