--- a/internal/core/limit/bench_test.go
+++ b/internal/core/limit/bench_test.go
@@ -8,9 +8,9 @@
 	"gentiancroft/internal/core"
 )
 
-// idleMachine owns n open workspaces; none is used yet.
-func idleMachine(n int) (*Machine, *ownership) {
-	own := &ownership{self: "o", owner: "o", acting: true, grant: core.Grant{Fence: 1, Until: 1 << 60}, hosts: members}
+// idleMachine returns a machine that owns n workspaces with open ledgers and no use.
+func idleMachine(n int) (*Machine, *fakeOwnership) {
+	own := &fakeOwnership{self: "o", owner: "o", acting: true, grant: core.Grant{Fence: 1, Until: 1 << 60}, hosts: members}
 	m := New(Settings{Self: "o", Settle: -1}, core.NewRand(1))
 	var limits []Limit
 	for i := range n {
@@ -18,12 +18,12 @@
 	}
 	m.Configure(1, 1, limits)
 	for range n/namesPerTick + 1 {
-		open(m, own, m.Tick(1, own).Calls)
+		answerOpeningCalls(m, own, m.Tick(1, own).Calls)
 	}
 	return m, own
 }
 
-func open(m *Machine, own *ownership, calls []core.ObjectCall) {
+func answerOpeningCalls(m *Machine, own *fakeOwnership, calls []core.ObjectCall) {
 	for _, c := range calls {
 		r := m.Object(1, own, core.ObjectResult{Tag: c.Tag, Status: core.ObjectNotFound})
 		for _, w := range r.Calls {
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkMemory reports bytes a workspace, as a slope between two sizes.
+// BenchmarkMemory reports bytes per workspace, as the slope between two sizes.
 func BenchmarkMemory(b *testing.B) {
 	heap := func(n int, use bool) float64 {
 		m, own := idleMachine(n)
--- a/internal/core/limit/bucket.go
+++ b/internal/core/limit/bucket.go
@@ -6,79 +6,81 @@
 	"gentiancroft/internal/core"
 )
 
-// bucket is one slice: a token bucket whose rate and burst may change.
+// bucket is a token bucket whose rate and burst may change: the pool, a share or a
+// whole limit.
 type bucket struct {
-	rate  microRate // before the drift bound is taken off
-	burst nano
-	level nano
-	held  nano // lent and not surely arrived: it occupies burst
-	last  core.Instant
-	ppm   int64 // drift bound of the clocks, parts per million
-
-	// slack is the least room since given samples: rising sequence numbers,
-	// rising room. It tells how much of a return has not overflowed since.
-	slack       []sample
+	rate     microtokenRate // before the drift bound is subtracted
+	burst    nanotokens
+	level    nanotokens
+	inFlight nanotokens // lent and possibly not received yet; occupies burst
+	last     core.Instant
+	ppm      int64 // maximum clock drift, parts per million
+
+	// roomSamples bound how much of a return has not overflowed since its
+	// reservation. Sequence numbers and rooms both ascend.
+	roomSamples []roomSample
 	seq         uint64
 	outstanding int
-	generation  uint32 // rises when the slice is dropped: older marks are void
+	generation  uint32 // increases on reset; marks of older generations are void
 }
 
-// sample is the room below the burst, the least up to its sequence number.
-type sample struct {
+// roomSample is the smallest room below the burst after the previous sample's
+// sequence number, up to its own.
+type roomSample struct {
 	seq  uint64
-	room nano
+	room nanotokens
 }
 
 // maxSamples bounds the memory of one bucket.
 const maxSamples = 64
 
-// advance accrues up to now. A clock that stands or goes back accrues nothing.
+// advance accrues up to now. A clock that stands still or goes back accrues nothing.
 func (b *bucket) advance(now core.Instant) {
 	if now > b.last {
-		gained := accrued(slower(b.rate, b.ppm), now.Sub(b.last))
+		gained := accrued(slowedByDrift(b.rate, b.ppm), now.Sub(b.last))
 		b.last = now
-		b.level = min(b.level+gained, b.limit())
+		b.level = min(b.level+gained, b.maxLevel())
 	}
-	b.sample()
+	b.sampleRoom()
 }
 
-// limit is the most the level may be: burst less what is in flight.
-func (b *bucket) limit() nano { return max(b.burst-b.held, 0) }
+// maxLevel returns the burst less what is in flight.
+func (b *bucket) maxLevel() nanotokens { return max(b.burst-b.inFlight, 0) }
 
-func (b *bucket) sample() {
+// sampleRoom records the present room. Without open reservations no sample is kept.
+func (b *bucket) sampleRoom() {
 	if b.outstanding == 0 {
-		b.slack = b.slack[:0]
+		b.roomSamples = b.roomSamples[:0]
 		return
 	}
-	room := b.limit() - b.level
-	for len(b.slack) > 0 && b.slack[len(b.slack)-1].room >= room {
-		b.slack = b.slack[:len(b.slack)-1]
+	room := b.maxLevel() - b.level
+	for len(b.roomSamples) > 0 && b.roomSamples[len(b.roomSamples)-1].room >= room {
+		b.roomSamples = b.roomSamples[:len(b.roomSamples)-1]
 	}
-	if n := len(b.slack); n > 0 && b.slack[n-1].seq == b.seq {
-		return // the least room since that mark stands
+	if n := len(b.roomSamples); n > 0 && b.roomSamples[n-1].seq == b.seq {
+		return // the smaller room since that mark stays
 	}
-	b.slack = append(b.slack, sample{b.seq, room})
-	if len(b.slack) > maxSamples {
-		b.merge()
+	b.roomSamples = append(b.roomSamples, roomSample{b.seq, room})
+	if len(b.roomSamples) > maxSamples {
+		b.mergeSamples()
 	}
 }
 
-// merge makes one of the two neighbours that differ least. The lower room
-// stands for both, so a return may come out smaller, never greater.
-func (b *bucket) merge() {
+// mergeSamples merges the two neighbouring samples whose rooms differ least. The
+// smaller room is kept for both, so a return may be credited less, never more.
+func (b *bucket) mergeSamples() {
 	at := 0
-	for i := 1; i+1 < len(b.slack); i++ {
-		if b.slack[i+1].room-b.slack[i].room < b.slack[at+1].room-b.slack[at].room {
+	for i := 1; i+1 < len(b.roomSamples); i++ {
+		if b.roomSamples[i+1].room-b.roomSamples[i].room < b.roomSamples[at+1].room-b.roomSamples[at].room {
 			at = i
 		}
 	}
-	b.slack[at+1].room = b.slack[at].room
-	b.slack = slices.Delete(b.slack, at, at+1)
+	b.roomSamples[at+1].room = b.roomSamples[at].room
+	b.roomSamples = slices.Delete(b.roomSamples, at, at+1)
 }
 
-// take removes n tokens if they are there, and returns the mark that a return
-// of the unused part needs.
-func (b *bucket) take(now core.Instant, n nano) (mark uint64, ok bool) {
+// take removes n if the level allows it, and returns the mark that settle needs.
+func (b *bucket) take(now core.Instant, n nanotokens) (mark uint64, ok bool) {
 	b.advance(now)
 	if b.level < n {
 		return 0, false
@@ -89,86 +91,87 @@
 	return b.seq, true
 }
 
-// lend takes n and keeps it in flight, occupying burst, until landed.
-func (b *bucket) lend(now core.Instant, n nano) bool {
+// lend takes n and counts it as in flight, occupying burst, until endInFlight.
+func (b *bucket) lend(now core.Instant, n nanotokens) bool {
 	_, ok := b.take(now, n)
 	if ok {
-		b.held += n
+		b.inFlight += n
 	}
 	return ok
 }
 
-// landed ends the flight of n: it was accepted or can't be any more. The mark
-// is the one to settle by: while in flight, what is lent and what comes back
-// occupy the same burst, so nothing of it can have overflowed.
-func (b *bucket) landed(now core.Instant, n nano) (mark uint64) {
+// endInFlight ends the flight of n, which was accepted or can't be accepted any
+// more, and returns the mark for settle. While n was in flight it occupied the same
+// burst as its return, so none of it can have overflowed.
+func (b *bucket) endInFlight(now core.Instant, n nanotokens) (mark uint64) {
 	b.advance(now)
-	b.held = max(b.held-n, 0)
+	b.inFlight = max(b.inFlight-n, 0)
 	b.seq++
 	return b.seq
 }
 
-// settle ends what was taken at mark and gives unused back as far as it had
-// not overflowed since: the level becomes what it would be had less been taken.
-func (b *bucket) settle(now core.Instant, mark uint64, unused nano) nano {
+// settle ends the reservation with this mark and credits its unused part as far as
+// it would not have overflowed since: the level becomes what it would be if less
+// had been taken. It returns the credit.
+func (b *bucket) settle(now core.Instant, mark uint64, unused nanotokens) nanotokens {
 	b.advance(now)
-	i, _ := slices.BinarySearchFunc(b.slack, mark, func(s sample, m uint64) int {
+	i, _ := slices.BinarySearchFunc(b.roomSamples, mark, func(s roomSample, m uint64) int {
 		if s.seq < m {
 			return -1
 		}
 		return 1
 	})
-	credit := nano(0)
-	if i < len(b.slack) {
-		credit = min(max(unused, 0), max(b.slack[i].room, 0))
+	credit := nanotokens(0)
+	if i < len(b.roomSamples) {
+		credit = min(max(unused, 0), max(b.roomSamples[i].room, 0))
 	}
 	b.level += credit
-	for j := i; j < len(b.slack); j++ {
-		b.slack[j].room -= credit
+	for j := i; j < len(b.roomSamples); j++ {
+		b.roomSamples[j].room -= credit
 	}
-	for i > 0 && i < len(b.slack) && b.slack[i-1].room >= b.slack[i].room {
-		b.slack = slices.Delete(b.slack, i-1, i)
+	for i > 0 && i < len(b.roomSamples) && b.roomSamples[i-1].room >= b.roomSamples[i].room {
+		b.roomSamples = slices.Delete(b.roomSamples, i-1, i)
 		i--
 	}
 	b.outstanding = max(b.outstanding-1, 0)
 	return credit
 }
 
-// charge takes n although it is not there: more was used than reserved.
-func (b *bucket) charge(now core.Instant, n nano) {
+// charge removes n even below zero: more was used than reserved.
+func (b *bucket) charge(now core.Instant, n nanotokens) {
 	b.advance(now)
-	b.level -= min(n, maxNano)
-	b.level = max(b.level, -maxNano)
+	b.level -= min(n, maxNanotokens)
+	b.level = max(b.level, -maxNanotokens)
 }
 
-// grow adds a part of another slice. Added never exceeds the burst that comes
-// with it.
-func (b *bucket) grow(now core.Instant, rate microRate, burst, added nano) {
+// grow adds rate and burst of another bucket, and added to the level, of which at
+// most burst counts.
+func (b *bucket) grow(now core.Instant, rate microtokenRate, burst, added nanotokens) {
 	b.advance(now)
 	b.rate += rate
 	b.burst += burst
-	b.level = min(b.level+min(added, burst), b.limit())
-	b.sample()
+	b.level = min(b.level+min(added, burst), b.maxLevel())
+	b.sampleRoom()
 }
 
-// cut shrinks the slice to a rate and burst and returns the level that goes
-// with the part cut off, never more than its burst.
-func (b *bucket) cut(now core.Instant, rate microRate, burst nano) (level nano) {
+// shrink lowers the rate and burst to the given ones and returns the level removed
+// with them, never more than the burst removed. Burst in flight is not removed.
+func (b *bucket) shrink(now core.Instant, rate microtokenRate, burst nanotokens) (level nanotokens) {
 	b.advance(now)
-	burst = max(burst, b.held)
+	burst = max(burst, b.inFlight)
 	if burst < b.burst && b.level > 0 {
-		keep := nano(mulDiv(int64(b.level), int64(burst), int64(b.burst)))
+		keep := nanotokens(mulDiv(int64(b.level), int64(burst), int64(b.burst)))
 		level = min(b.level-keep, b.burst-burst)
 		b.level -= level
 	}
 	b.rate = min(rate, b.rate)
 	b.burst = min(burst, b.burst)
-	b.level = min(b.level, b.limit())
-	b.sample()
+	b.level = min(b.level, b.maxLevel())
+	b.sampleRoom()
 	return level
 }
 
-// drop empties the slice. What was taken from it can't come back.
-func (b *bucket) drop() {
+// reset empties the bucket. What was taken from it can't be returned.
+func (b *bucket) reset() {
 	*b = bucket{last: b.last, ppm: b.ppm, seq: b.seq, generation: b.generation + 1}
 }
--- a/internal/core/limit/loan.go
+++ b/internal/core/limit/loan.go
@@ -6,236 +6,242 @@
 	"gentiancroft/internal/core"
 )
 
-// pending is a request that waits for a loan.
-type pending struct {
-	workspace core.WorkspaceID
-	tokens    core.Tokens
-	expires   core.Instant
-	asked     core.HostID
-	retried   bool // the owner was asked after another host had nothing
-	resent    bool // asked again: a message may have been lost
-	dead      bool // refused or cancelled: a loan that comes goes back
+// pendingLoan is a request that waits for a loan.
+type pendingLoan struct {
+	workspace  core.WorkspaceID
+	tokens     core.Tokens
+	expires    core.Instant
+	askedHost  core.HostID
+	askedOwner bool // the owner was asked after another host refused
+	resent     bool // the loan request was repeated, as a message may have been lost
+	abandoned  bool // refused or cancelled: a loan that still comes is returned
 }
 
 // loan is what this host lent.
 type loan struct {
-	workspace  core.WorkspaceID
-	amount     nano
-	pool       bool
-	mark       uint64 // once landed
-	generation uint32
-	landed     bool
+	workspace   core.WorkspaceID
+	amount      nanotokens
+	fromPool    bool   // from the pool, else from this host's share
+	mark        uint64 // set when the flight has ended
+	generation  uint32
+	flightEnded bool // received, or can't be accepted any more
 }
 
-// Bounds of what a refusal tells.
+// Bounds of the retry times in refusals, and lifetimes of loan records.
 const (
-	retryLeast = 20 * time.Millisecond
-	retryOwner = 500 * time.Millisecond // while a workspace's owner may not act yet
-	retryMost  = 60 * time.Second
-	deadKept   = 2 * time.Second  // how long a late loan is sent back
-	loanKept   = 10 * time.Minute // how long the unused part of a loan can come back
+	minRetryAfter     = 20 * time.Millisecond
+	noOwnerRetryAfter = 500 * time.Millisecond // while a workspace has no owner that may act
+	maxRetryAfter     = 60 * time.Second
+	abandonedTTL      = 2 * time.Second  // how long a late loan is returned
+	loanTTL           = 10 * time.Minute // how long the unused part of a loan can be returned
 )
 
-// borrow asks another host for the tokens of one request.
-func (m *Machine) borrow(now core.Instant, own core.Ownership, id core.RequestID, ws core.WorkspaceID, n core.Tokens, b *book, r *Result) {
-	h := m.holder(now, ws)
-	if h.dry.covers(now, n) {
-		m.refuse(r, id, core.CodeRateLimited, h.dry.until.Sub(now), "the workspace's rate is used up")
+// requestLoan requests the tokens of one request from another host.
+func (m *Machine) requestLoan(now core.Instant, own core.Ownership, id core.RequestID, ws core.WorkspaceID, n core.Tokens, led *ledger, r *Result) {
+	h := m.holderOf(now, ws)
+	if h.exhausted.covers(now, n) {
+		m.refuse(r, id, core.CodeRateLimited, h.exhausted.until.Sub(now), "the workspace's rate is used up")
 		return
 	}
-	to := m.lenderOf(now, own, ws, h, n, b)
-	if to == "" && b == nil {
-		m.refuse(r, id, core.CodeOverloaded, retryOwner, "the workspace's limit is changing hosts")
+	to := m.chooseLender(now, own, ws, h, n, led)
+	if to == "" && led == nil {
+		m.refuse(r, id, core.CodeOverloaded, noOwnerRetryAfter, "the workspace's limit is moving to another host")
 		return
 	}
 	if to == "" {
-		m.refuse(r, id, core.CodeRateLimited, m.retryAfter(now, ws, n, b), "the workspace's rate is used up")
+		m.refuse(r, id, core.CodeRateLimited, m.retryAfter(now, ws, n, led), "the workspace's rate is used up")
 		return
 	}
-	if len(m.pending) >= m.settings.Pending {
-		m.refuse(r, id, core.CodeOverloaded, time.Second, "too many requests wait for their limit")
+	if len(m.pendingLoans) >= m.settings.Pending {
+		m.refuse(r, id, core.CodeOverloaded, time.Second, "too many requests are waiting for the workspace's limit")
 		return
 	}
-	p := &pending{workspace: ws, tokens: n, expires: now.Add(m.settings.BorrowBound), asked: to}
-	m.pending[id] = p
-	m.agenda.add(task{at: now.Add(m.settings.BorrowBound / resendPart), duty: dutyPending, request: id})
+	p := &pendingLoan{workspace: ws, tokens: n, expires: now.Add(m.settings.BorrowBound), askedHost: to}
+	m.pendingLoans[id] = p
+	m.timers.add(timer{at: now.Add(m.settings.BorrowBound / resendDivisor), kind: timerPendingLoan, request: id})
 	r.Send(to, Message{Borrow: &Borrow{Workspace: ws, ID: id, Tokens: n, Entry: m.settings.Self}})
-	if now.Sub(h.asked) >= m.settings.Urgent && b == nil && (h.slice.burst > 0 || h.asked == 0) {
-		m.ask(now, own, ws, h, r)
+	if now.Sub(h.lastRequest) >= m.settings.Urgent && led == nil && (h.bucket.burst > 0 || h.lastRequest == 0) {
+		m.requestShare(now, own, ws, h, r)
 	}
 }
 
-// lenderOf is whom to ask: an owner knows what its holders have, others ask
-// the last lender or the owner.
-func (m *Machine) lenderOf(now core.Instant, own core.Ownership, ws core.WorkspaceID, h *holder, n core.Tokens, b *book) core.HostID {
-	if b != nil {
-		return b.best(now, nanos(n), m.settings.Self)
+// chooseLender returns the host to request a loan from: for an owner the holder with
+// the most left, for others the last lender or the owner; empty if there is none.
+func (m *Machine) chooseLender(now core.Instant, own core.Ownership, ws core.WorkspaceID, h *shareHolder, n core.Tokens, led *ledger) core.HostID {
+	if led != nil {
+		return led.bestLender(now, toNanotokens(n), m.settings.Self)
 	}
-	if h.lender != "" {
-		return h.lender
+	if h.lastLender != "" {
+		return h.lastLender
 	}
 	owner, ok := own.Owner(shardOf(ws))
-	if !ok || (owner == m.settings.Self && !m.opening(ws)) {
+	if !ok || (owner == m.settings.Self && !m.ledgerOpening(ws)) {
 		return ""
 	}
 	return owner
 }
 
-// opening reports whether this host's book of a workspace is about to open.
-func (m *Machine) opening(ws core.WorkspaceID) bool {
-	b := m.books[ws]
-	return b != nil && b.phase != phaseOpen
+// ledgerOpening reports whether this host is opening the workspace's ledger.
+func (m *Machine) ledgerOpening(ws core.WorkspaceID) bool {
+	led := m.ledgers[ws]
+	return led != nil && led.phase != phaseOpen
 }
 
-// best is the holder that should have the most above n, and books the loan.
-func (b *book) best(now core.Instant, n nano, asker core.HostID) core.HostID {
+// bestLender returns the holder with the highest estimated level of at least n, and
+// debits n from that estimate; empty if there is none.
+func (led *ledger) bestLender(now core.Instant, n nanotokens, asker core.HostID) core.HostID {
 	var best *entry
-	most := nano(0)
-	for _, e := range b.entries {
-		if has := e.estimate(now); e.host != asker && has >= n && has > most {
+	most := nanotokens(0)
+	for _, e := range led.entries {
+		if has := e.estimatedLevel(now); e.host != asker && has >= n && has > most {
 			best, most = e, has
 		}
 	}
 	if best == nil {
 		return ""
 	}
-	best.level, best.stated = most-n, now
+	best.level, best.statedAt = most-n, now
 	return best.host
 }
 
-// doubt passes a holder over that seems not to answer, until its next Ask.
-func (b *book) doubt(host core.HostID) {
-	if e := b.entry(host); e != nil {
-		e.silent = true
+// markUnresponsive excludes a holder from loans until its next share request.
+func (led *ledger) markUnresponsive(host core.HostID) {
+	if e := led.entry(host); e != nil {
+		e.unresponsive = true
 	}
 }
 
-// estimate is the level that a holder has by now if it spent nothing since.
-func (e *entry) estimate(now core.Instant) nano {
-	if e.silent {
+// estimatedLevel returns the holder's level if it has spent nothing since its last
+// statement; 0 if it is unresponsive.
+func (e *entry) estimatedLevel(now core.Instant) nanotokens {
+	if e.unresponsive {
 		return 0
 	}
-	return min(e.level+accrued(e.rate, now.Sub(e.stated)), e.burst)
+	return min(e.level+accrued(e.rate, now.Sub(e.statedAt)), e.burst)
 }
 
-// retryAfter is when the workspace as a whole should have n tokens.
-func (m *Machine) retryAfter(now core.Instant, ws core.WorkspaceID, n core.Tokens, b *book) time.Duration {
-	need := nanos(n)
-	if b != nil {
-		b.pool.advance(now)
-		need -= max(b.pool.level, 0)
-		for _, e := range b.entries {
-			need -= max(e.estimate(now), 0)
+// retryAfter returns the time until the workspace as a whole should have n tokens.
+func (m *Machine) retryAfter(now core.Instant, ws core.WorkspaceID, n core.Tokens, led *ledger) time.Duration {
+	need := toNanotokens(n)
+	if led != nil {
+		led.pool.advance(now)
+		need -= max(led.pool.level, 0)
+		for _, e := range led.entries {
+			need -= max(e.estimatedLevel(now), 0)
 		}
 	}
-	return min(max(timeFor(need, micros(m.limits[ws].Rate)), retryLeast), retryMost)
+	return min(max(accrualTime(need, toMicrotokenRate(m.limits[ws].Rate)), minRetryAfter), maxRetryAfter)
 }
 
-// onBorrow lends from the share or the pool, or passes the question on to the
-// holder that should have enough. Debit first; once an id.
-func (m *Machine) onBorrow(now core.Instant, own core.Ownership, from core.HostID, q Borrow, r *Result) {
+// onLoanRequest lends from the share or the pool, or forwards the request to the
+// holder that should have enough. The source is debited before the answer is sent,
+// and only once per id.
+func (m *Machine) onLoanRequest(now core.Instant, own core.Ownership, from core.HostID, q Borrow, r *Result) {
 	if q.Tokens <= 0 || q.Tokens > MaxTokens {
 		return
 	}
 	if l, ok := m.loans[q.ID]; ok {
-		if !l.landed {
+		if !l.flightEnded {
 			r.Send(q.Entry, Message{Lend: &Lend{Workspace: q.Workspace, ID: q.ID, Granted: true}})
 		}
 		return
 	}
-	b := m.book(now, own, q.Workspace, r)
-	if b == nil && m.queueBorrow(q) {
+	led := m.openLedger(now, own, q.Workspace, r)
+	if led == nil && m.queueLoanRequest(q) {
 		return
 	}
-	if b != nil && !q.Forwarded {
-		b.lent.note(q.Tokens) // what others borrow here is asked of the pool
+	if led != nil && !q.Forwarded {
+		led.loanDemand.record(q.Tokens) // loans to other hosts are demand on the pool
 	}
-	if m.lend(now, own, q, b) {
+	if m.lend(now, own, q, led) {
 		r.Send(q.Entry, Message{Lend: &Lend{Workspace: q.Workspace, ID: q.ID, Granted: true}})
 		return
 	}
-	if b != nil && !q.Forwarded {
+	if led != nil && !q.Forwarded {
 		if q.Again {
-			b.doubt(b.best(now, nanos(q.Tokens), q.Entry))
+			led.markUnresponsive(led.bestLender(now, toNanotokens(q.Tokens), q.Entry))
 		}
-		if to := b.best(now, nanos(q.Tokens), q.Entry); to != "" {
+		if to := led.bestLender(now, toNanotokens(q.Tokens), q.Entry); to != "" {
 			q.Forwarded = true
 			r.Send(to, Message{Borrow: &q})
 			return
 		}
 	}
-	retry := m.retryAfter(now, q.Workspace, q.Tokens, b)
-	r.Send(q.Entry, Message{Lend: &Lend{Workspace: q.Workspace, ID: q.ID, Retry: retry, Most: b.most(now)}})
+	retry := m.retryAfter(now, q.Workspace, q.Tokens, led)
+	r.Send(q.Entry, Message{Lend: &Lend{Workspace: q.Workspace, ID: q.ID, Retry: retry, Most: led.largestLoan(now)}})
 }
 
-// most is what one host could lend now.
-func (b *book) most(now core.Instant) core.Tokens {
-	if b == nil {
+// largestLoan returns the most that one host could lend now; 0 without a ledger.
+func (led *ledger) largestLoan(now core.Instant) core.Tokens {
+	if led == nil {
 		return 0
 	}
-	n := b.pool.level
-	for _, e := range b.entries {
-		n = max(n, e.estimate(now))
+	n := led.pool.level
+	for _, e := range led.entries {
+		n = max(n, e.estimatedLevel(now))
 	}
-	return core.Tokens(max(n, 0) / nanosPerToken)
+	return core.Tokens(max(n, 0) / nanotokensPerToken)
 }
 
-// queueBound is how many loans wait for one book to open.
-const queueBound = 64
+// maxQueuedLoans bounds the loan requests that wait for one ledger to open.
+const maxQueuedLoans = 64
 
-// queueBorrow keeps a question until the book is open.
-func (m *Machine) queueBorrow(q Borrow) bool {
-	b := m.books[q.Workspace]
-	if b == nil || b.phase == phaseOpen || len(b.queue) >= queueBound {
+// queueLoanRequest keeps a loan request until the ledger is open, and reports whether
+// it did.
+func (m *Machine) queueLoanRequest(q Borrow) bool {
+	led := m.ledgers[q.Workspace]
+	if led == nil || led.phase == phaseOpen || len(led.queuedLoans) >= maxQueuedLoans {
 		return false
 	}
-	b.queue = append(b.queue, q)
+	led.queuedLoans = append(led.queuedLoans, q)
 	return true
 }
 
-func (m *Machine) serveQueue(now core.Instant, own core.Ownership, b *book, r *Result) {
-	queue := b.queue
-	b.queue = nil
+func (m *Machine) serveQueuedLoans(now core.Instant, own core.Ownership, led *ledger, r *Result) {
+	queue := led.queuedLoans
+	led.queuedLoans = nil
 	for _, q := range queue {
-		m.onBorrow(now, own, q.Entry, q, r)
+		m.onLoanRequest(now, own, q.Entry, q, r)
 	}
 }
 
-// lend debits a loan. Until it has surely landed or ended it occupies burst.
-// An owner lends only what lands within its own right to act.
-func (m *Machine) lend(now core.Instant, own core.Ownership, q Borrow, b *book) bool {
-	flight := longer(m.settings.BorrowBound, m.settings.DriftPPM)
-	n := nanos(q.Tokens)
-	h := m.holder(now, q.Workspace)
-	m.lapse(now, h)
+// lend debits a loan and reports whether it could. The amount occupies burst until
+// it has arrived for certain or can't be accepted any more. A loan is made only if
+// its flight ends within the share's term or the owner's own right to act.
+func (m *Machine) lend(now core.Instant, own core.Ownership, q Borrow, led *ledger) bool {
+	flight := extendedByDrift(m.settings.BorrowBound, m.settings.DriftPPM)
+	n := toNanotokens(q.Tokens)
+	h := m.holderOf(now, q.Workspace)
+	m.dropExpired(now, h)
 	l := loan{workspace: q.Workspace, amount: n}
 	ok := false
-	if h.slice.burst > 0 && now.Add(flight).Before(h.until) {
-		ok = h.slice.lend(now, n)
-		l.generation = h.slice.generation
+	if h.bucket.burst > 0 && now.Add(flight).Before(h.expires) {
+		ok = h.bucket.lend(now, n)
+		l.generation = h.bucket.generation
 	}
-	if !ok && b != nil && m.spendable(now, own, b) && now.Add(flight).Before(b.acted) {
-		ok = b.pool.lend(now, n)
-		l.generation, l.pool = b.pool.generation, true
+	if !ok && led != nil && m.maySpend(now, own, led) && now.Add(flight).Before(led.actingUntil) {
+		ok = led.pool.lend(now, n)
+		l.generation, l.fromPool = led.pool.generation, true
 	}
 	if !ok {
 		return false
 	}
 	m.loans[q.ID] = l
-	m.agenda.add(task{at: now.Add(flight), duty: dutyLanded, request: q.ID})
-	m.agenda.add(task{at: now.Add(loanKept), duty: dutyForget, request: q.ID})
+	m.timers.add(timer{at: now.Add(flight), kind: timerFlightEnd, request: q.ID})
+	m.timers.add(timer{at: now.Add(loanTTL), kind: timerLoanExpiry, request: q.ID})
 	return true
 }
 
-// slice is where a loan or reservation came from, nil if that is gone.
-func (m *Machine) slice(ws core.WorkspaceID, pool bool, generation uint32) *bucket {
+// sourceBucket returns the bucket that a loan or reservation was taken from; nil if
+// it is gone or was reset since.
+func (m *Machine) sourceBucket(ws core.WorkspaceID, pool bool, generation uint32) *bucket {
 	var s *bucket
 	if pool {
-		if b := m.books[ws]; b != nil {
-			s = &b.pool
+		if led := m.ledgers[ws]; led != nil {
+			s = &led.pool
 		}
 	} else if h := m.holders[ws]; h != nil {
-		s = &h.slice
+		s = &h.bucket
 	}
 	if s == nil || s.generation != generation {
 		return nil
@@ -243,109 +249,113 @@
 	return s
 }
 
-func (m *Machine) loanLanded(now core.Instant, id core.RequestID) {
+func (m *Machine) endLoanInFlight(now core.Instant, id core.RequestID) {
 	l, ok := m.loans[id]
-	if !ok || l.landed {
+	if !ok || l.flightEnded {
 		return
 	}
-	l.landed = true
-	if s := m.slice(l.workspace, l.pool, l.generation); s != nil {
-		l.mark = s.landed(now, l.amount)
+	l.flightEnded = true
+	if s := m.sourceBucket(l.workspace, l.fromPool, l.generation); s != nil {
+		l.mark = s.endInFlight(now, l.amount)
 	}
 	m.loans[id] = l
 }
 
-// onLend takes a loan in, once, and only before its asker's bound has passed.
-func (m *Machine) onLend(now core.Instant, own core.Ownership, from core.HostID, l Lend, r *Result) {
-	p := m.pending[l.ID]
+// onLoanReply accepts a loan once, and only while the request still waits. A loan
+// that comes later is returned.
+func (m *Machine) onLoanReply(now core.Instant, own core.Ownership, from core.HostID, l Lend, r *Result) {
+	p := m.pendingLoans[l.ID]
 	if p == nil {
 		return
 	}
-	if p.dead || !now.Before(p.expires) {
+	if p.abandoned || !now.Before(p.expires) {
 		if l.Granted {
-			delete(m.pending, l.ID)
+			delete(m.pendingLoans, l.ID)
 			r.Send(from, Message{Return: &Return{Workspace: p.workspace, ID: l.ID, Unused: p.tokens}})
 		}
 		return
 	}
-	h := m.holder(now, p.workspace)
+	h := m.holderOf(now, p.workspace)
 	if l.Granted {
-		delete(m.pending, l.ID)
-		h.lender = from
-		h.dry.granted()
-		m.taken[l.ID] = reservation{workspace: p.workspace, tokens: p.tokens, source: sourceLoan, lender: from}
+		delete(m.pendingLoans, l.ID)
+		h.lastLender = from
+		h.exhausted.granted()
+		m.reservations[l.ID] = reservation{workspace: p.workspace, tokens: p.tokens, source: sourceLoan, lender: from}
 		m.stats.Borrowed++
 		m.grant(r, l.ID)
 		return
 	}
-	m.refusedLoan(now, own, from, l, p, h, r)
+	m.onLoanRefused(now, own, from, l, p, h, r)
 }
 
-// refusedLoan asks the owner where another host had nothing, else refuses.
-func (m *Machine) refusedLoan(now core.Instant, own core.Ownership, from core.HostID, l Lend, p *pending, h *holder, r *Result) {
+// onLoanRefused requests the loan from the owner if another host refused it, and
+// otherwise refuses the request.
+func (m *Machine) onLoanRefused(now core.Instant, own core.Ownership, from core.HostID, l Lend, p *pendingLoan, h *shareHolder, r *Result) {
 	owner, ok := own.Owner(shardOf(p.workspace))
-	if h.lender == from {
-		h.lender = ""
+	if h.lastLender == from {
+		h.lastLender = ""
 	}
-	if ok && from != owner && p.asked == from && !p.retried && owner != m.settings.Self {
-		p.retried, p.asked = true, owner
+	if ok && from != owner && p.askedHost == from && !p.askedOwner && owner != m.settings.Self {
+		p.askedOwner, p.askedHost = true, owner
 		r.Send(owner, Message{Borrow: &Borrow{Workspace: p.workspace, ID: l.ID, Tokens: p.tokens, Entry: m.settings.Self}})
 		return
 	}
-	delete(m.pending, l.ID)
-	retry := min(max(l.Retry, retryLeast), retryMost)
-	h.dry.refused(now, l, m.settings.DryMax)
+	delete(m.pendingLoans, l.ID)
+	retry := min(max(l.Retry, minRetryAfter), maxRetryAfter)
+	h.exhausted.refused(now, l, m.settings.DryMax)
 	m.refuse(r, l.ID, core.CodeRateLimited, retry, "the workspace's rate is used up")
 }
 
-// resendPart is the part of BorrowBound after which an unanswered question is
-// sent again. The lender debits an id once.
-const resendPart = 4
+// An unanswered loan request is sent again after BorrowBound/resendDivisor. The
+// lender debits an id only once.
+const resendDivisor = 4
 
-// resend asks once more; a lender that has gone is passed over for the owner.
-func (m *Machine) resend(own core.Ownership, id core.RequestID, p *pending, r *Result) {
+// resendLoanRequest repeats a loan request, to the owner if that is another host:
+// the first lender may be gone.
+func (m *Machine) resendLoanRequest(own core.Ownership, id core.RequestID, p *pendingLoan, r *Result) {
 	p.resent = true
-	m.agenda.add(task{at: p.expires, duty: dutyPending, request: id})
+	m.timers.add(timer{at: p.expires, kind: timerPendingLoan, request: id})
 	if owner, ok := own.Owner(shardOf(p.workspace)); ok && owner != m.settings.Self {
-		p.asked = owner
+		p.askedHost = owner
 	}
-	r.Send(p.asked, Message{Borrow: &Borrow{Workspace: p.workspace, ID: id, Tokens: p.tokens, Entry: m.settings.Self, Again: true}})
+	r.Send(p.askedHost, Message{Borrow: &Borrow{Workspace: p.workspace, ID: id, Tokens: p.tokens, Entry: m.settings.Self, Again: true}})
 }
 
-// pendingDue asks again, and refuses a request whose loan did not come in time.
-func (m *Machine) pendingDue(now core.Instant, own core.Ownership, id core.RequestID, r *Result) {
-	p := m.pending[id]
+// onPendingTimer repeats a loan request, and refuses the request if no loan came in
+// time.
+func (m *Machine) onPendingTimer(now core.Instant, own core.Ownership, id core.RequestID, r *Result) {
+	p := m.pendingLoans[id]
 	if p == nil {
 		return
 	}
-	if p.dead {
-		delete(m.pending, id)
+	if p.abandoned {
+		delete(m.pendingLoans, id)
 		return
 	}
 	if !p.resent {
-		m.resend(own, id, p, r)
+		m.resendLoanRequest(own, id, p, r)
 		return
 	}
-	p.dead = true
-	m.agenda.add(task{at: now.Add(deadKept), duty: dutyPending, request: id})
-	if h := m.holders[p.workspace]; h != nil && h.lender == p.asked {
-		h.lender = ""
+	p.abandoned = true
+	m.timers.add(timer{at: now.Add(abandonedTTL), kind: timerPendingLoan, request: id})
+	if h := m.holders[p.workspace]; h != nil && h.lastLender == p.askedHost {
+		h.lastLender = ""
 	}
 	m.stats.Unanswered++
-	m.refuse(r, id, core.CodeRateLimited, time.Second, "no answer in time from the host that keeps the workspace's limit")
+	m.refuse(r, id, core.CodeRateLimited, time.Second, "the host that keeps the workspace's limit did not answer in time")
 }
 
-// onReturn takes the unused part of a loan back, once.
-func (m *Machine) onReturn(now core.Instant, t Return) {
+// onLoanReturn takes the unused part of a loan back, once.
+func (m *Machine) onLoanReturn(now core.Instant, t Return) {
 	l, ok := m.loans[t.ID]
 	if !ok || l.workspace != t.Workspace {
 		return
 	}
-	m.loanLanded(now, t.ID)
+	m.endLoanInFlight(now, t.ID)
 	l = m.loans[t.ID]
 	delete(m.loans, t.ID)
-	unused := min(nanos(t.Unused), l.amount)
-	s := m.slice(l.workspace, l.pool, l.generation)
+	unused := min(toNanotokens(t.Unused), l.amount)
+	s := m.sourceBucket(l.workspace, l.fromPool, l.generation)
 	if s == nil {
 		m.stats.Forgone += t.Unused
 		return
--- a/internal/core/limit/machine.go
+++ b/internal/core/limit/machine.go
@@ -10,24 +10,24 @@
 // Limit is the rate and burst of one workspace.
 type Limit struct {
 	Workspace core.WorkspaceID
-	Rate      core.Tokens // tokens a second
+	Rate      core.Tokens // tokens per second
 	Burst     core.Tokens
 }
 
 // Settings of a machine. Zero durations and counts take the defaults.
 type Settings struct {
 	Self        core.HostID
-	Term        time.Duration // how long a share outlives its owner's last word
-	Renew       time.Duration // between a holder's asks
-	Urgent      time.Duration // least time between asks when a holder runs dry
-	Horizon     time.Duration // the longest store outage that shares outlive
+	Term        time.Duration // how long a share is valid, counted from its holder's last answered request
+	Renew       time.Duration // interval of share requests
+	Urgent      time.Duration // minimum time between share requests of a host whose share is too small, and between rebalances
+	Horizon     time.Duration // longest store outage for which shares are renewed
 	BorrowBound time.Duration // how long a request waits for a loan
-	DryMax      time.Duration // how long a host takes a refused loan as the answer to the next
-	DriftPPM    int64         // a clock gains or loses at most this, parts per million
-	Homes       int           // most hosts that share one workspace
-	Pending     int           // most requests that wait for a loan
-	Settle      time.Duration // after its start a host opens books only on demand: a forming fleet moves them about; below 0: at once
-	EvenPart    int           // 1/EvenPart of the rate weighs evenly over the homes; below 0: nothing does
+	DryMax      time.Duration // maximum time for which a refused loan also refuses later ones
+	DriftPPM    int64         // maximum clock drift, parts per million
+	Homes       int           // maximum number of hosts that get shares of a workspace from the start
+	Pending     int           // maximum number of requests that wait for a loan
+	Settle      time.Duration // after its start a host opens ledgers only on demand, since owners move often while a fleet forms; negative: no delay
+	EvenPart    int           // 1/EvenPart of the rate is weight spread evenly over the hosts; negative: none
 }
 
 // Defaults of Settings.
@@ -75,86 +75,86 @@
 	return s
 }
 
-// Decision answers one Reserve.
+// Decision is the answer to one Reserve.
 type Decision struct {
 	ID      core.RequestID
 	Granted bool
-	Refusal *core.Refusal // where not granted
+	Refusal *core.Refusal // set if not granted
 }
 
-// Result is what one event gave.
+// Result is what one event yields.
 type Result struct {
 	core.Output[Message]
 	Decisions []Decision
 }
 
-// Stats count what a machine did since it started.
+// Stats are counters since the machine's start.
 type Stats struct {
 	Granted    uint64
 	Refused    uint64
 	Borrowed   uint64      // granted by a loan
 	Unanswered uint64      // refused because no loan came in time
-	Lapsed     uint64      // own shares that ended unrenewed
-	Reclaimed  uint64      // shares of silent holders taken back
-	Takeovers  uint64      // workspaces whose books were opened
-	Withheld   uint64      // of those, with a part withheld for hosts not heard
-	Overrun    core.Tokens // used beyond a reservation
-	Forgone    core.Tokens // returned too late to count
+	Lapsed     uint64      // own shares that expired without renewal
+	Reclaimed  uint64      // expired shares that owners took back into the pool
+	Takeovers  uint64      // ledgers that this host began to open as new owner
+	Withheld   uint64      // of those, opened with a part withheld until other hosts restate their shares
+	Overrun    core.Tokens // tokens used beyond a reservation
+	Forgone    core.Tokens // tokens returned too late to be credited
 }
 
-// Machine holds one host's shares and the books of the workspaces it owns. It
+// Machine holds one host's shares, and the ledgers of the workspaces it owns. It
 // is not safe for concurrent use.
 type Machine struct {
-	settings Settings
-	rand     *core.Rand
-	version  uint64
-	limits   map[core.WorkspaceID]Limit
-	names    []core.WorkspaceID // of limits, sorted
-	at       int                // next name to look at for ownership
-	lookFrom core.Instant       // when this host begins to look
-	holders  map[core.WorkspaceID]*holder
-	books    map[core.WorkspaceID]*book
-	taken    map[core.RequestID]reservation
-	loans    map[core.RequestID]loan
-	pending  map[core.RequestID]*pending
-	adopted  map[core.WorkspaceID]*book      // handed over, not opened yet
-	departed map[core.WorkspaceID]core.Fence // of books handed over: never opened again
-	calls    map[uint64]listCall             // under way
-	tag      uint64
-	pools    uint32 // generations of pools so far
-	agenda   agenda
-	stats    Stats
+	settings       Settings
+	rand           *core.Rand
+	version        uint64
+	limits         map[core.WorkspaceID]Limit
+	names          []core.WorkspaceID // of limits, sorted
+	nextName       int                // index in names where Tick looks for new ownership
+	takeOverFrom   core.Instant       // when Tick begins to do so
+	holders        map[core.WorkspaceID]*shareHolder
+	ledgers        map[core.WorkspaceID]*ledger
+	reservations   map[core.RequestID]reservation
+	loans          map[core.RequestID]loan
+	pendingLoans   map[core.RequestID]*pendingLoan
+	adopted        map[core.WorkspaceID]*ledger    // handed over to this host, not opened yet
+	handedOff      map[core.WorkspaceID]core.Fence // fencing numbers of ledgers handed over by this host: never opened again
+	calls          map[uint64]listCall             // object calls in flight, by tag
+	lastTag        uint64
+	lastGeneration uint32 // of the pools
+	timers         timerQueue
+	stats          Stats
 }
 
-// New returns a machine without limits: it refuses everything until Configure.
+// New returns a machine without limits: it refuses every request until Configure.
 func New(s Settings, r *core.Rand) *Machine {
 	return &Machine{
-		settings: s.withDefaults(),
-		rand:     r,
-		limits:   make(map[core.WorkspaceID]Limit),
-		holders:  make(map[core.WorkspaceID]*holder),
-		books:    make(map[core.WorkspaceID]*book),
-		taken:    make(map[core.RequestID]reservation),
-		loans:    make(map[core.RequestID]loan),
-		pending:  make(map[core.RequestID]*pending),
-		adopted:  make(map[core.WorkspaceID]*book),
-		departed: make(map[core.WorkspaceID]core.Fence),
-		calls:    make(map[uint64]listCall),
+		settings:     s.withDefaults(),
+		rand:         r,
+		limits:       make(map[core.WorkspaceID]Limit),
+		holders:      make(map[core.WorkspaceID]*shareHolder),
+		ledgers:      make(map[core.WorkspaceID]*ledger),
+		reservations: make(map[core.RequestID]reservation),
+		loans:        make(map[core.RequestID]loan),
+		pendingLoans: make(map[core.RequestID]*pendingLoan),
+		adopted:      make(map[core.WorkspaceID]*ledger),
+		handedOff:    make(map[core.WorkspaceID]core.Fence),
+		calls:        make(map[uint64]listCall),
 	}
 }
 
 // Stats returns the counters.
 func (m *Machine) Stats() Stats { return m.stats }
 
-// Configure puts a configuration's limits in force. Older versions are
-// ignored. A lowered limit cuts this host's own slices at once; see docs/design/limits.md
+// Configure applies a configuration's limits; older versions are ignored. A lowered
+// limit shrinks this host's share and pools at once; see docs/design/limits.md
 // for the bound on an interval that spans the change.
 func (m *Machine) Configure(now core.Instant, version uint64, limits []Limit) {
 	if version < m.version {
 		return
 	}
-	if m.lookFrom == 0 {
-		m.lookFrom = now.Add(m.settings.Settle)
+	if m.takeOverFrom == 0 {
+		m.takeOverFrom = now.Add(m.settings.Settle)
 	}
 	m.version = version
 	old := m.limits
@@ -168,21 +168,21 @@
 	slices.Sort(m.names)
 	for ws, was := range old {
 		if is := m.limits[ws]; is.Rate != was.Rate || is.Burst != was.Burst {
-			m.relimit(now, ws, was, is)
+			m.applyLimitChange(now, ws, was, is)
 		}
 	}
 }
 
-// relimit cuts what this host holds of a workspace whose limit changed. Each
-// workspace is on its own, so the order does not show.
-func (m *Machine) relimit(now core.Instant, ws core.WorkspaceID, was, is Limit) {
+// applyLimitChange adjusts this host's share and ledger of a workspace whose limit
+// changed. Workspaces are independent, so their order doesn't matter.
+func (m *Machine) applyLimitChange(now core.Instant, ws core.WorkspaceID, was, is Limit) {
 	if h := m.holders[ws]; h != nil {
-		h.scale(now, was, is)
+		h.scaleDown(now, was, is)
 	}
-	if b := m.books[ws]; b != nil {
-		b.limit = is
-		b.reslice(now)
-		b.stir = true
+	if led := m.ledgers[ws]; led != nil {
+		led.limit = is
+		led.updatePool(now)
+		led.queryAll = true
 	}
 }
 
@@ -190,72 +190,73 @@
 	return core.Shard{Kind: core.ShardWorkspace, Name: string(ws)}
 }
 
-// namesPerTick is how many workspaces one Tick looks at for new ownership.
+// namesPerTick is how many workspaces one Tick checks for new ownership.
 const namesPerTick = 16
 
-// Tick does what is due. Call it every few tens of milliseconds.
+// Tick runs the timers that are due and takes over owned workspaces. Call it every
+// few tens of milliseconds.
 func (m *Machine) Tick(now core.Instant, own core.Ownership) Result {
 	var r Result
-	for t, ok := m.agenda.due(now); ok; t, ok = m.agenda.due(now) {
-		m.do(now, own, t, &r)
+	for t, ok := m.timers.due(now); ok; t, ok = m.timers.due(now) {
+		m.runTimer(now, own, t, &r)
 	}
-	if now < m.lookFrom {
+	if now < m.takeOverFrom {
 		return r
 	}
 	for range min(namesPerTick, len(m.names)) {
-		m.at = (m.at + 1) % len(m.names)
-		m.book(now, own, m.names[m.at], &r)
+		m.nextName = (m.nextName + 1) % len(m.names)
+		m.openLedger(now, own, m.names[m.nextName], &r)
 	}
 	return r
 }
 
-func (m *Machine) do(now core.Instant, own core.Ownership, t task, r *Result) {
-	switch t.duty {
-	case dutyAsk:
-		m.askDue(now, own, t.workspace, r)
-	case dutyBook:
-		m.bookDue(now, own, t.workspace, r)
-	case dutyPending:
-		m.pendingDue(now, own, t.request, r)
-	case dutyLanded:
-		m.loanLanded(now, t.request)
-	case dutyForget:
-		m.onReturn(now, Return{ID: t.request, Workspace: m.loans[t.request].workspace})
-	case dutyFlown:
-		m.loanLanded(now, t.request)
+func (m *Machine) runTimer(now core.Instant, own core.Ownership, t timer, r *Result) {
+	switch t.kind {
+	case timerRenew:
+		m.onRenewTimer(now, own, t.workspace, r)
+	case timerLedger:
+		m.checkLedger(now, own, t.workspace, r)
+	case timerPendingLoan:
+		m.onPendingTimer(now, own, t.request, r)
+	case timerFlightEnd:
+		m.endLoanInFlight(now, t.request)
+	case timerLoanExpiry:
+		m.onLoanReturn(now, Return{ID: t.request, Workspace: m.loans[t.request].workspace})
+	case timerInheritedFlightEnd:
+		m.endLoanInFlight(now, t.request)
 		delete(m.loans, t.request)
 	}
 }
 
-// Peer handles a message of another host.
+// Peer handles a message from another host.
 func (m *Machine) Peer(now core.Instant, own core.Ownership, from core.HostID, msg Message) Result {
 	var r Result
 	switch {
 	case msg.Ask != nil:
-		m.onAsk(now, own, from, *msg.Ask, &r)
+		m.onShareRequest(now, own, from, *msg.Ask, &r)
 	case msg.Share != nil:
 		m.onShare(now, own, from, *msg.Share, &r)
 	case msg.Recall != nil:
-		m.onRecall(now, from, *msg.Recall, &r)
+		m.onStateRequest(now, from, *msg.Recall, &r)
 	case msg.Borrow != nil:
-		m.onBorrow(now, own, from, *msg.Borrow, &r)
+		m.onLoanRequest(now, own, from, *msg.Borrow, &r)
 	case msg.Lend != nil:
-		m.onLend(now, own, from, *msg.Lend, &r)
+		m.onLoanReply(now, own, from, *msg.Lend, &r)
 	case msg.Return != nil:
-		m.onReturn(now, *msg.Return)
+		m.onLoanReturn(now, *msg.Return)
 	}
 	return r
 }
 
-// HostLost tells that a host is gone or unreachable: it is asked for no loans
-// until it is heard of again. Its shares come back only when their terms end.
+// HostLost marks a host as gone or unreachable: no loans are requested from it until
+// its next share request. Its shares are reclaimed only when their terms end.
 func (m *Machine) HostLost(_ core.Instant, host core.HostID) {
 	for _, h := range m.holders {
-		if h.lender == host {
-			h.lender = ""
+		if h.lastLender == host {
+			h.lastLender = ""
 		}
 	}
-	for _, b := range m.books {
-		b.doubt(host)
+	for _, led := range m.ledgers {
+		led.markUnresponsive(host)
 	}
 }
--- a/internal/core/limit/machine_test.go
+++ b/internal/core/limit/machine_test.go
@@ -13,295 +13,290 @@
 
 const ws = core.WorkspaceID("ws")
 
-// ownership is a core.Ownership that a script sets.
-type ownership struct {
+// fakeOwnership is a core.Ownership whose values the test sets.
+type fakeOwnership struct {
 	self, owner core.HostID
 	grant       core.Grant
 	acting      bool
 	hosts       []core.Member
 }
 
-func (o *ownership) Self() core.HostID                     { return o.self }
-func (o *ownership) Owner(core.Shard) (core.HostID, bool)  { return o.owner, true }
-func (o *ownership) Serving(core.Instant, core.Shard) bool { return o.owner == o.self }
-func (o *ownership) Members() []core.Member                { return o.hosts }
-func (o *ownership) Acting(now core.Instant, _ core.Shard) (core.Grant, bool) {
+func (o *fakeOwnership) Self() core.HostID                     { return o.self }
+func (o *fakeOwnership) Owner(core.Shard) (core.HostID, bool)  { return o.owner, true }
+func (o *fakeOwnership) Serving(core.Instant, core.Shard) bool { return o.owner == o.self }
+func (o *fakeOwnership) Members() []core.Member                { return o.hosts }
+func (o *fakeOwnership) Acting(now core.Instant, _ core.Shard) (core.Grant, bool) {
 	return o.grant, o.acting && now < o.grant.Until
 }
 
-// pair is an owner and a holder whose messages a script carries.
+// pair is an owner and a share holder whose messages the test delivers.
 type pair struct {
-	is           *is.I
-	now          core.Instant
-	owner, other *Machine
-	oOwn, hOwn   *ownership
-	toOwner      []Message // sent and not carried yet
-	toOther      []Message
-	decided      []Decision
+	is                    *is.I
+	now                   core.Instant
+	owner, holder         *Machine
+	ownerView, holderView *fakeOwnership
+	toOwner               []Message // sent, not delivered yet
+	toHolder              []Message
+	decisions             []Decision
 }
 
 var members = []core.Member{{Host: "o"}, {Host: "h"}}
 
-// newPair opens a book without a predecessor: rate 100, burst 1000. A holder
+// newPair opens a ledger without a predecessor: rate 100, burst 1000. A holder
 // without demand holds nothing.
 func newPair(t *testing.T) *pair { return newPairWith(t, -1) }
 
 func newPairWith(t *testing.T, even int) *pair {
 	p := &pair{is: is.New(t), now: 1}
 	limits := []Limit{{ws, 100, 1000}}
-	p.owner, p.other = New(Settings{Self: "o", Settle: -1, EvenPart: even}, core.NewRand(1)), New(Settings{Self: "h", Settle: -1, EvenPart: even}, core.NewRand(2))
+	p.owner, p.holder = New(Settings{Self: "o", Settle: -1, EvenPart: even}, core.NewRand(1)), New(Settings{Self: "h", Settle: -1, EvenPart: even}, core.NewRand(2))
 	p.owner.Configure(p.now, 1, limits)
-	p.other.Configure(p.now, 1, limits)
-	p.oOwn = &ownership{self: "o", owner: "o", acting: true, grant: core.Grant{Fence: 1, Until: 1 << 60}, hosts: members}
-	p.hOwn = &ownership{self: "h", owner: "o", hosts: members}
-	p.open(core.ObjectResult{Status: core.ObjectNotFound}, core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Version: 1}})
+	p.holder.Configure(p.now, 1, limits)
+	p.ownerView = &fakeOwnership{self: "o", owner: "o", acting: true, grant: core.Grant{Fence: 1, Until: 1 << 60}, hosts: members}
+	p.holderView = &fakeOwnership{self: "h", owner: "o", hosts: members}
+	p.openLedger(core.ObjectResult{Status: core.ObjectNotFound}, core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Version: 1}})
 	return p
 }
 
-// open answers the calls that open the owner's book.
-func (p *pair) open(results ...core.ObjectResult) {
-	r := p.owner.Tick(p.now, p.oOwn)
+// openLedger answers the object calls that open the owner's ledger.
+func (p *pair) openLedger(results ...core.ObjectResult) {
+	r := p.owner.Tick(p.now, p.ownerView)
 	for _, res := range results {
 		p.is.Equal(len(r.Calls), 1)
 		res.Tag = r.Calls[0].Tag
-		r = p.owner.Object(p.now, p.oOwn, res)
+		r = p.owner.Object(p.now, p.ownerView, res)
 	}
-	p.take("o", r)
+	p.collect("o", r)
 }
 
-func (p *pair) take(from core.HostID, r Result) {
-	p.decided = append(p.decided, r.Decisions...)
+func (p *pair) collect(from core.HostID, r Result) {
+	p.decisions = append(p.decisions, r.Decisions...)
 	for _, s := range r.Sends {
 		if from == "o" {
-			p.toOther = append(p.toOther, s.Message)
+			p.toHolder = append(p.toHolder, s.Message)
 		} else {
 			p.toOwner = append(p.toOwner, s.Message)
 		}
 	}
 }
 
-// carry delivers what is under way until nothing is.
-func (p *pair) carry() {
-	for len(p.toOwner)+len(p.toOther) > 0 {
-		in, out := p.toOwner, p.toOther
-		p.toOwner, p.toOther = nil, nil
+// deliver delivers messages in both directions until none is left.
+func (p *pair) deliver() {
+	for len(p.toOwner)+len(p.toHolder) > 0 {
+		in, out := p.toOwner, p.toHolder
+		p.toOwner, p.toHolder = nil, nil
 		for _, m := range in {
-			p.take("o", p.owner.Peer(p.now, p.oOwn, "h", m))
+			p.collect("o", p.owner.Peer(p.now, p.ownerView, "h", m))
 		}
 		for _, m := range out {
-			p.take("h", p.other.Peer(p.now, p.hOwn, "o", m))
+			p.collect("h", p.holder.Peer(p.now, p.holderView, "o", m))
 		}
 	}
 }
 
-// borrow reserves at the holder and carries the loan.
-func (p *pair) borrow(id core.RequestID, n core.Tokens) {
-	p.take("h", p.other.Reserve(p.now, p.hOwn, id, ws, n))
+// reserveAtHolder reserves at the holder; deliver then carries out the loan.
+func (p *pair) reserveAtHolder(id core.RequestID, n core.Tokens) {
+	p.collect("h", p.holder.Reserve(p.now, p.holderView, id, ws, n))
 }
 
-func (p *pair) pool() nano {
-	b := p.owner.books[ws]
-	b.pool.advance(p.now)
-	return b.pool.level
+func (p *pair) poolLevel() nanotokens {
+	led := p.owner.ledgers[ws]
+	led.pool.advance(p.now)
+	return led.pool.level
 }
 
 func TestLoanIsDebitedOnceAndReturnedOnce(t *testing.T) {
 	p := newPair(t)
-	p.carry()
-	p.owner.Reserve(p.now, p.oOwn, "open", ws, 10) // stays open: the pool keeps its samples
-	p.borrow("r1", 590)
-	p.toOwner = append(p.toOwner, p.toOwner...) // doubled
-	p.carry()
-	p.is.Equal(len(p.decided), 1)
-	p.is.True(p.decided[0].Granted)
-	p.is.Equal(p.pool(), nanos(400))
-	p.take("h", p.other.Settle(p.now, p.hOwn, "r1", 490, true))
+	p.deliver()
+	p.owner.Reserve(p.now, p.ownerView, "open", ws, 10) // stays open, so the pool keeps its samples
+	p.reserveAtHolder("r1", 590)
+	p.toOwner = append(p.toOwner, p.toOwner...) // duplicated
+	p.deliver()
+	p.is.Equal(len(p.decisions), 1)
+	p.is.True(p.decisions[0].Granted)
+	p.is.Equal(p.poolLevel(), toNanotokens(400))
+	p.collect("h", p.holder.Settle(p.now, p.holderView, "r1", 490, true))
 	p.toOwner = append(p.toOwner, p.toOwner...)
-	p.carry()
-	p.is.Equal(p.pool(), nanos(500))
-	p.take("h", p.other.Settle(p.now, p.hOwn, "r1", 0, true)) // the end races with a cancellation
-	p.take("h", p.other.Cancel(p.now, p.hOwn, "r1"))
-	p.carry()
-	p.is.Equal(p.pool(), nanos(500))
+	p.deliver()
+	p.is.Equal(p.poolLevel(), toNanotokens(500))
+	p.collect("h", p.holder.Settle(p.now, p.holderView, "r1", 0, true)) // the end races with a cancellation
+	p.collect("h", p.holder.Cancel(p.now, p.holderView, "r1"))
+	p.deliver()
+	p.is.Equal(p.poolLevel(), toNanotokens(500))
 }
 
-func TestHostWithoutDemandHoldsItsPart(t *testing.T) {
+func TestHostWithoutDemandGetsAShare(t *testing.T) {
 	p := newPairWith(t, DefaultEvenPart)
-	p.carry()
-	p.is.Equal(p.other.holder(p.now, ws).slice.burst, nanos(500))
-	p.oOwn.acting = false // the owner is lost
-	p.borrow("r1", 500)
-	p.is.True(p.decided[0].Granted)
+	p.deliver()
+	p.is.Equal(p.holder.holderOf(p.now, ws).bucket.burst, toNanotokens(500))
+	p.ownerView.acting = false // the owner is lost
+	p.reserveAtHolder("r1", 500)
+	p.is.True(p.decisions[0].Granted)
 	p.is.Equal(len(p.toOwner), 0) // without a message
 }
 
-func TestRefusalComesAtOnceAndSaysWhen(t *testing.T) {
+func TestRefusalIsImmediateAndHasRetryAfter(t *testing.T) {
 	p := newPair(t)
-	p.carry()
-	p.borrow("r1", 1000)
-	p.carry()
-	p.borrow("r2", 500)
-	p.carry()
-	last := p.decided[len(p.decided)-1]
+	p.deliver()
+	p.reserveAtHolder("r1", 1000)
+	p.deliver()
+	p.reserveAtHolder("r2", 500)
+	p.deliver()
+	last := p.decisions[len(p.decisions)-1]
 	p.is.True(!last.Granted)
 	p.is.Equal(last.Refusal.Ran, core.RanNo)
 	p.is.True(last.Refusal.RetryAfter >= 4*time.Second) // 500 tokens at 100 a second, less what was there
 }
 
-func TestNoAnswerIsRefusedWithinTheBound(t *testing.T) {
+func TestUnansweredLoanIsRefusedInTime(t *testing.T) {
 	p := newPair(t)
-	p.carry()
-	p.borrow("r1", 500)
+	p.deliver()
+	p.reserveAtHolder("r1", 500)
 	p.toOwner = nil // lost
 	p.now = p.now.Add(DefaultBorrowBound / 2)
-	p.take("h", p.other.Tick(p.now, p.hOwn))
-	p.is.Equal(len(p.toOwner), 1) // asked again
+	p.collect("h", p.holder.Tick(p.now, p.holderView))
+	p.is.Equal(len(p.toOwner), 1) // repeated
 	held := p.toOwner
 	p.toOwner = nil
 	p.now = p.now.Add(DefaultBorrowBound)
-	p.take("h", p.other.Tick(p.now, p.hOwn))
-	p.is.Equal(len(p.decided), 1)
-	p.is.True(p.decided[0].Refusal != nil)
+	p.collect("h", p.holder.Tick(p.now, p.holderView))
+	p.is.Equal(len(p.decisions), 1)
+	p.is.True(p.decisions[0].Refusal != nil)
 	p.toOwner = held
-	p.carry() // the late loan goes back and is not charged
-	p.is.Equal(len(p.decided), 1)
-	p.is.Equal(p.pool(), nanos(1000))
+	p.deliver() // the late loan is returned and not charged
+	p.is.Equal(len(p.decisions), 1)
+	p.is.Equal(p.poolLevel(), toNanotokens(1000))
 }
 
-// share gives the holder a share by its demand.
-func (p *pair) share() {
+// grantShare makes the owner grant the holder a share by its demand.
+func (p *pair) grantShare() {
 	for i := range 4 {
 		p.now = p.now.Add(time.Second)
-		p.borrow(core.RequestID(rune('a'+i)), 20)
-		p.carry()
+		p.reserveAtHolder(core.RequestID(rune('a'+i)), 20)
+		p.deliver()
 	}
 	p.now = p.now.Add(6 * time.Second)
-	p.take("h", p.other.Tick(p.now, p.hOwn))
-	p.carry()
-	p.is.True(p.other.holders[ws].slice.burst > 0)
+	p.collect("h", p.holder.Tick(p.now, p.holderView))
+	p.deliver()
+	p.is.True(p.holder.holders[ws].bucket.burst > 0)
 }
 
-func (p *pair) sums() (microRate, nano) {
-	h, b := p.other.holders[ws], p.owner.books[ws]
-	return h.slice.rate + b.pool.rate, h.slice.burst + b.pool.burst
+func (p *pair) totals() (microtokenRate, nanotokens) {
+	h, led := p.holder.holders[ws], p.owner.ledgers[ws]
+	return h.bucket.rate + led.pool.rate, h.bucket.burst + led.pool.burst
 }
 
-func TestShareIsDebitedAndEndsByTheAskersClock(t *testing.T) {
+func TestShareIsDebitedAndExpiresByTheHoldersClock(t *testing.T) {
 	p := newPair(t)
-	p.share()
-	rate, burst := p.sums()
-	p.is.True(rate <= micros(100))
-	p.is.True(burst <= nanos(1000))
-	h := p.other.holders[ws]
-	asked := h.asked
-	p.is.Equal(h.until, asked.Add(DefaultTerm)) // not from when the share came
-	p.other.lapse(h.until, h)
-	p.is.Equal(h.slice.burst, nano(0))
+	p.grantShare()
+	rate, burst := p.totals()
+	p.is.True(rate <= toMicrotokenRate(100))
+	p.is.True(burst <= toNanotokens(1000))
+	h := p.holder.holders[ws]
+	asked := h.lastRequest
+	p.is.Equal(h.expires, asked.Add(DefaultTerm)) // not counted from when the share arrived
+	p.holder.dropExpired(h.expires, h)
+	p.is.Equal(h.bucket.burst, nanotokens(0))
 	p.now = asked.Add(DefaultTerm) // the owner waits longer
-	p.take("o", p.owner.Tick(p.now, p.oOwn))
-	p.is.Equal(len(p.owner.books[ws].entries), 1)
+	p.collect("o", p.owner.Tick(p.now, p.ownerView))
+	p.is.Equal(len(p.owner.ledgers[ws].entries), 1)
 	for range 3 {
 		p.now = p.now.Add(DefaultTerm)
-		p.take("o", p.owner.Tick(p.now, p.oOwn))
+		p.collect("o", p.owner.Tick(p.now, p.ownerView))
 	}
-	p.is.Equal(len(p.owner.books[ws].entries), 0)
-	p.is.Equal(p.owner.books[ws].pool.burst, nanos(1000))
+	p.is.Equal(len(p.owner.ledgers[ws].entries), 0)
+	p.is.Equal(p.owner.ledgers[ws].pool.burst, toNanotokens(1000))
 }
 
-func TestShareLateInTheLinkDoesNotRunLonger(t *testing.T) {
+func TestDelayedShareDoesNotExpireLater(t *testing.T) {
 	p := newPair(t)
-	p.share()
-	h := p.other.holders[ws]
+	p.grantShare()
+	h := p.holder.holders[ws]
 	late := Share{
-		Workspace: ws, Fence: 1, Seq: h.applied, Rate: int64(h.slice.rate), Burst: int64(h.slice.burst),
-		Echo: h.asked, Term: DefaultTerm,
+		Workspace: ws, Fence: 1, Seq: h.applied, Rate: int64(h.bucket.rate), Burst: int64(h.bucket.burst),
+		Echo: h.lastRequest, Term: DefaultTerm,
 	}
-	p.now = h.asked.Add(DefaultTerm - time.Second)
-	p.other.Peer(p.now, p.hOwn, "o", Message{Share: &late})
-	p.is.Equal(h.until, h.asked.Add(DefaultTerm))
+	p.now = h.lastRequest.Add(DefaultTerm - time.Second)
+	p.holder.Peer(p.now, p.holderView, "o", Message{Share: &late})
+	p.is.Equal(h.expires, h.lastRequest.Add(DefaultTerm))
 }
 
-func TestLoweredLimitCutsAtOnce(t *testing.T) {
+func TestLoweredLimitShrinksSharesAtOnce(t *testing.T) {
 	p := newPair(t)
-	p.share()
+	p.grantShare()
 	lower := []Limit{{ws, 50, 500}}
-	p.other.Configure(p.now, 2, lower)
+	p.holder.Configure(p.now, 2, lower)
 	p.owner.Configure(p.now, 2, lower)
-	h := p.other.holders[ws]
-	p.is.True(h.slice.rate <= micros(50))
-	p.is.True(h.slice.burst <= nanos(500))
-	_, burst := p.sums()
-	p.is.True(burst <= nanos(500))
-	p.other.Configure(p.now, 1, []Limit{{ws, 1000, 10000}}) // an older version does nothing
-	p.is.Equal(p.other.limits[ws].Burst, core.Tokens(500))
+	h := p.holder.holders[ws]
+	p.is.True(h.bucket.rate <= toMicrotokenRate(50))
+	p.is.True(h.bucket.burst <= toNanotokens(500))
+	_, burst := p.totals()
+	p.is.True(burst <= toNanotokens(500))
+	p.holder.Configure(p.now, 1, []Limit{{ws, 1000, 10000}}) // an older version does nothing
+	p.is.Equal(p.holder.limits[ws].Burst, core.Tokens(500))
 }
 
-// A share cut from a higher limit than this host knows is cut down.
-func TestShareOfAnOlderLimitIsScaled(t *testing.T) {
+// A share computed from a higher limit than this host knows is scaled down.
+func TestShareOfAHigherLimitIsScaledDown(t *testing.T) {
 	p := newPair(t)
-	p.share()
-	h := p.other.holders[ws]
-	p.other.Configure(p.now, 2, []Limit{{ws, 50, 500}})
-	p.other.Peer(p.now, p.hOwn, "o", Message{Share: &Share{
-		Workspace: ws, Fence: 1, Seq: h.applied + 1, Rate: int64(micros(100)), Burst: int64(nanos(1000)),
+	p.grantShare()
+	h := p.holder.holders[ws]
+	p.holder.Configure(p.now, 2, []Limit{{ws, 50, 500}})
+	p.holder.Peer(p.now, p.holderView, "o", Message{Share: &Share{
+		Workspace: ws, Fence: 1, Seq: h.applied + 1, Rate: int64(toMicrotokenRate(100)), Burst: int64(toNanotokens(1000)),
 		TotalRate: 100, TotalBurst: 1000, Echo: p.now, Term: DefaultTerm,
 	}})
-	p.is.Equal(h.slice.burst, nanos(500))
-	p.is.Equal(h.slice.rate, micros(50))
+	p.is.Equal(h.bucket.burst, toNanotokens(500))
+	p.is.Equal(h.bucket.rate, toMicrotokenRate(50))
 }
 
-func TestHostileTokens(t *testing.T) {
+func TestInvalidTokenCounts(t *testing.T) {
 	p := newPair(t)
-	p.carry()
+	p.deliver()
 	for _, c := range []struct {
 		tokens core.Tokens
 		code   core.Code
 	}{{0, core.CodeBadRequest}, {-1, core.CodeBadRequest}, {math.MinInt64, core.CodeBadRequest}, {1001, core.CodeNeverFits}, {math.MaxInt64, core.CodeNeverFits}} {
-		r := p.owner.Reserve(p.now, p.oOwn, "r", ws, c.tokens)
+		r := p.owner.Reserve(p.now, p.ownerView, "r", ws, c.tokens)
 		p.is.Equal(r.Decisions[0].Refusal.Code, c.code)
 	}
 	for _, n := range []core.Tokens{0, -7, math.MinInt64, math.MaxInt64} { // from a hostile or broken peer
-		p.is.Equal(len(p.owner.Peer(p.now, p.oOwn, "h", Message{Borrow: &Borrow{Workspace: ws, ID: "x", Tokens: n, Entry: "h"}}).Sends), 0)
+		p.is.Equal(len(p.owner.Peer(p.now, p.ownerView, "h", Message{Borrow: &Borrow{Workspace: ws, ID: "x", Tokens: n, Entry: "h"}}).Sends), 0)
 	}
-	p.is.Equal(p.pool(), nanos(1000))
+	p.is.Equal(p.poolLevel(), toNanotokens(1000))
 }
 
-func TestMissingCountChargesWhatWasSeenOrEverything(t *testing.T) {
+func TestMissingUsageChargesWhatWasSeenOrEverything(t *testing.T) {
 	p := newPair(t)
-	p.carry()
-	p.owner.Reserve(p.now, p.oOwn, "a", ws, 100)
-	p.owner.Reserve(p.now, p.oOwn, "b", ws, 100)
-	p.owner.Settle(p.now, p.oOwn, "a", 30, false)
-	p.owner.Settle(p.now, p.oOwn, "b", 0, false)
-	p.is.Equal(p.pool(), nanos(870))
-	p.owner.Settle(p.now, p.oOwn, "b", 0, true) // twice
-	p.is.Equal(p.pool(), nanos(870))
+	p.deliver()
+	p.owner.Reserve(p.now, p.ownerView, "a", ws, 100)
+	p.owner.Reserve(p.now, p.ownerView, "b", ws, 100)
+	p.owner.Settle(p.now, p.ownerView, "a", 30, false)
+	p.owner.Settle(p.now, p.ownerView, "b", 0, false)
+	p.is.Equal(p.poolLevel(), toNanotokens(870))
+	p.owner.Settle(p.now, p.ownerView, "b", 0, true) // second Settle
+	p.is.Equal(p.poolLevel(), toNanotokens(870))
 }
 
-// A stale account is not used: another host owned the workspace since.
-// A write that took effect when its writer could not act any more opens nothing.
-// listed is the object's value as an owner of a fencing number wrote it.
-func (p *pair) listed(f core.Fence) []byte {
-	v, err := cbor.Marshal(list{Fence: f, Owner: "o", Holders: []core.HostID{"h"}})
+// storedList returns the object's value as an owner with fencing number f wrote it.
+func (p *pair) storedList(f core.Fence) []byte {
+	v, err := cbor.Marshal(holderList{Fence: f, Owner: "o", Holders: []core.HostID{"h"}})
 	p.is.NoErr(err)
 	return v
 }
 
-// An owner that took a share back and hears a late Ask doesn't book the share:
-// its answer must not make the holder spend it for longer.
-func TestAnswerThatBooksLessRenewsNothing(t *testing.T) {
+// An owner that reclaimed a share and then gets a late share request doesn't record
+// that share again: its answer must not extend the holder's term.
+func TestShareBelowTheHeldOneRenewsNothing(t *testing.T) {
 	p := newPair(t)
-	p.share()
-	h := p.other.holders[ws]
-	until := h.until
-	for _, burst := range []nano{0, h.slice.burst - 1} {
+	p.grantShare()
+	h := p.holder.holders[ws]
+	until := h.expires
+	for _, burst := range []nanotokens{0, h.bucket.burst - 1} {
 		p.now = p.now.Add(time.Second)
-		p.other.Peer(p.now, p.hOwn, "o", Message{Share: &Share{
-			Workspace: ws, Fence: 1, Seq: h.applied, Rate: int64(h.slice.rate), Burst: int64(burst), Echo: p.now, Term: DefaultTerm,
+		p.holder.Peer(p.now, p.holderView, "o", Message{Share: &Share{
+			Workspace: ws, Fence: 1, Seq: h.applied, Rate: int64(h.bucket.rate), Burst: int64(burst), Echo: p.now, Term: DefaultTerm,
 		}})
-		p.is.Equal(h.until, until)
+		p.is.Equal(h.expires, until)
 	}
 }
-
-// A successor books no statement of a host that has not promised its number.
-// A host is granted nothing before the object names it, however it asks.
--- a/internal/core/limit/message.go
+++ b/internal/core/limit/message.go
@@ -17,38 +17,39 @@
 	Return *Return `cbor:"6,keyasint,omitempty"`
 }
 
-// Ask states what a host holds of a workspace and asks its owner to renew it.
-// Its sender ignores shares of fencing numbers below Fence.
+// Ask states what a holder has of a workspace and asks the owner to renew it. Its
+// sender ignores shares with fencing numbers below Fence.
 type Ask struct {
 	Workspace core.WorkspaceID `cbor:"1,keyasint"`
 	Fence     core.Fence       `cbor:"2,keyasint"`
 	Applied   uint64           `cbor:"3,keyasint"` // Seq of the last share applied
-	Rate      int64            `cbor:"4,keyasint"` // held, 1e-6 tokens a second
-	Burst     int64            `cbor:"5,keyasint"` // held, 1e-9 tokens
-	Level     int64            `cbor:"6,keyasint"` // now, 1e-9 tokens
-	Released  int64            `cbor:"7,keyasint"` // level given up on applying Applied, 1e-9 tokens
-	Demand    core.Tokens      `cbor:"8,keyasint"` // asked of this host a second
-	Largest   core.Tokens      `cbor:"9,keyasint"` // the largest request lately
+	Rate      int64            `cbor:"4,keyasint"` // held, in 1e-6 tokens per second
+	Burst     int64            `cbor:"5,keyasint"` // held, in 1e-9 tokens
+	Level     int64            `cbor:"6,keyasint"` // current, in 1e-9 tokens
+	Released  int64            `cbor:"7,keyasint"` // level released on applying share Applied, in 1e-9 tokens
+	Demand    core.Tokens      `cbor:"8,keyasint"` // tokens per second that requests on this host need
+	Largest   core.Tokens      `cbor:"9,keyasint"` // largest recent request
 	Sent      core.Instant     `cbor:"10,keyasint"`
-	Only      bool             `cbor:"11,keyasint,omitempty"` // an acknowledgement: no answer is wanted
-	Left      int64            `cbor:"12,keyasint,omitempty"` // level given up with all that was held, 1e-9 tokens
+	Only      bool             `cbor:"11,keyasint,omitempty"` // an acknowledgement, not to be answered
+	Left      int64            `cbor:"12,keyasint,omitempty"` // level released with the whole share, in 1e-9 tokens
 }
 
-// Share is a holder's slice as its owner books it.
+// Share is a holder's share as recorded in its owner's ledger.
 type Share struct {
 	Workspace  core.WorkspaceID `cbor:"1,keyasint"`
 	Fence      core.Fence       `cbor:"2,keyasint"`
 	Seq        uint64           `cbor:"3,keyasint"`
-	Rate       int64            `cbor:"4,keyasint"` // 1e-6 tokens a second
-	Burst      int64            `cbor:"5,keyasint"` // 1e-9 tokens
-	Added      int64            `cbor:"6,keyasint"` // level that comes with it, once, 1e-9 tokens
-	TotalRate  core.Tokens      `cbor:"7,keyasint"` // the limit that the owner goes by
+	Rate       int64            `cbor:"4,keyasint"` // in 1e-6 tokens per second
+	Burst      int64            `cbor:"5,keyasint"` // in 1e-9 tokens
+	Added      int64            `cbor:"6,keyasint"` // level that is added once with it, in 1e-9 tokens
+	TotalRate  core.Tokens      `cbor:"7,keyasint"` // the workspace's limit as the owner has it configured
 	TotalBurst core.Tokens      `cbor:"8,keyasint"`
-	Echo       core.Instant     `cbor:"9,keyasint"` // Sent of the Ask
+	Echo       core.Instant     `cbor:"9,keyasint"` // Sent of the request that it answers
 	Term       time.Duration    `cbor:"10,keyasint"`
 }
 
-// Recall makes a host promise a fencing number and state what it holds.
+// Recall makes its receiver promise to ignore lower fencing numbers and state what
+// it holds.
 type Recall struct {
 	Workspace core.WorkspaceID `cbor:"1,keyasint"`
 	Fence     core.Fence       `cbor:"2,keyasint"`
@@ -59,21 +60,21 @@
 	Workspace core.WorkspaceID `cbor:"1,keyasint"`
 	ID        core.RequestID   `cbor:"2,keyasint"`
 	Tokens    core.Tokens      `cbor:"3,keyasint"`
-	Entry     core.HostID      `cbor:"4,keyasint"` // where the answer goes
-	Forwarded bool             `cbor:"5,keyasint,omitempty"`
-	Again     bool             `cbor:"6,keyasint,omitempty"` // no answer came to the first
+	Entry     core.HostID      `cbor:"4,keyasint"`           // host that gets the answer
+	Forwarded bool             `cbor:"5,keyasint,omitempty"` // by the owner, to a holder
+	Again     bool             `cbor:"6,keyasint,omitempty"` // the first one was not answered
 }
 
-// Lend answers a Borrow.
+// Lend answers a loan request.
 type Lend struct {
 	Workspace core.WorkspaceID `cbor:"1,keyasint"`
 	ID        core.RequestID   `cbor:"2,keyasint"`
 	Granted   bool             `cbor:"3,keyasint"`
-	Retry     time.Duration    `cbor:"4,keyasint,omitempty"` // of a refusal
-	Most      core.Tokens      `cbor:"5,keyasint,omitempty"` // with a refusal: what one host could lend now
+	Retry     time.Duration    `cbor:"4,keyasint,omitempty"` // set in a refusal: time to wait before a retry
+	Most      core.Tokens      `cbor:"5,keyasint,omitempty"` // set in a refusal: largest loan that one host could give now
 }
 
-// Return gives back what a loan did not use.
+// Return returns the unused part of a loan.
 type Return struct {
 	Workspace core.WorkspaceID `cbor:"1,keyasint"`
 	ID        core.RequestID   `cbor:"2,keyasint"`
--- a/internal/core/limit/reserve.go
+++ b/internal/core/limit/reserve.go
@@ -20,8 +20,8 @@
 	workspace  core.WorkspaceID
 	tokens     core.Tokens
 	source     source
-	lender     core.HostID
-	mark       uint64
+	lender     core.HostID // set for a loan
+	mark       uint64      // for settle; unused for a loan
 	generation uint32
 }
 
@@ -36,7 +36,7 @@
 }
 
 // Reserve takes tokens (prompt and allowed output) for a request. The decision
-// comes with the result, or within BorrowBound where it needs a loan.
+// comes with the result, or within BorrowBound if a loan is needed.
 func (m *Machine) Reserve(now core.Instant, own core.Ownership, id core.RequestID, ws core.WorkspaceID, tokens core.Tokens) Result {
 	var r Result
 	l, ok := m.limits[ws]
@@ -54,94 +54,95 @@
 }
 
 func (m *Machine) reserve(now core.Instant, own core.Ownership, id core.RequestID, ws core.WorkspaceID, n core.Tokens, r *Result) {
-	if _, ok := m.taken[id]; ok {
+	if _, ok := m.reservations[id]; ok {
 		m.grant(r, id)
 		return
 	}
-	if m.pending[id] != nil {
+	if m.pendingLoans[id] != nil {
 		return
 	}
-	h := m.holder(now, ws)
-	h.demand.note(n)
-	m.lapse(now, h)
-	if h.slice.burst > 0 {
-		if mark, ok := h.slice.take(now, nanos(n)); ok {
-			m.take(r, id, reservation{ws, n, sourceShare, "", mark, h.slice.generation})
+	h := m.holderOf(now, ws)
+	h.demand.record(n)
+	m.dropExpired(now, h)
+	if h.bucket.burst > 0 {
+		if mark, ok := h.bucket.take(now, toNanotokens(n)); ok {
+			m.recordReservation(r, id, reservation{ws, n, sourceShare, "", mark, h.bucket.generation})
 			return
 		}
 	}
-	b := m.book(now, own, ws, r)
-	if b != nil && m.spendable(now, own, b) {
-		if mark, ok := b.pool.take(now, nanos(n)); ok {
-			m.take(r, id, reservation{ws, n, sourcePool, "", mark, b.pool.generation})
+	led := m.openLedger(now, own, ws, r)
+	if led != nil && m.maySpend(now, own, led) {
+		if mark, ok := led.pool.take(now, toNanotokens(n)); ok {
+			m.recordReservation(r, id, reservation{ws, n, sourcePool, "", mark, led.pool.generation})
 			return
 		}
 	}
-	if h.next == 0 {
-		m.schedule(now.Add(m.rampUp()), ws, h)
+	if h.nextRequest == 0 {
+		m.scheduleRequest(now.Add(m.firstRequestDelay()), ws, h)
 	}
-	m.borrow(now, own, id, ws, n, b, r)
+	m.requestLoan(now, own, id, ws, n, led, r)
 }
 
-// rampUp spreads the first asks of many hosts.
-func (m *Machine) rampUp() time.Duration {
-	return leastDemandSpan/2 + time.Duration(m.rand.Jitter(int64(leastDemandSpan)))
+// firstRequestDelay returns a random delay, which spreads the first share requests
+// of many hosts.
+func (m *Machine) firstRequestDelay() time.Duration {
+	return minDemandSpan/2 + time.Duration(m.rand.Jitter(int64(minDemandSpan)))
 }
 
-func (m *Machine) take(r *Result, id core.RequestID, v reservation) {
-	m.taken[id] = v
+func (m *Machine) recordReservation(r *Result, id core.RequestID, v reservation) {
+	m.reservations[id] = v
 	m.grant(r, id)
 }
 
-// Settle ends a reservation with what was used, prompt and output. Where the
-// upstream's count is missing (not counted), used is what this host saw; with
-// nothing seen the whole reservation stays charged. The charge counts at the
-// instant of the reservation. A second Settle of an id does nothing.
+// Settle ends a reservation with the tokens used, prompt and output. If the
+// upstream's count is missing (not counted), used is what this host saw; if it saw
+// nothing, the whole reservation is charged. The charge counts at the time of the
+// reservation. A second Settle of an id does nothing.
 func (m *Machine) Settle(now core.Instant, own core.Ownership, id core.RequestID, used core.Tokens, counted bool) Result {
 	var r Result
-	v, ok := m.taken[id]
+	v, ok := m.reservations[id]
 	if !ok {
 		return r
 	}
-	delete(m.taken, id)
+	delete(m.reservations, id)
 	if !counted && used <= 0 {
 		used = v.tokens
 	}
 	used = clampTokens(used)
 	over := max(used-v.tokens, 0)
 	m.stats.Overrun += over
-	m.giveBack(now, v, id, v.tokens-min(used, v.tokens), over, &r)
+	m.returnTokens(now, v, id, v.tokens-min(used, v.tokens), over, &r)
 	return r
 }
 
 // Cancel ends a request that has not been dispatched: nothing was used.
 func (m *Machine) Cancel(now core.Instant, _ core.Ownership, id core.RequestID) Result {
 	var r Result
-	if p := m.pending[id]; p != nil && !p.dead {
-		p.dead = true // a loan that comes goes back
+	if p := m.pendingLoans[id]; p != nil && !p.abandoned {
+		p.abandoned = true // a loan that still comes is returned
 	}
-	if v, ok := m.taken[id]; ok {
-		delete(m.taken, id)
-		m.giveBack(now, v, id, v.tokens, 0, &r)
+	if v, ok := m.reservations[id]; ok {
+		delete(m.reservations, id)
+		m.returnTokens(now, v, id, v.tokens, 0, &r)
 	}
 	return r
 }
 
-// giveBack returns unused tokens to where they came from. An overrun is
-// charged to whatever this host holds.
-func (m *Machine) giveBack(now core.Instant, v reservation, id core.RequestID, unused, over core.Tokens, r *Result) {
+// returnTokens returns unused tokens to their source, or charges an overrun to it.
+// An overrun of a loan is not charged.
+func (m *Machine) returnTokens(now core.Instant, v reservation, id core.RequestID, unused, over core.Tokens, r *Result) {
 	if v.source == sourceLoan {
-		// also with nothing unused: the lender forgets the loan
+		// also if nothing is unused, so that the lender deletes the loan
 		r.Send(v.lender, Message{Return: &Return{Workspace: v.workspace, ID: id, Unused: unused}})
 		return
 	}
-	s := m.slice(v.workspace, v.source == sourcePool, v.generation)
+	s := m.sourceBucket(v.workspace, v.source == sourcePool, v.generation)
 	if s == nil {
 		m.stats.Forgone += unused
 		return
 	}
-	s.settle(now, v.mark, nanos(unused))
+	s.settle(now, v.mark, toNanotokens(unused))
 	if over > 0 {
-		s.charge(now, nanos(over))
+		s.charge(now, toNanotokens(over))
 	}
 }
--- a/internal/core/limit/single.go
+++ b/internal/core/limit/single.go
@@ -6,54 +6,57 @@
 	"gentiancroft/internal/core"
 )
 
-// Single is a whole limit in one place, by one clock: what a fleet of machines
-// is measured against.
-type Single struct{ slice bucket }
+// Single is one limit kept in a single place with a single clock. Measurements
+// compare the distributed limit with it.
+type Single struct{ bucket bucket }
 
 // NewSingle returns a limit whose burst is full.
 func NewSingle(now core.Instant, rate, burst core.Tokens) *Single {
-	return &Single{bucket{rate: micros(rate), burst: nanos(burst), level: nanos(burst), last: now}}
+	return &Single{bucket{rate: toMicrotokenRate(rate), burst: toNanotokens(burst), level: toNanotokens(burst), last: now}}
 }
 
-// NewEmpty returns a limit whose burst has to accrue first.
+// NewEmpty returns a limit whose burst has yet to accrue.
 func NewEmpty(now core.Instant, rate, burst core.Tokens) *Single {
 	s := NewSingle(now, rate, burst)
-	s.slice.level = 0
+	s.bucket.level = 0
 	return s
 }
 
-// Take reserves tokens; mark identifies the reservation.
+// Take reserves tokens and reports whether there were enough; mark identifies the
+// reservation.
 func (s *Single) Take(now core.Instant, n core.Tokens) (mark uint64, ok bool) {
-	return s.slice.take(now, nanos(n))
+	return s.bucket.take(now, toNanotokens(n))
 }
 
-// Settle gives back what a reservation did not use.
+// Settle returns the unused tokens of a reservation.
 func (s *Single) Settle(now core.Instant, mark uint64, unused core.Tokens) {
-	s.slice.settle(now, mark, nanos(unused))
+	s.bucket.settle(now, mark, toNanotokens(unused))
 }
 
-// Move takes up to n tokens out of the burst for another part of the limit,
-// which Add puts them in; the burst they occupy moves with them.
+// Move removes up to n tokens, with the burst they occupy, for another part of the
+// limit, to which Add adds them. It returns how many.
 func (s *Single) Move(now core.Instant, n core.Tokens) core.Tokens {
-	s.slice.advance(now)
-	n = min(n, core.Tokens(s.slice.level/nanosPerToken))
+	s.bucket.advance(now)
+	n = min(n, core.Tokens(s.bucket.level/nanotokensPerToken))
 	if n <= 0 {
 		return 0
 	}
-	s.slice.level -= nanos(n)
-	s.slice.burst -= nanos(n)
-	s.slice.sample()
+	s.bucket.level -= toNanotokens(n)
+	s.bucket.burst -= toNanotokens(n)
+	s.bucket.sampleRoom()
 	return n
 }
 
-// Add puts moved tokens and the burst they occupy in.
-func (s *Single) Add(now core.Instant, n core.Tokens) { s.slice.grow(now, 0, nanos(n), nanos(n)) }
+// Add adds tokens that Move removed, with the burst they occupy.
+func (s *Single) Add(now core.Instant, n core.Tokens) {
+	s.bucket.grow(now, 0, toNanotokens(n), toNanotokens(n))
+}
 
-// Shift gives back burst that Move took, without tokens.
-func (s *Single) Shift(now core.Instant, n core.Tokens) { s.slice.grow(now, 0, nanos(n), 0) }
+// Shift returns burst that Move removed, without tokens.
+func (s *Single) Shift(now core.Instant, n core.Tokens) { s.bucket.grow(now, 0, toNanotokens(n), 0) }
 
-// Retry is when n tokens will have accrued.
+// Retry returns the time until n tokens will have accrued.
 func (s *Single) Retry(now core.Instant, n core.Tokens) time.Duration {
-	s.slice.advance(now)
-	return timeFor(nanos(n)-s.slice.level, s.slice.rate)
+	s.bucket.advance(now)
+	return accrualTime(toNanotokens(n)-s.bucket.level, s.bucket.rate)
 }
--- a/internal/core/limit/successor_test.go
+++ b/internal/core/limit/successor_test.go
@@ -7,162 +7,166 @@
 	"gentiancroft/internal/core"
 )
 
-func TestLateAskBooksNothing(t *testing.T) {
+func TestLateShareRequestRecordsNothing(t *testing.T) {
 	p := newPair(t)
-	p.share()
-	stale := p.other.state(p.now, ws, p.other.holders[ws])
+	p.grantShare()
+	stale := p.holder.shareRequest(p.now, ws, p.holder.holders[ws])
 	stale.Demand = 50
 	p.now = p.now.Add(3 * DefaultTerm)
-	p.take("o", p.owner.Tick(p.now, p.oOwn)) // taken back
-	b := p.owner.books[ws]
-	p.is.Equal(len(b.entries), 0)
-	p.take("o", p.owner.Peer(p.now, p.oOwn, "h", Message{Ask: &stale}))
-	sum := b.pool.burst
-	for _, e := range b.entries {
+	p.collect("o", p.owner.Tick(p.now, p.ownerView)) // reclaims the share
+	led := p.owner.ledgers[ws]
+	p.is.Equal(len(led.entries), 0)
+	p.collect("o", p.owner.Peer(p.now, p.ownerView, "h", Message{Ask: &stale}))
+	sum := led.pool.burst
+	for _, e := range led.entries {
 		sum += e.burst
 	}
-	p.is.Equal(sum, nanos(1000))
+	p.is.Equal(sum, toNanotokens(1000))
 }
 
-func TestFrozenOwnerSpendsNothingAndGivesItsPartAway(t *testing.T) {
+func TestFrozenOwnerSpendsNothingAndGrantsItsPool(t *testing.T) {
 	p := newPair(t)
-	p.share()
-	p.oOwn.acting = false
-	r := p.owner.Reserve(p.now, p.oOwn, "mine", ws, 10)
+	p.grantShare()
+	p.ownerView.acting = false
+	r := p.owner.Reserve(p.now, p.ownerView, "mine", ws, 10)
 	p.is.True(len(r.Decisions) == 0 || !r.Decisions[0].Granted)
-	p.take("o", r)
-	p.carry() // it borrows from the holder
-	p.is.True(p.decided[len(p.decided)-1].Granted)
+	p.collect("o", r)
+	p.deliver() // it borrows from the holder
+	p.is.True(p.decisions[len(p.decisions)-1].Granted)
 	for range 3 {
 		p.now = p.now.Add(2 * time.Second)
-		p.take("o", p.owner.Tick(p.now, p.oOwn))
-		p.carry()
+		p.collect("o", p.owner.Tick(p.now, p.ownerView))
+		p.deliver()
 	}
-	p.is.Equal(p.owner.books[ws].pool.burst, nano(0))
-	_, burst := p.sums()
-	p.is.True(burst <= nanos(1000))
+	p.is.Equal(p.owner.ledgers[ws].pool.burst, nanotokens(0))
+	_, burst := p.totals()
+	p.is.True(burst <= toNanotokens(1000))
 }
 
-func TestHandOverKeepsTheAccount(t *testing.T) {
+func TestHandoffKeepsTheLedger(t *testing.T) {
 	p := newPair(t)
-	p.share()
-	before := p.pool()
+	p.grantShare()
+	before := p.poolLevel()
 	state := p.owner.Departing(p.now, ws)
 	p.is.True(state != nil)
 	p.is.True(p.owner.Departing(p.now, ws) == nil)
-	r := p.owner.Reserve(p.now, p.oOwn, "mine", ws, 1)
-	p.is.True(len(r.Decisions) == 0 || !r.Decisions[0].Granted)        // spends nothing any more
-	p.is.Equal(len(r.Calls)+len(p.owner.Tick(p.now, p.oOwn).Calls), 0) // and claims nothing under the same number
+	r := p.owner.Reserve(p.now, p.ownerView, "mine", ws, 1)
+	p.is.True(len(r.Decisions) == 0 || !r.Decisions[0].Granted)             // spends nothing any more
+	p.is.Equal(len(r.Calls)+len(p.owner.Tick(p.now, p.ownerView).Calls), 0) // and claims nothing under the same fencing number
 	next := New(Settings{Self: "n", Settle: -1}, core.NewRand(3))
 	next.Configure(p.now, 1, []Limit{{ws, 100, 1000}})
 	next.Adopt(p.now, ws, state, "o")
-	own := &ownership{self: "n", owner: "n", acting: true, grant: core.Grant{Fence: 2, Until: 1 << 60}, hosts: members}
-	q := &pair{is: p.is, now: p.now, owner: next, oOwn: own}
-	value := p.listed(1)
-	q.open(core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Value: value, Version: 1}},
+	own := &fakeOwnership{self: "n", owner: "n", acting: true, grant: core.Grant{Fence: 2, Until: 1 << 60}, hosts: members}
+	q := &pair{is: p.is, now: p.now, owner: next, ownerView: own}
+	value := p.storedList(1)
+	q.openLedger(core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Value: value, Version: 1}},
 		core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Version: 2}})
-	b := next.books[ws]
-	p.is.Equal(b.pool.level, before)
-	p.is.Equal(len(b.entries), 1)
-	p.is.True(!b.withheld)
+	led := next.ledgers[ws]
+	p.is.Equal(led.pool.level, before)
+	p.is.Equal(len(led.entries), 1)
+	p.is.True(!led.withheld)
 }
 
-func TestStaleAccountIsNotUsed(t *testing.T) {
+// A stale handed-over ledger is not used: another host has owned the workspace since.
+func TestStaleHandoffIsNotUsed(t *testing.T) {
 	p := newPair(t)
-	p.share()
+	p.grantShare()
 	state := p.owner.Departing(p.now, ws)
 	next := New(Settings{Self: "n", Settle: -1}, core.NewRand(3))
 	next.Configure(p.now, 1, []Limit{{ws, 100, 1000}})
 	next.Adopt(p.now, ws, state, "o")
-	own := &ownership{self: "n", owner: "n", acting: true, grant: core.Grant{Fence: 5, Until: 1 << 60}, hosts: members}
-	q := &pair{is: p.is, now: p.now, owner: next, oOwn: own}
-	q.open(core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Value: p.listed(4), Version: 9}},
+	own := &fakeOwnership{self: "n", owner: "n", acting: true, grant: core.Grant{Fence: 5, Until: 1 << 60}, hosts: members}
+	q := &pair{is: p.is, now: p.now, owner: next, ownerView: own}
+	q.openLedger(core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Value: p.storedList(4), Version: 9}},
 		core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Version: 10}})
-	p.is.True(next.books[ws].withheld)
-	p.is.Equal(next.books[ws].pool.burst, nano(0))
+	p.is.True(next.ledgers[ws].withheld)
+	p.is.Equal(next.ledgers[ws].pool.burst, nanotokens(0))
 }
 
-func TestListWrittenTooLateOpensNothing(t *testing.T) {
+// A write that was applied when its writer could not act any more opens no ledger.
+func TestLateListWriteOpensNoLedger(t *testing.T) {
 	p := newPair(t)
 	late := New(Settings{Self: "o", Settle: -1}, core.NewRand(4))
 	late.Configure(p.now, 1, []Limit{{ws, 100, 1000}})
-	r := late.Tick(p.now, p.oOwn)
-	r = late.Object(p.now, p.oOwn, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectNotFound})
-	p.oOwn.acting = false
-	late.Object(p.now, p.oOwn, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectOK, Object: core.Object{Version: 1}})
-	p.is.True(late.books[ws] == nil)
+	r := late.Tick(p.now, p.ownerView)
+	r = late.Object(p.now, p.ownerView, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectNotFound})
+	p.ownerView.acting = false
+	late.Object(p.now, p.ownerView, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectOK, Object: core.Object{Version: 1}})
+	p.is.True(late.ledgers[ws] == nil)
 }
 
-func TestLeaverGivesItsShareBackOnce(t *testing.T) {
+func TestLeavingHostReturnsItsShareOnce(t *testing.T) {
 	p := newPair(t)
-	p.share()
-	h := p.other.holders[ws]
-	sum := p.pool() + h.slice.level
-	p.take("h", p.other.Leave(p.now, p.hOwn))
-	p.is.Equal(h.slice.burst, nano(0))
-	p.toOwner = append(p.toOwner, p.toOwner...) // doubled
-	p.carry()
-	p.is.Equal(p.owner.books[ws].pool.burst, nanos(1000))
-	p.is.Equal(p.pool(), sum)
+	p.grantShare()
+	h := p.holder.holders[ws]
+	sum := p.poolLevel() + h.bucket.level
+	p.collect("h", p.holder.Leave(p.now, p.holderView))
+	p.is.Equal(h.bucket.burst, nanotokens(0))
+	p.toOwner = append(p.toOwner, p.toOwner...) // duplicated
+	p.deliver()
+	p.is.Equal(p.owner.ledgers[ws].pool.burst, toNanotokens(1000))
+	p.is.Equal(p.poolLevel(), sum)
 }
 
-func TestFrozenOwnerTakesNothingBack(t *testing.T) {
+func TestFrozenOwnerReclaimsNothing(t *testing.T) {
 	p := newPair(t)
-	p.share()
-	p.oOwn.acting = false
+	p.grantShare()
+	p.ownerView.acting = false
 	for range 6 {
 		p.now = p.now.Add(DefaultTerm / 2)
-		p.take("o", p.owner.Tick(p.now, p.oOwn))
-		p.toOther = nil // the holder is cut off, and may have gone over to a successor
+		p.collect("o", p.owner.Tick(p.now, p.ownerView))
+		p.toHolder = nil // the holder is cut off, and may hold a share of a successor
 	}
-	p.is.Equal(len(p.owner.books[ws].entries), 1)
-	p.is.True(p.owner.books[ws].pool.burst < nanos(1000))
+	p.is.Equal(len(p.owner.ledgers[ws].entries), 1)
+	p.is.True(p.owner.ledgers[ws].pool.burst < toNanotokens(1000))
 }
 
-func TestSuccessorWantsAPromiseFirst(t *testing.T) {
+// A successor records no statement of a host that has not promised its fencing number.
+func TestSuccessorIgnoresRequestsWithoutItsFence(t *testing.T) {
 	p := newPair(t)
-	p.share()
+	p.grantShare()
 	next := New(Settings{Self: "n", Settle: -1}, core.NewRand(3))
 	next.Configure(p.now, 1, []Limit{{ws, 100, 1000}})
-	own := &ownership{self: "n", owner: "n", acting: true, grant: core.Grant{Fence: 2, Until: 1 << 60}, hosts: members}
-	q := &pair{is: p.is, now: p.now, owner: next, oOwn: own, other: p.other, hOwn: &ownership{self: "h", owner: "n", hosts: members}}
-	q.open(core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Value: p.listed(1), Version: 1}},
+	own := &fakeOwnership{self: "n", owner: "n", acting: true, grant: core.Grant{Fence: 2, Until: 1 << 60}, hosts: members}
+	q := &pair{is: p.is, now: p.now, owner: next, ownerView: own, holder: p.holder, holderView: &fakeOwnership{self: "h", owner: "n", hosts: members}}
+	q.openLedger(core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Value: p.storedList(1), Version: 1}},
 		core.ObjectResult{Status: core.ObjectOK, Object: core.Object{Version: 2}})
-	q.toOther = nil // its recalls are lost
-	b := next.books[ws]
-	p.is.Equal(b.unheard, []core.HostID{"h"})
-	early := p.other.state(p.now, ws, p.other.holders[ws])
+	q.toHolder = nil // its state requests are lost
+	led := next.ledgers[ws]
+	p.is.Equal(led.notRestated, []core.HostID{"h"})
+	early := p.holder.shareRequest(p.now, ws, p.holder.holders[ws])
 	r := next.Peer(p.now, own, "h", Message{Ask: &early})
-	p.is.Equal(b.unheard, []core.HostID{"h"})
+	p.is.Equal(led.notRestated, []core.HostID{"h"})
 	p.is.True(r.Sends[0].Message.Recall != nil)
-	held := p.other.holders[ws].slice.burst
-	q.take("o", r)
-	q.carry()
-	p.is.Equal(len(b.unheard), 0)
+	held := p.holder.holders[ws].bucket.burst
+	q.collect("o", r)
+	q.deliver()
+	p.is.Equal(len(led.notRestated), 0)
 	p.is.True(held > 0)
 	q.now = q.now.Add(2 * time.Second)
-	q.take("o", next.Tick(q.now, own))
-	q.carry()
-	rate, burst := q.sums()
-	p.is.True(rate <= micros(100) && burst <= nanos(1000))
-	p.is.True(burst > nanos(990)) // nothing is withheld any more
+	q.collect("o", next.Tick(q.now, own))
+	q.deliver()
+	rate, burst := q.totals()
+	p.is.True(rate <= toMicrotokenRate(100) && burst <= toNanotokens(1000))
+	p.is.True(burst > toNanotokens(990)) // nothing is withheld any more
 	stale := Share{Workspace: ws, Fence: 1, Seq: 99, Rate: 1, Burst: 1, Echo: q.now, Term: DefaultTerm}
-	before := p.other.holders[ws].applied
-	p.other.Peer(q.now, q.hOwn, "o", Message{Share: &stale}) // of the old owner
-	p.is.Equal(p.other.holders[ws].applied, before)
+	before := p.holder.holders[ws].applied
+	p.holder.Peer(q.now, q.holderView, "o", Message{Share: &stale}) // from the old owner
+	p.is.Equal(p.holder.holders[ws].applied, before)
 }
 
-func TestHostIsListedBeforeItIsGrantedAnything(t *testing.T) {
+// A host is granted nothing before the stored list names it, even if it asks.
+func TestHostIsListedBeforeItGetsAShare(t *testing.T) {
 	p := newPair(t)
-	p.carry()
-	p.oOwn.hosts = append([]core.Member{{Host: "x"}}, members...)
-	r := p.owner.Peer(p.now, p.oOwn, "x", Message{Ask: &Ask{Workspace: ws, Fence: 1, Demand: 90, Largest: 10, Sent: 1}})
+	p.deliver()
+	p.ownerView.hosts = append([]core.Member{{Host: "x"}}, members...)
+	r := p.owner.Peer(p.now, p.ownerView, "x", Message{Ask: &Ask{Workspace: ws, Fence: 1, Demand: 90, Largest: 10, Sent: 1}})
 	p.is.Equal(len(r.Calls), 1) // lists it first
 	p.is.Equal(r.Sends[0].Message.Share.Burst, int64(0))
-	p.is.True(p.owner.books[ws].entry("x") == nil)
-	p.oOwn.acting = false // the write ends too late: a successor may have read before
-	p.owner.Object(p.now, p.oOwn, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectOK, Object: core.Object{Version: 2}})
-	r = p.owner.Peer(p.now, p.oOwn, "x", Message{Ask: &Ask{Workspace: ws, Fence: 1, Demand: 90, Largest: 10, Sent: 2}})
+	p.is.True(p.owner.ledgers[ws].entry("x") == nil)
+	p.ownerView.acting = false // the write ends too late: a successor may have read the list before
+	p.owner.Object(p.now, p.ownerView, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectOK, Object: core.Object{Version: 2}})
+	r = p.owner.Peer(p.now, p.ownerView, "x", Message{Ask: &Ask{Workspace: ws, Fence: 1, Demand: 90, Largest: 10, Sent: 2}})
 	p.is.Equal(r.Sends[0].Message.Share.Burst, int64(0))
-	p.is.True(p.owner.books[ws].entry("x") == nil)
+	p.is.True(p.owner.ledgers[ws].entry("x") == nil)
 }
--- a/internal/core/limit/targets.go
+++ b/internal/core/limit/targets.go
@@ -8,59 +8,59 @@
 	"gentiancroft/internal/core"
 )
 
-// Constants of how a limit is cut.
+// Constants of how a limit is divided.
 const (
-	requestsPerSlice = 2  // a slice's burst should hold this many of the largest requests
-	poolPart         = 16 // the owner keeps at least 1/poolPart of all weight for loans
-	hysteresis       = 8  // a slice changes by more than 1/hysteresis or not at all
-	fillTime         = 20 * time.Second
+	minRequestsPerShare = 2  // a share's burst should hold this many of the largest requests
+	poolDivisor         = 16 // the owner's weight is at least 1/poolDivisor of all demand, for loans
+	hysteresis          = 8  // a share changes by more than 1/hysteresis or not at all
+	fillTime            = 20 * time.Second
 )
 
-// party is one who may get a slice.
-type party struct {
+// candidate is a host that may get a part of the limit.
+type candidate struct {
 	host   core.HostID
-	weight int64 // tokens a second that it needs
-	rank   int64 // weight, more for who holds most of a small workspace
+	weight int64 // tokens per second that it needs
+	rank   int64 // demand, doubled for the host that holds most of the burst
 }
 
-// parties are the hosts that get a slice: by demand, so many that each slice's
-// burst still holds some requests.
-func (m *Machine) parties(now core.Instant, b *book) []party {
-	h := m.holder(now, b.workspace)
-	own := int64(h.demand.roll(now))
-	lent := int64(b.lent.roll(now))
-	b.lent.fade(now, m.settings.Renew)
-	h.demand.fade(now, m.settings.Renew)
-	largest := max(h.demand.largest, b.lent.largest)
-	all := make([]party, 0, len(b.entries)+1)
+// candidates returns the hosts that get a part, by demand: no more than leave each
+// one a burst of minRequestsPerShare of the largest requests.
+func (m *Machine) candidates(now core.Instant, led *ledger) []candidate {
+	h := m.holderOf(now, led.workspace)
+	own := int64(h.demand.updateRate(now))
+	lent := int64(led.loanDemand.updateRate(now))
+	led.loanDemand.decayLargest(now, m.settings.Renew)
+	h.demand.decayLargest(now, m.settings.Renew)
+	largest := max(h.demand.largest, led.loanDemand.largest)
+	all := make([]candidate, 0, len(led.entries)+1)
 	total := own + lent
-	for _, e := range b.entries {
+	for _, e := range led.entries {
 		largest = max(largest, e.largest)
 		total += int64(e.demand)
 	}
-	base := m.evenWeight(b)
-	for _, e := range b.entries {
+	base := m.baseWeight(led)
+	for _, e := range led.entries {
 		if base == 0 && e.demand == 0 && e.burst == 0 {
 			continue
 		}
-		all = append(all, b.party(e.host, base, int64(e.demand), e.burst, e.estimate(now)))
+		all = append(all, led.newCandidate(e.host, base, int64(e.demand), e.burst, e.estimatedLevel(now)))
 	}
-	self := b.party(m.settings.Self, base, own, b.pool.burst, b.pool.level)
-	self.weight = max(self.weight+lent, total/poolPart+1)
+	self := led.newCandidate(m.settings.Self, base, own, led.pool.burst, led.pool.level)
+	self.weight = max(self.weight+lent, total/poolDivisor+1)
 	all = append(all, self)
-	slices.SortFunc(all, func(x, y party) int {
+	slices.SortFunc(all, func(x, y candidate) int {
 		if c := cmp.Compare(y.rank, x.rank); c != 0 {
 			return c
 		}
 		return cmp.Compare(x.host, y.host)
 	})
-	n := int64(b.limit.Burst) / (requestsPerSlice * max(int64(largest), 1))
-	return usable(b.limit, all[:min(max(n, 1), int64(len(all)))], largest)
+	n := int64(led.limit.Burst) / (minRequestsPerShare * max(int64(largest), 1))
+	return dropUnusable(led.limit, all[:min(max(n, 1), int64(len(all)))], largest)
 }
 
-// usable leaves out the parties, the last first, whose slice could not hold one
-// request: its tokens would be of use to nobody.
-func usable(l Limit, all []party, largest core.Tokens) []party {
+// dropUnusable removes candidates, the last first, whose part could not hold one
+// request: no request could use its tokens.
+func dropUnusable(l Limit, all []candidate, largest core.Tokens) []candidate {
 	total := int64(0)
 	for _, p := range all {
 		total += p.weight
@@ -74,68 +74,68 @@
 	return all
 }
 
-// evenWeight is what each host weighs without any demand, so that each holds a
-// part when it has to step in for another, or for the store.
-func (m *Machine) evenWeight(b *book) int64 {
+// baseWeight returns a host's weight without any demand, so that each holds a part
+// when it takes over for another host or during a store outage.
+func (m *Machine) baseWeight(led *ledger) int64 {
 	if m.settings.EvenPart < 0 {
 		return 0
 	}
-	return int64(b.limit.Rate)/int64(m.settings.EvenPart*(len(b.entries)+1)) + 1
+	return int64(led.limit.Rate)/int64(m.settings.EvenPart*(len(led.entries)+1)) + 1
 }
 
-// party weighs a host by its demand and by what its slice has been short of: a
-// rate that would fill it in fillTime. A small workspace's slice stays where it
-// is until another host needs twice as much.
-func (b *book) party(host core.HostID, base, demand int64, burst, level nano) party {
-	missing := int64(max(burst-max(level, 0), 0)) / nanosPerToken / int64(fillTime/time.Second)
-	p := party{host, max(base, 1) + demand + missing, demand + 1}
-	if burst > nanos(b.limit.Burst)/2 {
+// newCandidate weighs a host by its demand and by the rate that would fill the
+// missing level in fillTime. A host that holds most of the burst is outranked only
+// by one with twice its demand.
+func (led *ledger) newCandidate(host core.HostID, base, demand int64, burst, level nanotokens) candidate {
+	missing := int64(max(burst-max(level, 0), 0)) / nanotokensPerToken / int64(fillTime/time.Second)
+	p := candidate{host, max(base, 1) + demand + missing, demand + 1}
+	if burst > toNanotokens(led.limit.Burst)/2 {
 		p.rank *= 2
 	}
 	return p
 }
 
-// cutShare decides what a holder is to have from now on and books it. A share
+// assignShare computes and records what a holder is to have from now on. A share
 // that is not acknowledged stays as it is.
-func (m *Machine) cutShare(now core.Instant, b *book, e *entry) {
-	if e.open {
+func (m *Machine) assignShare(now core.Instant, led *ledger, e *entry) {
+	if e.unacknowledged {
 		return
 	}
-	rate, burst := m.target(now, b, e)
+	rate, burst := m.targetShare(now, led, e)
 	want := rate
-	rate = min(rate, e.rate+b.pool.rate)
-	burst = min(burst, e.burst+b.pool.limit())
-	if !b.frozen && near(int64(rate), int64(e.rate)) && near(int64(burst), int64(e.burst)) {
-		e.toRate, e.toBurst = e.rate, e.burst
+	rate = min(rate, e.rate+led.pool.rate)
+	burst = min(burst, e.burst+led.pool.maxLevel())
+	if !led.frozen && withinHysteresis(int64(rate), int64(e.rate)) && withinHysteresis(int64(burst), int64(e.burst)) {
+		e.targetRate, e.targetBurst = e.rate, e.burst
 		return
 	}
-	b.seq++
-	e.seq, e.open, e.added = b.seq, true, 0
-	e.toRate, e.toBurst = rate, burst
+	led.lastSeq++
+	e.seq, e.unacknowledged, e.addedLevel = led.lastSeq, true, 0
+	e.targetRate, e.targetBurst = rate, burst
 	if want > rate+rate/hysteresis {
-		b.starved = union(b.starved, []core.HostID{e.host})
+		led.starved = union(led.starved, []core.HostID{e.host})
 	}
 	growRate, growBurst := max(rate-e.rate, 0), max(burst-e.burst, 0)
 	if growRate > 0 || growBurst > 0 {
-		e.added = b.pool.cut(now, b.pool.rate-growRate, b.pool.burst-growBurst) // debit first
-		e.level += e.added
+		e.addedLevel = led.pool.shrink(now, led.pool.rate-growRate, led.pool.burst-growBurst) // debited before it is sent
+		e.level += e.addedLevel
 	}
 	e.rate += growRate
 	e.burst += growBurst
 }
 
-// target is a holder's part of the limit. A frozen owner gives everything
-// away, since it may spend nothing itself.
-func (m *Machine) target(now core.Instant, b *book, e *entry) (microRate, nano) {
-	b.pool.advance(now)
-	if b.frozen {
-		return e.rate + b.pool.rate, e.burst + b.pool.limit()
+// targetShare returns a holder's part of the limit. A frozen owner grants its whole
+// pool, since it must not spend it.
+func (m *Machine) targetShare(now core.Instant, led *ledger, e *entry) (microtokenRate, nanotokens) {
+	led.pool.advance(now)
+	if led.frozen {
+		return e.rate + led.pool.rate, e.burst + led.pool.maxLevel()
 	}
-	return part(b.limit, m.parties(now, b), e.host)
+	return shareOf(led.limit, m.candidates(now, led), e.host)
 }
 
-// part is a host's part of a limit that is cut by the parties' weights.
-func part(l Limit, all []party, host core.HostID) (microRate, nano) {
+// shareOf returns a host's part of a limit that is divided by weight.
+func shareOf(l Limit, all []candidate, host core.HostID) (microtokenRate, nanotokens) {
 	total, weight := int64(0), int64(0)
 	for _, p := range all {
 		total += p.weight
@@ -144,34 +144,34 @@
 		}
 	}
 	total = max(total, 1)
-	rate := mulDiv(int64(micros(l.Rate)), weight, total)
-	burst := mulDiv(int64(nanos(l.Burst)), weight, total)
-	return microRate(rate), nano(burst)
+	rate := mulDiv(int64(toMicrotokenRate(l.Rate)), weight, total)
+	burst := mulDiv(int64(toNanotokens(l.Burst)), weight, total)
+	return microtokenRate(rate), nanotokens(burst)
 }
 
-// near reports whether a change from old to next is too small to be made.
-func near(next, old int64) bool {
+// withinHysteresis reports whether a change from old to next is too small to be made.
+func withinHysteresis(next, old int64) bool {
 	if next == 0 || old == 0 {
 		return next == old
 	}
 	return max(next-old, old-next) <= old/hysteresis
 }
 
-// holdTooMuch are the hosts whose slice is to shrink at their next Ask.
-func (m *Machine) holdTooMuch(now core.Instant, b *book) []core.HostID {
-	all := m.parties(now, b)
+// overAllocated returns the hosts whose share is to shrink.
+func (m *Machine) overAllocated(now core.Instant, led *ledger) []core.HostID {
+	all := m.candidates(now, led)
 	var out []core.HostID
-	for _, e := range b.entries {
-		rate, _ := part(b.limit, all, e.host)
-		if rate < e.rate && !near(int64(rate), int64(e.rate)) {
+	for _, e := range led.entries {
+		rate, _ := shareOf(led.limit, all, e.host)
+		if rate < e.rate && !withinHysteresis(int64(rate), int64(e.rate)) {
 			out = append(out, e.host)
 		}
 	}
 	return out
 }
 
-// poolStarved reports whether the owner's own part is much too small.
-func (m *Machine) poolStarved(now core.Instant, b *book) bool {
-	rate, _ := part(b.limit, m.parties(now, b), m.settings.Self)
-	return rate > b.pool.rate && !near(int64(b.pool.rate), int64(rate))
+// poolStarved reports whether the pool is much smaller than the owner's part.
+func (m *Machine) poolStarved(now core.Instant, led *ledger) bool {
+	rate, _ := shareOf(led.limit, m.candidates(now, led), m.settings.Self)
+	return rate > led.pool.rate && !withinHysteresis(int64(led.pool.rate), int64(rate))
 }
--- a/internal/core/limit/units.go
+++ b/internal/core/limit/units.go
@@ -8,29 +8,31 @@
 	"gentiancroft/internal/core"
 )
 
-// nano is an amount of 1e-9 tokens.
-type nano int64
+// nanotokens is an amount in 1e-9 tokens.
+type nanotokens int64
 
-// microRate is a rate of 1e-6 tokens a second.
-type microRate int64
+// microtokenRate is a rate in 1e-6 tokens per second.
+type microtokenRate int64
 
-// Units and the limits that keep integer arithmetic from overflowing.
+// Units, and the bound that keeps integer arithmetic from overflowing.
 const (
-	nanosPerToken  = 1_000_000_000
-	microsPerToken = 1_000_000
-	million        = 1_000_000
-	// MaxTokens is the greatest burst and rate that is kept; greater ones count as this.
-	MaxTokens = core.Tokens(4_000_000_000)
-	maxNano   = nano(MaxTokens) * nanosPerToken
+	nanotokensPerToken  = 1_000_000_000
+	microtokensPerToken = 1_000_000
+	million             = 1_000_000
+	// MaxTokens is the maximum burst and rate; greater ones are treated as this one.
+	MaxTokens     = core.Tokens(4_000_000_000)
+	maxNanotokens = nanotokens(MaxTokens) * nanotokensPerToken
 )
 
 func clampTokens(t core.Tokens) core.Tokens { return min(max(t, 0), MaxTokens) }
 
-func nanos(t core.Tokens) nano { return nano(clampTokens(t)) * nanosPerToken }
+func toNanotokens(t core.Tokens) nanotokens { return nanotokens(clampTokens(t)) * nanotokensPerToken }
 
-func micros(t core.Tokens) microRate { return microRate(clampTokens(t)) * microsPerToken }
+func toMicrotokenRate(t core.Tokens) microtokenRate {
+	return microtokenRate(clampTokens(t)) * microtokensPerToken
+}
 
-// mulDiv is a*b/c rounded down, saturating; a, b >= 0 and c > 0.
+// mulDiv returns a*b/c rounded down, saturating; a, b >= 0 and c > 0.
 func mulDiv(a, b, c int64) int64 {
 	hi, lo := bits.Mul64(uint64(a), uint64(b))
 	if hi >= uint64(c) {
@@ -40,16 +42,17 @@
 	return int64(min(q, math.MaxInt64))
 }
 
-// accrued is what a rate gives in a span, rounded down.
-func accrued(r microRate, d time.Duration) nano {
+// accrued returns what a rate yields in d, rounded down; 0 if either is not positive.
+func accrued(r microtokenRate, d time.Duration) nanotokens {
 	if r <= 0 || d <= 0 {
 		return 0
 	}
-	return min(nano(mulDiv(int64(r), int64(d), million)), maxNano)
+	return min(nanotokens(mulDiv(int64(r), int64(d), million)), maxNanotokens)
 }
 
-// timeFor is how long a rate takes to give an amount, rounded up.
-func timeFor(n nano, r microRate) time.Duration {
+// accrualTime returns how long a rate takes to yield n, rounded up; 0 if n is not
+// positive, the maximum duration if only the rate is not.
+func accrualTime(n nanotokens, r microtokenRate) time.Duration {
 	if n <= 0 {
 		return 0
 	}
@@ -60,13 +63,14 @@
 	return time.Duration(min(d, math.MaxInt64-1) + 1)
 }
 
-// slower is a rate with the drift bound taken off, so that a fast clock
-// doesn't accrue more than real time allows.
-func slower(r microRate, ppm int64) microRate {
-	return microRate(mulDiv(int64(r), million-ppm, million))
+// slowedByDrift returns a rate less the drift bound, so that a fast clock doesn't
+// accrue more than real time allows.
+func slowedByDrift(r microtokenRate, ppm int64) microtokenRate {
+	return microtokenRate(mulDiv(int64(r), million-ppm, million))
 }
 
-// longer is a span after which another host's clock has surely measured d.
-func longer(d time.Duration, ppm int64) time.Duration {
+// extendedByDrift returns a duration after which another host's clock has certainly
+// measured d.
+func extendedByDrift(d time.Duration, ppm int64) time.Duration {
 	return d + time.Duration(mulDiv(int64(d), 2*ppm, million)) + 1
 }
