--- a/internal/core/config/bench_test.go
+++ b/internal/core/config/bench_test.go
@@ -7,8 +7,8 @@
 	"gentiancroft/internal/core"
 )
 
-// large is a document of the size that the system is designed for.
-func large() *Document {
+// largeDocument returns a document of the size that the system is designed for.
+func largeDocument() *Document {
 	d := &Document{}
 	for i := range 4 {
 		d.BaseModels = append(d.BaseModels, BaseModel{ID: core.BaseModel(fmt.Sprintf("base-%d", i))})
@@ -43,7 +43,7 @@
 }
 
 func BenchmarkValidate(b *testing.B) {
-	d := large()
+	d := largeDocument()
 	b.ReportAllocs()
 	for b.Loop() {
 		if Validate(d) != nil {
@@ -53,7 +53,7 @@
 }
 
 func BenchmarkEncode(b *testing.B) {
-	d := large()
+	d := largeDocument()
 	b.ReportAllocs()
 	for b.Loop() {
 		_, _, _ = Encode(d)
@@ -61,16 +61,16 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	h, chunks, _ := Encode(large())
+	h, chunks, _ := Encode(largeDocument())
 	b.ReportAllocs()
 	for b.Loop() {
 		_, _ = Decode(h, func(x string) ([]byte, bool) { c, ok := chunks[x]; return c, ok })
 	}
 }
 
-// BenchmarkDecodeChange is what a host pays for one change.
+// BenchmarkDecodeChange measures a host's cost of one change.
 func BenchmarkDecodeChange(b *testing.B) {
-	d := large()
+	d := largeDocument()
 	h, chunks, _ := Encode(d)
 	get := func(x string) ([]byte, bool) { c, ok := chunks[x]; return c, ok }
 	var x Decoder
@@ -88,7 +88,7 @@
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	d := large()
+	d := largeDocument()
 	b.ReportAllocs()
 	for b.Loop() {
 		NewSnapshot(1, d)
@@ -96,7 +96,7 @@
 }
 
 func BenchmarkResolve(b *testing.B) {
-	s := NewSnapshot(1, large())
+	s := NewSnapshot(1, largeDocument())
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, _, r := s.Resolve("adapter-00777@2", "workspace-177"); r != nil {
@@ -106,7 +106,7 @@
 }
 
 func BenchmarkKey(b *testing.B) {
-	d := large()
+	d := largeDocument()
 	s := NewSnapshot(1, d)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -115,7 +115,7 @@
 }
 
 func BenchmarkPool(b *testing.B) {
-	s := NewSnapshot(1, large())
+	s := NewSnapshot(1, largeDocument())
 	b.ReportAllocs()
 	for b.Loop() {
 		s.Pool("pool-1")
--- a/internal/core/config/canonical.go
+++ b/internal/core/config/canonical.go
@@ -7,31 +7,31 @@
 	"gentiancroft/internal/core"
 )
 
-// Canonical returns a copy in canonical form: every list sorted by its
-// identity, an empty one nil. Two documents that mean the same are equal in
-// canonical form. Lists within an entry are shared where they are sorted.
+// Canonical returns a copy in canonical form: each list is sorted by identity, an
+// empty one is nil. Documents that mean the same are equal in canonical form. Lists
+// within an entry that are already sorted are shared with d.
 func Canonical(d *Document) *Document {
 	c := &Document{
-		BaseModels: byIdentity(d.BaseModels),
-		Workspaces: byIdentity(d.Workspaces),
-		Keys:       byIdentity(d.Keys),
-		Adapters:   byIdentity(d.Adapters),
-		Routes:     byIdentity(d.Routes),
-		Upstreams:  byIdentity(d.Upstreams),
+		BaseModels: sortedByIdentity(d.BaseModels),
+		Workspaces: sortedByIdentity(d.Workspaces),
+		Keys:       sortedByIdentity(d.Keys),
+		Adapters:   sortedByIdentity(d.Adapters),
+		Routes:     sortedByIdentity(d.Routes),
+		Upstreams:  sortedByIdentity(d.Upstreams),
 	}
 	for i := range c.Adapters {
 		a := &c.Adapters[i]
-		a.Versions = sorted(a.Versions)
-		a.Workspaces = sorted(a.Workspaces)
+		a.Versions = sortedList(a.Versions)
+		a.Workspaces = sortedList(a.Workspaces)
 	}
 	for i := range c.Routes {
-		c.Routes[i].Workspaces = sorted(c.Routes[i].Workspaces)
+		c.Routes[i].Workspaces = sortedList(c.Routes[i].Workspaces)
 	}
 	return c
 }
 
-// sorted returns the list itself where it is sorted already.
-func sorted[T cmp.Ordered](in []T) []T {
+// sortedList returns in itself if it is sorted, otherwise a sorted copy; nil if empty.
+func sortedList[T cmp.Ordered](in []T) []T {
 	if len(in) == 0 {
 		return nil
 	}
@@ -43,9 +43,9 @@
 	return out
 }
 
-// byIdentity returns a sorted copy. It sorts names and places, since entries
+// sortedByIdentity returns a sorted copy. It sorts names and indices, since entries
 // are large to move.
-func byIdentity[T Entry](in []T) []T {
+func sortedByIdentity[T Entry](in []T) []T {
 	if len(in) == 0 {
 		return nil
 	}
@@ -70,7 +70,8 @@
 	return out
 }
 
-// ParseClass reads the name of a priority class; none is normal.
+// ParseClass returns the priority class with a name; an empty name means normal.
+// False if there is no such class.
 func ParseClass(name string) (core.Class, bool) {
 	switch name {
 	case "interactive":
--- a/internal/core/config/chunks.go
+++ b/internal/core/config/chunks.go
@@ -9,26 +9,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// bucketEntries is how many entries a chunk holds on average. A change resends
-// its chunk and the head, and the head names every chunk: at 15,000 adapters
-// both are of the same order.
-const bucketEntries = 128
+// chunkEntries is the intended number of entries per chunk. A change resends its
+// chunk and the head, which names every chunk: at 15,000 adapters their sizes are
+// of the same order.
+const chunkEntries = 128
 
-// MaxChunkBytes bounds a chunk; the object API takes values up to 1 MB.
+// MaxChunkBytes is the maximum size of a chunk; the object API takes values up to
+// 1 MB.
 const MaxChunkBytes = 512 << 10
 
 // canonicalMode encodes equal values as equal bytes.
 var canonicalMode = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(Error.Wrap(err)) // fixed options
+		panic(Error.Wrap(err)) // can't happen: the options are fixed
 	}
 	return mode
 }()
 
-// Encode splits a document into content-addressed chunks. The result's Version,
-// By, At and Token are the caller's to fill in. Entries go to chunks by a hash
-// of their identity, so that a change of one entry changes one chunk.
+// Encode splits a document into content-addressed chunks, returned by hash. The
+// caller fills in the head's Version, By, At and Token. Entries are assigned to
+// chunks by a hash of their identity, so a change of one entry changes one chunk.
+// A chunk over MaxChunkBytes is an error.
 func Encode(d *Document) (Head, map[string][]byte, error) {
 	c := Canonical(d)
 	e := encoder{chunks: map[string][]byte{}}
@@ -50,11 +52,11 @@
 	err    error
 }
 
-// split adds the chunks of one list. Their number is a power of two, so that
-// growth seldom moves entries between chunks.
+// split adds the chunks of one list. Their number is a power of two, so that a
+// growing list seldom moves entries between chunks.
 func split[T Entry](e *encoder, list []T, set func(*Document, []T)) {
 	n := uint64(1)
-	if over := (len(list) - 1) / bucketEntries; over > 0 {
+	if over := (len(list) - 1) / chunkEntries; over > 0 {
 		n = 1 << bits.Len(uint(over))
 	}
 	buckets := make([][]T, n)
@@ -78,7 +80,7 @@
 		return
 	}
 	if len(b) > MaxChunkBytes {
-		e.err = Error.New("a chunk of %d bytes is over the bound of %d", len(b), MaxChunkBytes)
+		e.err = Error.New("a chunk has %d bytes, more than the maximum of %d", len(b), MaxChunkBytes)
 		return
 	}
 	h := HashChunk(b)
@@ -100,7 +102,7 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Missing returns the chunks of a head that have reports false for.
+// Missing returns the chunks of a head for which have returns false.
 func Missing(h Head, have func(hash string) bool) []string {
 	var out []string
 	for _, x := range h.Chunks {
@@ -111,18 +113,18 @@
 	return out
 }
 
-// Decode puts a document together from its chunks. Every hash is checked, so
-// that a document is either the accepted one or an error.
+// Decode assembles a document from its chunks. It checks every hash: the result is
+// either the accepted document or an error.
 func Decode(h Head, get func(hash string) ([]byte, bool)) (*Document, error) {
 	return new(Decoder).Decode(h, get)
 }
 
-// Decoder keeps the decoded chunks of its last document, so that the next one
-// costs only what changed.
+// Decoder keeps the decoded chunks of its last document, so that the next document
+// costs only the chunks that changed.
 type Decoder struct{ parts map[string]*Document }
 
-// Decode is Decode with the chunks of the last call at hand. The result shares
-// their entries and must not be changed.
+// Decode is like the function Decode, but reuses the chunks of the last call. The
+// result shares their entries and must not be changed.
 func (x *Decoder) Decode(h Head, get func(hash string) ([]byte, bool)) (*Document, error) {
 	if hashOfHashes(h.Chunks) != h.Hash {
 		return nil, Error.New("version %d: the head's hash does not match its chunks", h.Version)
@@ -137,20 +139,20 @@
 			}
 		}
 		parts[name] = part
-		d.join(part)
+		d.appendPart(part)
 	}
 	x.parts = parts
 	return Canonical(d), nil
 }
 
-// decodeChunk reads one chunk and checks that it is the one that was named.
+// decodeChunk decodes one chunk after checking that its content matches its name.
 func decodeChunk(version uint64, name string, get func(hash string) ([]byte, bool)) (*Document, error) {
 	b, ok := get(name)
 	if !ok {
 		return nil, Error.New("version %d: chunk %s is missing", version, shortHash(name))
 	}
 	if HashChunk(b) != name {
-		return nil, Error.New("version %d: chunk %s has other content than its name says", version, shortHash(name))
+		return nil, Error.New("version %d: the content of chunk %s does not match its hash", version, shortHash(name))
 	}
 	part := &Document{}
 	if err := cbor.Unmarshal(b, part); err != nil {
@@ -159,7 +161,7 @@
 	return part, nil
 }
 
-func (d *Document) join(part *Document) {
+func (d *Document) appendPart(part *Document) {
 	d.BaseModels = append(d.BaseModels, part.BaseModels...)
 	d.Workspaces = append(d.Workspaces, part.Workspaces...)
 	d.Keys = append(d.Keys, part.Keys...)
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -57,7 +57,7 @@
 	is.Equal(ref, core.AdapterRef{ID: "quotes", Version: 2})
 }
 
-func TestParseTellsEveryBadEntryWithItsLine(t *testing.T) {
+func TestParseReportsEveryBadEntryWithItsLine(t *testing.T) {
 	is := is.New(t)
 	text := strings.Replace(sample, "weight: 4", "wieght: 4", 1)
 	text = strings.Replace(text, "rate: 100,", "rate: many,", 1)
@@ -116,7 +116,7 @@
 		all = strings.Replace(all, breaks[i].old, breaks[i].new, 1)
 	}
 	if n := len(Validate(parse(t, all))); n != 5 {
-		t.Fatalf("%d problems of 5 at once", n)
+		t.Fatalf("got %d problems, want 5", n)
 	}
 }
 
@@ -150,11 +150,11 @@
 		})
 	}
 	if w := Warnings(parse(t, sample), parse(t, sample), inUse); w != nil {
-		t.Fatalf("no change, and warnings %v", w)
+		t.Fatalf("warnings without a change: %v", w)
 	}
 }
 
-func TestDecodeRefusesWhatWasNotAccepted(t *testing.T) {
+func TestDecodeRejectsAlteredChunks(t *testing.T) {
 	is := is.New(t)
 	h, chunks, err := Encode(parse(t, sample))
 	is.NoErr(err)
@@ -164,7 +164,7 @@
 	kept := chunks[h.Chunks[1]]
 	chunks[h.Chunks[1]] = append([]byte{}, chunks[h.Chunks[0]]...)
 	_, err = Decode(h, get)
-	is.True(Error.Has(err)) // other content under the name
+	is.True(Error.Has(err)) // content does not match the name
 	delete(chunks, h.Chunks[1])
 	_, err = Decode(h, get)
 	is.True(Error.Has(err)) // a chunk is missing
@@ -174,7 +174,7 @@
 	is.True(Error.Has(err)) // the head was shortened
 }
 
-// drawDocument gives valid documents of some size.
+// drawDocument draws a valid document.
 func drawDocument(t *rapid.T, label string) *Document {
 	d := &Document{BaseModels: []BaseModel{{ID: "base"}}}
 	ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 1, 5, rapid.ID[int]).Draw(t, label+"workspaces")
@@ -208,14 +208,14 @@
 		is.NoErr(err)
 		is.Equal(again, h) // the same document has the same chunks
 
-		is.Equal(Patch(a, Diff(a, b)), Canonical(b)) // a diff leads from one to the other
+		is.Equal(Patch(a, Diff(a, b)), Canonical(b)) // a diff converts one to the other
 		is.Equal(len(Diff(a, a)), 0)
 
 		text, err := Text(a)
 		is.NoErr(err)
 		read, err := Parse(text)
 		is.NoErr(err)
-		is.Equal(Canonical(read), Canonical(a)) // and so does its text
+		is.Equal(Canonical(read), Canonical(a)) // the text parses to the same document
 
 		s := NewSnapshot(1, back)
 		for _, x := range a.Adapters {
@@ -236,7 +236,7 @@
 		if err != nil {
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) || len(invalid.Problems) == 0 {
-				t.Fatalf("untyped error %v", err)
+				t.Fatalf("the error is no *InvalidError or has no problems: %v", err)
 			}
 			return
 		}
@@ -249,7 +249,7 @@
 		}
 		back, err := Decode(h, func(x string) ([]byte, bool) { c, ok := chunks[x]; return c, ok })
 		if err != nil || len(Diff(d, back)) > 0 {
-			t.Fatalf("a valid document does not come back: %v", err)
+			t.Fatalf("a valid document differs after encoding and decoding: %v", err)
 		}
 		NewSnapshot(1, back)
 	})
--- a/internal/core/config/diff.go
+++ b/internal/core/config/diff.go
@@ -18,7 +18,7 @@
 	SectionUpstreams  Section = "upstreams"
 )
 
-// ChangeKind tells what happened to an entry.
+// ChangeKind says what happened to an entry.
 type ChangeKind string
 
 // Kinds of change.
@@ -28,7 +28,7 @@
 	Changed ChangeKind = "changed"
 )
 
-// FieldChange is one value that differs.
+// FieldChange is one field whose value differs.
 type FieldChange struct {
 	Name string `json:"name" cbor:"1,keyasint"`
 	Old  string `json:"old,omitempty" cbor:"2,keyasint,omitempty"`
@@ -36,7 +36,7 @@
 }
 
 // Change is what happened to one entry. Before and After hold the entry itself;
-// one is nil where it was added or removed.
+// Before is nil if it was added, After if it was removed.
 type Change struct {
 	Section Section       `json:"section" cbor:"1,keyasint"`
 	ID      string        `json:"id" cbor:"2,keyasint"`
@@ -61,7 +61,7 @@
 	return strings.TrimSpace(mark + " " + string(c.Section) + "/" + c.ID + " " + strings.Join(parts, ", "))
 }
 
-// Diff tells what turns old into new, section by section, sorted by identity.
+// Diff returns the changes from old to new, section by section, sorted by identity.
 func Diff(old, new *Document) []Change {
 	a, b := Canonical(old), Canonical(new)
 	var out []Change
@@ -74,7 +74,7 @@
 	return out
 }
 
-// diffList merges two sorted lists.
+// diffList appends the changes between two sorted lists.
 func diffList[T Entry](out []Change, s Section, old, new []T) []Change {
 	i, j := 0, 0
 	for i < len(old) || j < len(new) {
@@ -110,8 +110,8 @@
 	return out
 }
 
-// Patch applies changes to a document. Entries that are not there to be
-// removed or changed are added as they are after the change.
+// Patch applies changes to a document. An entry that is to be changed but missing is
+// added as it is after the change; one that is to be removed but missing is ignored.
 func Patch(old *Document, changes []Change) *Document {
 	d := Canonical(old)
 	for _, c := range changes {
--- a/internal/core/config/entry.go
+++ b/internal/core/config/entry.go
@@ -7,7 +7,7 @@
 	"gentiancroft/internal/core"
 )
 
-// Field is one value of an entry in readable form.
+// Field is one field of an entry in readable form.
 type Field struct {
 	Name  string
 	Value string
@@ -15,9 +15,9 @@
 
 // Entry is one element of a document's lists.
 type Entry interface {
-	// Identity tells an entry from the others of its list.
+	// Identity is unique within the entry's list.
 	Identity() string
-	// Fields are the values beside the identity, in a fixed order.
+	// Fields returns all values except the identity, in a fixed order.
 	Fields() []Field
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// Fields implements Entry. The hash is shortened: it tells keys apart.
+// Fields implements Entry. The hash is shortened, but still distinguishes keys.
 func (k Key) Fields() []Field {
 	return []Field{
 		{"workspace", string(k.Workspace)},
@@ -99,9 +99,9 @@
 	}
 }
 
-const shownHash = 12 // hex digits
+const shortHashDigits = 12 // hex
 
-func shortHash(h string) string { return h[:min(len(h), shownHash)] }
+func shortHash(h string) string { return h[:min(len(h), shortHashDigits)] }
 
 func joinInts(in []int) string {
 	parts := make([]string, 0, len(in))
--- a/internal/core/config/errors.go
+++ b/internal/core/config/errors.go
@@ -7,8 +7,8 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of errors that are no fault of the document: a missing
-// chunk, a wrong hash, a value that can't be read.
+// Error is the class of errors that are not faults of a document's content: a missing
+// chunk, a wrong hash, a value that can't be decoded.
 var Error = errs.Class("config")
 
 // Reason is the stable name of what is wrong with a field.
@@ -16,14 +16,14 @@
 
 // Reasons.
 const (
-	ReasonSyntax    Reason = "syntax"    // not YAML, or not the type the field takes
+	ReasonSyntax    Reason = "syntax"    // not YAML, or not the field's type
 	ReasonUnknown   Reason = "unknown"   // no such field
 	ReasonMissing   Reason = "missing"   // the field must be set
-	ReasonForm      Reason = "form"      // the value's form is wrong
+	ReasonForm      Reason = "form"      // malformed value
 	ReasonRange     Reason = "range"     // the value is out of range
 	ReasonDuplicate Reason = "duplicate" // another entry has the same value
-	ReasonReference Reason = "reference" // names something that is not in the document
-	ReasonConflict  Reason = "conflict"  // does not go with another field
+	ReasonReference Reason = "reference" // names something that the document doesn't contain
+	ReasonConflict  Reason = "conflict"  // incompatible with another field
 )
 
 // Problem is one thing that is wrong with a document.
@@ -43,7 +43,7 @@
 	return s
 }
 
-// InvalidError carries everything that is wrong with a document.
+// InvalidError holds everything that is wrong with a document.
 type InvalidError struct{ Problems []Problem }
 
 // Error implements error.
--- a/internal/core/config/head.go
+++ b/internal/core/config/head.go
@@ -13,20 +13,21 @@
 	AuditPrefix = "config/audit/" // followed by the version, zero-padded
 )
 
-// Head is the one object whose conditional update accepts a configuration.
+// Head is the stored object that names the accepted configuration. A version is
+// accepted by a conditional update of it.
 type Head struct {
-	Version uint64    `cbor:"1,keyasint"` // rises by one with each acceptance
+	Version uint64    `cbor:"1,keyasint"` // increased by one with each accepted configuration
 	Hash    string    `cbor:"2,keyasint"` // hex SHA-256 over the chunk hashes
 	Chunks  []string  `cbor:"3,keyasint"` // hex SHA-256 of each chunk's content, in order
 	By      string    `cbor:"4,keyasint"` // the operator
 	At      time.Time `cbor:"5,keyasint"`
-	Token   string    `cbor:"6,keyasint"` // the writer's own, to tell its write after a lost answer
+	Token   string    `cbor:"6,keyasint"` // random, identifies the writer's own write if its result is unknown
 }
 
 // EncodeHead returns the stored form of a head.
 func EncodeHead(h Head) ([]byte, error) { return cbor.Marshal(h) }
 
-// DecodeHead reads the stored form of a head.
+// DecodeHead parses the stored form of a head.
 func DecodeHead(b []byte) (Head, error) {
 	var h Head
 	err := cbor.Unmarshal(b, &h)
--- a/internal/core/config/parse.go
+++ b/internal/core/config/parse.go
@@ -7,61 +7,62 @@
 	"github.com/goccy/go-yaml"
 )
 
-// maxDocumentBytes bounds a document's text.
 const maxDocumentBytes = 32 << 20
 
-// item is one entry of a list. It keeps its own error, so that a document's
-// bad entries are all told at once.
-type item[T any] struct {
+// listItem is one entry of a list. It keeps its own error, so that all bad entries of
+// a document are reported at once.
+type listItem[T any] struct {
 	value T
 	err   error
 }
 
 // UnmarshalYAML implements yaml.InterfaceUnmarshaler.
-func (i *item[T]) UnmarshalYAML(unmarshal func(any) error) error {
+func (i *listItem[T]) UnmarshalYAML(unmarshal func(any) error) error {
 	i.err = unmarshal(&i.value)
 	return nil
 }
 
-// text is a document as it is read.
-type text struct {
-	BaseModels []item[BaseModel] `yaml:"base_models"`
-	Workspaces []item[Workspace] `yaml:"workspaces"`
-	Keys       []item[Key]       `yaml:"keys"`
-	Adapters   []item[Adapter]   `yaml:"adapters"`
-	Routes     []item[Route]     `yaml:"routes"`
-	Upstreams  []item[Upstream]  `yaml:"upstreams"`
+// yamlDocument is a document as it is parsed.
+type yamlDocument struct {
+	BaseModels []listItem[BaseModel] `yaml:"base_models"`
+	Workspaces []listItem[Workspace] `yaml:"workspaces"`
+	Keys       []listItem[Key]       `yaml:"keys"`
+	Adapters   []listItem[Adapter]   `yaml:"adapters"`
+	Routes     []listItem[Route]     `yaml:"routes"`
+	Upstreams  []listItem[Upstream]  `yaml:"upstreams"`
 }
 
-// Parse reads a document's YAML strictly: an unknown field or a wrong type is a
-// problem with its line. The result is in canonical form but not validated.
-// The error is an *InvalidError.
+// Parse parses a document's YAML strictly: an unknown field or a wrong type is a
+// problem with its line. The result keeps the order of the text and is not
+// validated. The error is an *InvalidError.
 func Parse(b []byte) (*Document, error) {
 	if len(b) > maxDocumentBytes {
 		return nil, &InvalidError{[]Problem{{Path: "document", Reason: ReasonRange, Why: "longer than " + strconv.Itoa(maxDocumentBytes) + " bytes"}}}
 	}
-	var t text
+	var t yamlDocument
 	if err := yaml.UnmarshalWithOptions(b, &t, yaml.Strict()); err != nil {
-		return nil, &InvalidError{[]Problem{textProblem("document", err)}}
+		return nil, &InvalidError{[]Problem{yamlProblem("document", err)}}
 	}
 	d, problems := &Document{}, []Problem(nil)
-	d.BaseModels = take("base_models", t.BaseModels, &problems)
-	d.Workspaces = take("workspaces", t.Workspaces, &problems)
-	d.Keys = take("keys", t.Keys, &problems)
-	d.Adapters = take("adapters", t.Adapters, &problems)
-	d.Routes = take("routes", t.Routes, &problems)
-	d.Upstreams = take("upstreams", t.Upstreams, &problems)
+	d.BaseModels = collectValues("base_models", t.BaseModels, &problems)
+	d.Workspaces = collectValues("workspaces", t.Workspaces, &problems)
+	d.Keys = collectValues("keys", t.Keys, &problems)
+	d.Adapters = collectValues("adapters", t.Adapters, &problems)
+	d.Routes = collectValues("routes", t.Routes, &problems)
+	d.Upstreams = collectValues("upstreams", t.Upstreams, &problems)
 	if len(problems) > 0 {
 		return nil, &InvalidError{problems}
 	}
 	return d, nil
 }
 
-func take[T any](section string, items []item[T], problems *[]Problem) []T {
+// collectValues returns the entries without an error and appends a problem for each
+// other one.
+func collectValues[T any](section string, items []listItem[T], problems *[]Problem) []T {
 	var out []T
 	for i, x := range items {
 		if x.err != nil {
-			*problems = append(*problems, textProblem(section+"["+strconv.Itoa(i)+"]", x.err))
+			*problems = append(*problems, yamlProblem(section+"["+strconv.Itoa(i)+"]", x.err))
 			continue
 		}
 		out = append(out, x.value)
@@ -69,8 +70,8 @@
 	return out
 }
 
-// textProblem turns the YAML library's error into a problem.
-func textProblem(path string, err error) Problem {
+// yamlProblem converts an error of the YAML library.
+func yamlProblem(path string, err error) Problem {
 	p := Problem{Path: path, Reason: ReasonSyntax, Why: err.Error()}
 	var located yaml.Error
 	if errors.As(err, &located) {
--- a/internal/core/config/snapshot.go
+++ b/internal/core/config/snapshot.go
@@ -12,7 +12,7 @@
 )
 
 // Snapshot is an accepted document with the indexes that requests need. It is
-// immutable once made.
+// immutable.
 type Snapshot struct {
 	Version  uint64
 	Document *Document
@@ -25,7 +25,7 @@
 	pools      map[string][]*Upstream
 }
 
-// NewSnapshot indexes a valid document.
+// NewSnapshot indexes a valid document, which must not be changed afterwards.
 func NewSnapshot(version uint64, d *Document) *Snapshot {
 	s := &Snapshot{
 		Version:    version,
@@ -57,7 +57,8 @@
 	return s
 }
 
-// HashKey returns the form in which a caller's key is kept and compared.
+// HashKey returns the form in which a caller's key is stored and compared: its hex
+// HMAC-SHA-256 under secret.
 func HashKey(secret []byte, key string) string {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(key))
@@ -73,8 +74,8 @@
 // Upstream returns an upstream by its identity, or nil.
 func (s *Snapshot) Upstream(id core.UpstreamID) *Upstream { return s.upstreams[id] }
 
-// Key returns the key with a hash, or nil. The look-up is by a keyed hash, so
-// its timing tells nothing about the key; the final compare is constant-time.
+// Key returns the key with a hash, or nil. The lookup is by a keyed hash, so its
+// timing reveals nothing about the key; the final comparison is constant-time.
 func (s *Snapshot) Key(hash string) *Key {
 	k := s.keys[hash]
 	if k == nil || !hmac.Equal([]byte(k.Hash), []byte(hash)) {
@@ -90,8 +91,9 @@
 // Adapter returns an adapter by its identity, or nil.
 func (s *Snapshot) Adapter(id core.AdapterID) *Adapter { return s.adapters[id] }
 
-// Resolve turns a model name, "adapter" or "adapter@version", into an exact
-// version that a workspace may use.
+// Resolve returns the exact version that a model name means, "adapter" or
+// "adapter@version", and a refusal if the workspace may not use it or it doesn't
+// exist.
 func (s *Snapshot) Resolve(model string, ws core.WorkspaceID) (core.AdapterRef, *Adapter, *core.Refusal) {
 	name, version, versioned := strings.Cut(model, "@")
 	a := s.adapters[core.AdapterID(name)]
@@ -111,8 +113,8 @@
 	return core.AdapterRef{ID: a.ID, Version: v}, a, nil
 }
 
-// unknownAdapter is the same for an adapter that does not exist and for one of
-// another workspace, so that neither can be told from the other.
+// unknownAdapter returns the same refusal for an adapter that does not exist and for
+// one of another workspace, so that a caller can't distinguish them.
 func unknownAdapter(model string) *core.Refusal {
 	return core.Refuse(core.CodeUnknownAdapter, 0, "no adapter "+strconv.Quote(model)+" for this workspace")
 }
--- a/internal/core/config/validate.go
+++ b/internal/core/config/validate.go
@@ -22,7 +22,7 @@
 // reservedPaths can't be routes: hosts answer them themselves.
 var reservedPaths = []string{"/healthz", "/metrics", "/v1/entries", "/console"}
 
-// validator collects what is wrong.
+// validator collects a document's problems.
 type validator struct {
 	doc        *Document
 	problems   []Problem
@@ -31,7 +31,8 @@
 	pools      map[string]UpstreamKind
 }
 
-// Validate returns everything that is wrong with a document, in its order.
+// Validate returns everything that is wrong with a document, section by section; nil
+// if it is valid.
 func Validate(d *Document) []Problem {
 	v := &validator{
 		doc:        d,
@@ -45,16 +46,16 @@
 	for _, w := range d.Workspaces {
 		v.workspaces[w.ID] = true
 	}
-	v.baseModels()
-	v.workspaceLimits()
-	v.keys()
-	v.adapters()
-	v.upstreams()
-	v.routes()
+	v.checkBaseModels()
+	v.checkWorkspaceLimits()
+	v.checkKeys()
+	v.checkAdapters()
+	v.checkUpstreams()
+	v.checkRoutes()
 	return v.problems
 }
 
-// Check is Validate as an error: nil or an *InvalidError.
+// Check is Validate with the result as an error: nil or an *InvalidError.
 func Check(d *Document) error {
 	if problems := Validate(d); len(problems) > 0 {
 		return &InvalidError{problems}
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// at names a field of an entry.
-func at(s Section, i int, field string) string {
+// fieldPath returns the path of an entry's field, such as adapters[3].base.
+func fieldPath(s Section, i int, field string) string {
 	return string(s) + "[" + strconv.Itoa(i) + "]." + field
 }
 
@@ -71,20 +72,20 @@
 	v.problems = append(v.problems, Problem{Path: path, Reason: r, Why: why})
 }
 
-// name checks an identity and that it is the only one.
-func (v *validator) name(path, name string, seen map[string]bool) {
+// checkName checks an identity's form and that it is unique.
+func (v *validator) checkName(path, name string, seen map[string]bool) {
 	switch {
 	case name == "":
 		v.fail(path, ReasonMissing, "must be set")
-	case !goodName(name):
+	case !validName(name):
 		v.fail(path, ReasonForm, strconv.Quote(name)+" must be 1 to 128 letters, digits, '.', '_', ':' or '-'")
 	case seen[name]:
-		v.fail(path, ReasonDuplicate, strconv.Quote(name)+" stands twice")
+		v.fail(path, ReasonDuplicate, strconv.Quote(name)+" is listed twice")
 	}
 	seen[name] = true
 }
 
-func goodName(s string) bool {
+func validName(s string) bool {
 	if s == "" || len(s) > maxNameBytes {
 		return false
 	}
@@ -97,53 +98,52 @@
 	return true
 }
 
-// within checks a number's range.
-func (v *validator) within(path string, n, low, high int64) {
+func (v *validator) checkRange(path string, n, low, high int64) {
 	if n < low || n > high {
 		v.fail(path, ReasonRange, strconv.FormatInt(n, 10)+" is not in "+strconv.FormatInt(low, 10)+" to "+strconv.FormatInt(high, 10))
 	}
 }
 
-// members checks a list of workspaces.
-func (v *validator) members(path string, list []core.WorkspaceID) {
+// checkWorkspaces checks a list of workspaces for unknown ones and duplicates.
+func (v *validator) checkWorkspaces(path string, list []core.WorkspaceID) {
 	for i, w := range list {
 		p := path + "[" + strconv.Itoa(i) + "]"
 		if !v.workspaces[w] {
 			v.fail(p, ReasonReference, "no workspace "+strconv.Quote(string(w)))
 		}
 		if slices.Index(list, w) < i {
-			v.fail(p, ReasonDuplicate, strconv.Quote(string(w))+" stands twice")
+			v.fail(p, ReasonDuplicate, strconv.Quote(string(w))+" is listed twice")
 		}
 	}
 }
 
-func (v *validator) baseModels() {
+func (v *validator) checkBaseModels() {
 	seen := map[string]bool{}
 	for i, b := range v.doc.BaseModels {
-		v.name(at(SectionBaseModels, i, "id"), string(b.ID), seen)
+		v.checkName(fieldPath(SectionBaseModels, i, "id"), string(b.ID), seen)
 	}
 }
 
-func (v *validator) workspaceLimits() {
+func (v *validator) checkWorkspaceLimits() {
 	seen := map[string]bool{}
 	for i, w := range v.doc.Workspaces {
-		v.name(at(SectionWorkspaces, i, "id"), string(w.ID), seen)
-		v.within(at(SectionWorkspaces, i, "rate"), w.Rate, 0, maxTokens)
-		v.within(at(SectionWorkspaces, i, "burst"), w.Burst, 0, maxTokens)
-		v.within(at(SectionWorkspaces, i, "weight"), int64(w.Weight), 1, maxWeight)
+		v.checkName(fieldPath(SectionWorkspaces, i, "id"), string(w.ID), seen)
+		v.checkRange(fieldPath(SectionWorkspaces, i, "rate"), w.Rate, 0, maxTokens)
+		v.checkRange(fieldPath(SectionWorkspaces, i, "burst"), w.Burst, 0, maxTokens)
+		v.checkRange(fieldPath(SectionWorkspaces, i, "weight"), int64(w.Weight), 1, maxWeight)
 	}
 }
 
-func (v *validator) keys() {
+func (v *validator) checkKeys() {
 	seen, hashes := map[string]bool{}, map[string]bool{}
 	for i, k := range v.doc.Keys {
-		v.name(at(SectionKeys, i, "id"), k.ID, seen)
+		v.checkName(fieldPath(SectionKeys, i, "id"), k.ID, seen)
 		if !v.workspaces[k.Workspace] {
-			v.fail(at(SectionKeys, i, "workspace"), ReasonReference, "no workspace "+strconv.Quote(string(k.Workspace)))
+			v.fail(fieldPath(SectionKeys, i, "workspace"), ReasonReference, "no workspace "+strconv.Quote(string(k.Workspace)))
 		}
-		path := at(SectionKeys, i, "hash")
+		path := fieldPath(SectionKeys, i, "hash")
 		switch {
-		case !goodHash(k.Hash):
+		case !validHash(k.Hash):
 			v.fail(path, ReasonForm, "must be 64 lower-case hex digits")
 		case hashes[k.Hash]:
 			v.fail(path, ReasonDuplicate, "another key has this hash")
@@ -152,24 +152,24 @@
 	}
 }
 
-func goodHash(s string) bool {
+func validHash(s string) bool {
 	return len(s) == hashHexDigits && strings.Trim(s, "0123456789abcdef") == ""
 }
 
-func (v *validator) adapters() {
+func (v *validator) checkAdapters() {
 	seen := map[string]bool{}
 	for i, a := range v.doc.Adapters {
-		v.name(at(SectionAdapters, i, "id"), string(a.ID), seen)
+		v.checkName(fieldPath(SectionAdapters, i, "id"), string(a.ID), seen)
 		if !v.models[a.Base] {
-			v.fail(at(SectionAdapters, i, "base"), ReasonReference, "no base model "+strconv.Quote(string(a.Base)))
+			v.fail(fieldPath(SectionAdapters, i, "base"), ReasonReference, "no base model "+strconv.Quote(string(a.Base)))
 		}
-		v.versions(i, a)
-		v.members(at(SectionAdapters, i, "workspaces"), a.Workspaces)
+		v.checkVersions(i, a)
+		v.checkWorkspaces(fieldPath(SectionAdapters, i, "workspaces"), a.Workspaces)
 	}
 }
 
-func (v *validator) versions(i int, a Adapter) {
-	path := at(SectionAdapters, i, "versions")
+func (v *validator) checkVersions(i int, a Adapter) {
+	path := fieldPath(SectionAdapters, i, "versions")
 	if len(a.Versions) == 0 {
 		v.fail(path, ReasonMissing, "an adapter needs a version")
 		return
@@ -179,12 +179,12 @@
 		return
 	}
 	for j, n := range a.Versions {
-		v.within(path+"["+strconv.Itoa(j)+"]", int64(n), 1, 1<<31-1)
+		v.checkRange(path+"["+strconv.Itoa(j)+"]", int64(n), 1, 1<<31-1)
 		if slices.Index(a.Versions, n) < j {
-			v.fail(path+"["+strconv.Itoa(j)+"]", ReasonDuplicate, strconv.Itoa(n)+" stands twice")
+			v.fail(path+"["+strconv.Itoa(j)+"]", ReasonDuplicate, strconv.Itoa(n)+" is listed twice")
 		}
 	}
 	if !slices.Contains(a.Versions, a.Default) {
-		v.fail(at(SectionAdapters, i, "default"), ReasonReference, strconv.Itoa(a.Default)+" is not one of the versions")
+		v.fail(fieldPath(SectionAdapters, i, "default"), ReasonReference, strconv.Itoa(a.Default)+" is not one of the versions")
 	}
 }
--- a/internal/core/config/warnings.go
+++ b/internal/core/config/warnings.go
@@ -7,7 +7,7 @@
 	"gentiancroft/internal/core"
 )
 
-// Warning is something that a valid change would break while running.
+// Warning is a disruption that a valid change would cause.
 type Warning struct {
 	Path string `json:"path"` // the entry, such as adapters/quotes
 	Why  string `json:"why"`
@@ -16,30 +16,30 @@
 // String implements fmt.Stringer.
 func (w Warning) String() string { return w.Path + ": " + w.Why }
 
-// warner collects warnings.
-type warner struct {
+// warningCollector collects the warnings about a change.
+type warningCollector struct {
 	old, new *Snapshot
-	out      []Warning
+	warnings []Warning
 }
 
-// Warnings tells what a change from old to new would break. inUse lists the
-// adapter versions that requests have named of late; nil where that is unknown.
+// Warnings returns what a change from old to new would disrupt. inUse lists the
+// adapter versions that recent requests have named; nil if that is unknown.
 func Warnings(old, new *Document, inUse []core.AdapterRef) []Warning {
-	w := &warner{old: NewSnapshot(0, Canonical(old)), new: NewSnapshot(0, Canonical(new))}
-	w.limits()
-	w.workspaces()
-	w.adapters(inUse)
-	w.routes()
-	w.upstreams()
-	return w.out
+	w := &warningCollector{old: NewSnapshot(0, Canonical(old)), new: NewSnapshot(0, Canonical(new))}
+	w.warnLimits()
+	w.warnWorkspaces()
+	w.warnAdapters(inUse)
+	w.warnRoutes()
+	w.warnUpstreams()
+	return w.warnings
 }
 
-func (w *warner) warn(s Section, id, why string) {
-	w.out = append(w.out, Warning{Path: string(s) + "/" + id, Why: why})
+func (w *warningCollector) warn(s Section, id, why string) {
+	w.warnings = append(w.warnings, Warning{Path: string(s) + "/" + id, Why: why})
 }
 
-// limits warns about zero limits and bursts that a route's cost never fits.
-func (w *warner) limits() {
+// warnLimits warns about zero limits and about bursts below a route's cost.
+func (w *warningCollector) warnLimits() {
 	for _, x := range w.new.Document.Workspaces {
 		was := w.old.Workspace(x.ID)
 		if x.Rate == 0 && (was == nil || was.Rate != 0) {
@@ -49,24 +49,24 @@
 			w.warn(SectionWorkspaces, string(x.ID), "a burst of zero refuses every request")
 		}
 		for _, r := range w.new.Document.Routes {
-			if x.Burst > 0 && r.Cost > x.Burst && charges(r, x.ID) {
+			if x.Burst > 0 && r.Cost > x.Burst && mayCharge(r, x.ID) {
 				w.warn(SectionWorkspaces, string(x.ID), "a burst of "+strconv.FormatInt(x.Burst, 10)+" never fits the cost of "+r.Path+", "+strconv.FormatInt(r.Cost, 10))
 			}
 		}
 	}
 }
 
-// charges tells whether a request on a route may spend a workspace's limit.
-func charges(r Route, id core.WorkspaceID) bool {
+// mayCharge reports whether a request on a route may spend a workspace's limit.
+func mayCharge(r Route, id core.WorkspaceID) bool {
 	if r.Open {
 		return r.Charged == id
 	}
 	return len(r.Workspaces) == 0 || slices.Contains(r.Workspaces, id)
 }
 
-// workspaces warns about those that lose all their keys.
-func (w *warner) workspaces() {
-	before, after := liveKeys(w.old.Document), liveKeys(w.new.Document)
+// warnWorkspaces warns about removed workspaces and those that lose all their keys.
+func (w *warningCollector) warnWorkspaces() {
+	before, after := activeKeys(w.old.Document), activeKeys(w.new.Document)
 	for _, x := range w.old.Document.Workspaces {
 		if w.new.Workspace(x.ID) == nil {
 			w.warn(SectionWorkspaces, string(x.ID), "is removed; its requests are refused from then on")
@@ -78,7 +78,7 @@
 	}
 }
 
-func liveKeys(d *Document) map[core.WorkspaceID]int {
+func activeKeys(d *Document) map[core.WorkspaceID]int {
 	n := map[core.WorkspaceID]int{}
 	for _, k := range d.Keys {
 		if !k.Withdrawn {
@@ -88,8 +88,8 @@
 	return n
 }
 
-// adapters warns about versions that go while they are asked for.
-func (w *warner) adapters(inUse []core.AdapterRef) {
+// warnAdapters warns about removed adapters and versions, and changed base models.
+func (w *warningCollector) warnAdapters(inUse []core.AdapterRef) {
 	used := map[core.AdapterRef]bool{}
 	for _, ref := range inUse {
 		used[ref] = true
@@ -121,10 +121,11 @@
 	}
 }
 
-// routes warns about routes that lose a protection or their upstreams.
-func (w *warner) routes() {
+// warnRoutes warns about routes that are removed, lose a protection or have no
+// upstream.
+func (w *warningCollector) warnRoutes() {
 	for _, r := range w.new.Document.Routes {
-		if w.serving(w.new, r.Pool) == 0 {
+		if w.activeUpstreams(w.new, r.Pool) == 0 {
 			w.warn(SectionRoutes, r.Path, "pool "+r.Pool+" has no upstream that takes new work")
 		}
 		was := w.old.Route(r.Path)
@@ -135,7 +136,7 @@
 			w.warn(SectionRoutes, r.Path, "becomes idempotent: its requests may run more than once")
 		}
 		if r.Open && !was.Open {
-			w.warn(SectionRoutes, r.Path, "opens to all, without a key")
+			w.warn(SectionRoutes, r.Path, "opens to all callers, without a key")
 		}
 	}
 	for _, r := range w.old.Document.Routes {
@@ -145,8 +146,8 @@
 	}
 }
 
-// serving counts a pool's upstreams that are not leaving.
-func (w *warner) serving(s *Snapshot, pool string) int {
+// activeUpstreams counts a pool's upstreams that are not leaving.
+func (w *warningCollector) activeUpstreams(s *Snapshot, pool string) int {
 	n := 0
 	for _, u := range s.Pool(pool) {
 		if !u.Leaving {
@@ -156,14 +157,15 @@
 	return n
 }
 
-// upstreams warns about claims of fencing and about models left without engines.
-func (w *warner) upstreams() {
+// warnUpstreams warns about upstreams newly declared to check fencing numbers, and
+// about base models without an engine for their adapters.
+func (w *warningCollector) warnUpstreams() {
 	engines := map[core.BaseModel]bool{}
 	for _, u := range w.new.Document.Upstreams {
 		engines[u.Base] = engines[u.Base] || !u.Leaving
 		was := w.old.Upstream(u.ID)
 		if was != nil && u.Fencing && !was.Fencing {
-			w.warn(SectionUpstreams, string(u.ID), "is now said to check fencing numbers; if it does not, a late order may evict an adapter in use")
+			w.warn(SectionUpstreams, string(u.ID), "is now declared to check fencing numbers; if it does not, a late order may evict an adapter in use")
 		}
 	}
 	adapters := map[core.BaseModel]int{}
