--- a/internal/core/direct/heartbeats.go
+++ b/internal/core/direct/heartbeats.go
@@ -205,7 +205,7 @@
 // sendResidency sends the residency that has changed on the replicas that this host
 // owns: at once to the hosts that wait for it, and batched to all active hosts.
 func (m *Machine) sendResidency() {
-	changed := m.residency.Changed(m.orderFence, false)
+	changed := m.residency.ChangedResidencies(m.orderFence, false)
 	for _, k := range changed {
 		m.replicas.TakeResidency(m.now, k)
 		m.unsent[k.Replica] = k
@@ -234,7 +234,7 @@
 func (m *Machine) sendUnsent() {
 	if m.now >= m.due.residency {
 		m.due.residency = m.now.Add(residencyInterval)
-		for _, k := range m.residency.Changed(m.orderFence, true) {
+		for _, k := range m.residency.ChangedResidencies(m.orderFence, true) {
 			m.replicas.TakeResidency(m.now, k)
 			m.unsent[k.Replica] = k
 		}
--- a/internal/core/direct/lists.go
+++ b/internal/core/direct/lists.go
@@ -47,7 +47,7 @@
 	moved := before != nil && before.Address != e.Address
 	wasLeaving := before != nil && before.Leaving
 	fresh := m.replicas.Put(m.now, e)
-	m.residency.Put(e)
+	m.residency.UpdateReplica(e)
 	if fresh {
 		m.emit(Note{Name: "replica", Reason: "started", Upstream: e.ID, Detail: string(e.Service)})
 	}
@@ -64,7 +64,7 @@
 	if m.replicas.Get(id) != nil {
 		return false
 	}
-	m.residency.Remove(id)
+	m.residency.RemoveReplica(id)
 	delete(m.failures, id)
 	delete(m.waiters, id)
 	delete(m.unsent, id)
@@ -84,6 +84,6 @@
 		at = at.Add(-m.settings.VersionGrace)
 	}
 	m.versions[e.Adapter.ID] = announcedVersion{version: e.Adapter.Version, announcedAt: at}
-	m.residency.Newest(e.Model, e.Adapter)
+	m.residency.SetNewestVersion(e.Model, e.Adapter)
 	return true
 }
--- a/internal/core/direct/machine.go
+++ b/internal/core/direct/machine.go
@@ -147,7 +147,7 @@
 	case OrderDone:
 		m.handleOrderDone(e)
 	case Reported:
-		m.residency.Reported(m.now, e.Report)
+		m.residency.ApplyReport(m.now, e.Report)
 		m.sendOrders()
 	case FromPeer:
 		m.handlePeerMessage(e)
@@ -258,14 +258,14 @@
 
 // handleOrderDone applies the result of an order.
 func (m *Machine) handleOrderDone(e OrderDone) {
-	if o, ok := m.residency.Open(e.ID); ok {
+	if o, ok := m.residency.OpenOrder(e.ID); ok {
 		what := "unload "
 		if o.Load {
 			what = "load "
 		}
-		m.emit(Note{Name: "order", Reason: e.Outcome.String(), Upstream: o.Replica, Detail: what + o.Adapter.String() + " after " + utoa(o.Expected)})
+		m.emit(Note{Name: "order", Reason: e.Outcome.String(), Upstream: o.Replica, Detail: what + o.Adapter.String() + " after " + utoa(o.ExpectedSequence)})
 	}
-	m.residency.Done(m.now, e.OrderDone)
+	m.residency.ApplyOrderResult(m.now, e.OrderDone)
 	m.sendOrders()
 }
 
--- a/internal/core/direct/peers.go
+++ b/internal/core/direct/peers.go
@@ -74,7 +74,7 @@
 	byShard := map[int][]residency.Use{}
 	for _, u := range m.uses() {
 		if _, ok := m.orderFence(u.Replica); ok {
-			m.residency.Used(m.now, core.HostID(m.settings.Self.Name), u)
+			m.residency.ApplyUse(m.now, core.HostID(m.settings.Self.Name), u)
 			continue
 		}
 		shard := m.shards.Of(u.Replica)
@@ -126,7 +126,7 @@
 // meets: standby hosts receive residency only on demand.
 func (m *Machine) answerDemand(d residency.Demand, to core.HostID) {
 	p, known := m.fleet.Of(to)
-	loaded, ok := m.residency.Meets(d)
+	loaded, ok := m.residency.ResidencyFor(d)
 	if known && ok {
 		m.send([]fleet.Registration{p}, Message{Residencies: []replicas.Residency{loaded}})
 	}
@@ -140,19 +140,19 @@
 	m.applyListChanges(e.Message)
 	m.applyDocuments(e)
 	for _, d := range e.Message.Demands {
-		m.residency.Demanded(m.now, d)
+		m.residency.AddDemand(m.now, d)
 		m.waiters.add(d.Replica, e.From)
 		m.answerDemand(d, e.From)
 	}
 	for _, u := range e.Message.Uses {
-		m.residency.Used(m.now, e.From, u)
+		m.residency.ApplyUse(m.now, e.From, u)
 	}
 	for _, s := range e.Message.Residencies {
 		if _, ok := m.orderFence(s.Replica); ok {
 			continue // this host is the owner, and its own state is newer
 		}
 		m.replicas.TakeResidency(m.now, s)
-		m.residency.Yield(s.Replica)
+		m.residency.ReleaseReplica(s.Replica)
 	}
 	if len(e.Message.Demands) > 0 {
 		m.sendOrders()
--- a/internal/core/direct/place.go
+++ b/internal/core/direct/place.go
@@ -220,7 +220,7 @@
 		Left:    r.arrivedAt.Add(r.route.Objective).Sub(m.now) - dispatchToFirstEvent,
 	}
 	if _, ok := m.orderFence(x.ID); ok {
-		m.residency.Demanded(m.now, d)
+		m.residency.AddDemand(m.now, d)
 		m.sendOrders()
 		return true
 	}
--- a/internal/core/residency/demand.go
+++ b/internal/core/residency/demand.go
@@ -15,9 +15,9 @@
 	deadline      core.Instant // until the adapter must be loaded for a request to be on time
 }
 
-// Demanded adds or repeats a demand of this host or another one. Demands for unknown
+// AddDemand adds or repeats a demand of this host or another one. Demands for unknown
 // replicas are ignored.
-func (m *Machine) Demanded(now core.Instant, d Demand) {
+func (m *Machine) AddDemand(now core.Instant, d Demand) {
 	r := m.byID[d.Replica]
 	if r == nil {
 		return
@@ -32,8 +32,8 @@
 	r.demands[d.Adapter.ID] = &demand{merged: d, lastReceived: now, firstReceived: now, deadline: now.Add(d.Left)}
 }
 
-// Used records a host's use of an adapter. Uses of unknown replicas are ignored.
-func (m *Machine) Used(now core.Instant, from core.HostID, u Use) {
+// ApplyUse records a host's use of an adapter. Uses of unknown replicas are ignored.
+func (m *Machine) ApplyUse(now core.Instant, from core.HostID, u Use) {
 	r := m.byID[u.Replica]
 	if r == nil {
 		return
@@ -54,9 +54,9 @@
 	r.uses[u.Adapter][from] = use{running: u.Running, at: now}
 }
 
-// Newest sets an adapter's newest version. A replica with an older one loads the new
+// SetNewestVersion sets an adapter's newest version. A replica with an older one loads the new
 // one when the old one is idle, if requests have named the adapter lately.
-func (m *Machine) Newest(model core.BaseModel, a core.AdapterRef) {
+func (m *Machine) SetNewestVersion(model core.BaseModel, a core.AdapterRef) {
 	m.newest[a.ID] = newestVersion{model: model, version: a.Version}
 }
 
--- a/internal/core/residency/machine.go
+++ b/internal/core/residency/machine.go
@@ -39,14 +39,14 @@
 
 // New returns a machine without replicas. Settings of 0 or less take their defaults.
 func New(s Settings) *Machine {
-	if s.InTransit <= 0 {
-		s.InTransit = DefaultInTransit
+	if s.MaxLoads <= 0 {
+		s.MaxLoads = DefaultMaxLoads
 	}
-	if s.Fetches <= 0 {
-		s.Fetches = DefaultFetches
+	if s.FetchesPerReplica <= 0 {
+		s.FetchesPerReplica = DefaultFetchesPerReplica
 	}
-	if s.DemandFor <= 0 {
-		s.DemandFor = DefaultDemandFor
+	if s.DemandTTL <= 0 {
+		s.DemandTTL = DefaultDemandTTL
 	}
 	return &Machine{
 		settings: s,
@@ -67,9 +67,9 @@
 	}
 }
 
-// Put adds or updates a replica. A new start resets its state. Replicas of plain
+// UpdateReplica adds or updates a replica. A new start resets its state. Replicas of plain
 // services get no orders.
-func (m *Machine) Put(e replicas.Entry) {
+func (m *Machine) UpdateReplica(e replicas.Entry) {
 	r := m.byID[e.ID]
 	if r == nil || r.started != e.Started {
 		if r != nil {
@@ -91,8 +91,8 @@
 	r.address, r.service = e.Address, e.Service
 }
 
-// Remove removes a replica.
-func (m *Machine) Remove(id core.UpstreamID) {
+// RemoveReplica removes a replica.
+func (m *Machine) RemoveReplica(id core.UpstreamID) {
 	if r := m.byID[id]; r != nil {
 		m.drop(r)
 	}
@@ -107,8 +107,8 @@
 	m.sorted = nil
 }
 
-// Yield discards the state and demands of a replica that another host owns now.
-func (m *Machine) Yield(id core.UpstreamID) {
+// ReleaseReplica discards the state and demands of a replica that another host owns now.
+func (m *Machine) ReleaseReplica(id core.UpstreamID) {
 	if r := m.byID[id]; r != nil {
 		r.synced = false
 		r.probeAt = 0
@@ -129,7 +129,7 @@
 }
 
 // Tick returns the orders and probes that are due at the replicas that act allows.
-func (m *Machine) Tick(now core.Instant, act Actor) Output {
+func (m *Machine) Tick(now core.Instant, act FenceFunc) Output {
 	var out Output
 	m.updateFetchLimit(act)
 	var fetches []fetchCandidate
@@ -159,9 +159,9 @@
 	return m.sorted
 }
 
-// Changed returns the residency of the replicas that act allows: of all of them, or
+// ChangedResidencies returns the residency of the replicas that act allows: of all of them, or
 // of those whose residency has changed since the last call.
-func (m *Machine) Changed(act Actor, all bool) []replicas.Residency {
+func (m *Machine) ChangedResidencies(act FenceFunc, all bool) []replicas.Residency {
 	var changed []replicas.Residency
 	for _, r := range m.all() {
 		if _, ok := act(r.id); !ok || !r.synced || !r.changed && !all {
@@ -173,9 +173,9 @@
 	return changed
 }
 
-// Meets returns the residency of a demand's replica, and false if the adapter isn't
+// ResidencyFor returns the residency of a demand's replica, and false if the adapter isn't
 // loaded there.
-func (m *Machine) Meets(d Demand) (found replicas.Residency, ok bool) {
+func (m *Machine) ResidencyFor(d Demand) (found replicas.Residency, ok bool) {
 	r := m.byID[d.Replica]
 	if r == nil || !r.synced || !r.hasAdapter(d.Adapter) {
 		return replicas.Residency{}, false
--- a/internal/core/residency/machine_test.go
+++ b/internal/core/residency/machine_test.go
@@ -38,7 +38,7 @@
 }
 
 func (e *engine) order(now core.Instant, o Order) Outcome {
-	if o.Expected != e.sequence {
+	if o.ExpectedSequence != e.sequence {
 		return Conflict
 	}
 	until, there := e.loadEnd[o.Adapter.ID]
@@ -47,11 +47,11 @@
 			delete(e.loadEnd, o.Adapter.ID)
 			e.sequence++
 		}
-		return Holds
+		return AlreadyDone
 	}
 	switch {
 	case there && now >= until:
-		return Holds
+		return AlreadyDone
 	case there:
 		return Accepted
 	case len(e.loadEnd) >= e.slots:
@@ -85,7 +85,7 @@
 func newMachine(slots int) *Machine {
 	m := New(Settings{Self: "a"})
 	m.Configure(map[table.ServiceID]*table.Service{"s": {ID: "s", Engine: &table.Engine{AdapterSlots: slots, Models: []table.Model{{Name: base}}}}})
-	m.Put(replicas.Entry{ID: "r", Service: "s", Started: 1, Sequence: 77})
+	m.UpdateReplica(replicas.Entry{ID: "r", Service: "s", Started: 1, Sequence: 77})
 	return m
 }
 
@@ -98,17 +98,17 @@
 	for now := at(from); now <= at(to); now = now.Add(5 * time.Millisecond) {
 		out := m.Tick(now, act)
 		for range out.Probes {
-			m.Reported(now, e.report(now))
+			m.ApplyReport(now, e.report(now))
 		}
 		for _, o := range out.Orders {
-			m.Done(now, OrderDone{ID: o.ID, Outcome: e.order(now, o)})
+			m.ApplyOrderResult(now, OrderDone{ID: o.ID, Outcome: e.order(now, o)})
 		}
 	}
 }
 
 func loaded(m *Machine) []core.AdapterID {
 	var ids []core.AdapterID
-	for _, s := range m.Changed(act, true) {
+	for _, s := range m.ChangedResidencies(act, true) {
 		for _, a := range s.Models[0].Adapters {
 			ids = append(ids, a.ID)
 		}
@@ -124,7 +124,7 @@
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
 	run(m, e, 0, 0)
-	m.Demanded(at(5*time.Millisecond), demandFor("x"))
+	m.AddDemand(at(5*time.Millisecond), demandFor("x"))
 	run(m, e, 5*time.Millisecond, fetch+15*time.Millisecond)
 	is.Equal(loaded(m), []core.AdapterID{"x"})
 }
@@ -133,11 +133,11 @@
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
 	run(m, e, 0, 0)
-	m.Demanded(0, demandFor("x"))
-	m.Demanded(0, demandFor("y"))
+	m.AddDemand(0, demandFor("x"))
+	m.AddDemand(0, demandFor("y"))
 	run(m, e, 0, time.Second)
-	m.Used(at(time.Second), "h", Use{Replica: "r", Adapter: "x", Running: 1}) // x is kept although y was loaded later
-	m.Demanded(at(time.Second), demandFor("z"))
+	m.ApplyUse(at(time.Second), "h", Use{Replica: "r", Adapter: "x", Running: 1}) // x is kept although y was loaded later
+	m.AddDemand(at(time.Second), demandFor("z"))
 	run(m, e, time.Second, 1500*time.Millisecond)
 	is.Equal(loaded(m), []core.AdapterID{"x", "z"})
 }
@@ -147,15 +147,15 @@
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
 	run(m, e, 0, 0)
-	m.Demanded(0, demandFor("popular"))
+	m.AddDemand(0, demandFor("popular"))
 	run(m, e, 0, time.Second)
-	m.Used(at(time.Second), "h", Use{Replica: "r", Adapter: "popular", Begun: 20})
+	m.ApplyUse(at(time.Second), "h", Use{Replica: "r", Adapter: "popular", Begun: 20})
 	for i := range 5 {
 		now := time.Duration(i+1) * time.Second
 		rare := core.AdapterID("rare" + strconv.Itoa(i))
-		m.Demanded(at(now), demandFor(rare))
+		m.AddDemand(at(now), demandFor(rare))
 		run(m, e, now, now+900*time.Millisecond)
-		m.Used(at(now+900*time.Millisecond), "h", Use{Replica: "r", Adapter: rare, Begun: 1})
+		m.ApplyUse(at(now+900*time.Millisecond), "h", Use{Replica: "r", Adapter: rare, Begun: 1})
 		is.Equal(loaded(m), []core.AdapterID{"popular", rare})
 	}
 }
@@ -177,7 +177,7 @@
 			if now-since < 1200*time.Millisecond && !seen[a] { // callers give up after 1.2 s
 				w := demandFor(a)
 				w.Left = objective - (now - since)
-				m.Demanded(at(now), w)
+				m.AddDemand(at(now), w)
 			}
 		}
 		run(m, e, now, now+every-5*time.Millisecond)
@@ -205,23 +205,23 @@
 	names := []core.UpstreamID{"r1", "r2", "r3"}
 	engines := map[core.UpstreamID]*engine{}
 	for _, n := range names {
-		m.Put(replicas.Entry{ID: n, Service: "s", Started: 1})
+		m.UpdateReplica(replicas.Entry{ID: n, Service: "s", Started: 1})
 		engines[n] = newEngine(100)
 	}
 	n := 0
 	for now := at(0); now < at(4*time.Second); now = now.Add(5 * time.Millisecond) {
 		for _, id := range names { // far more demands than loads, at every replica
 			n++
-			m.Demanded(now, Demand{Replica: id, Model: base, Adapter: core.AdapterRef{ID: core.AdapterID(strconv.Itoa(n))}, Weight: 1, Left: 400 * time.Millisecond})
+			m.AddDemand(now, Demand{Replica: id, Model: base, Adapter: core.AdapterRef{ID: core.AdapterID(strconv.Itoa(n))}, Weight: 1, Left: 400 * time.Millisecond})
 		}
 		out := m.Tick(now, act)
 		for _, p := range out.Probes {
 			r := engines[p.Replica].report(now)
 			r.Replica = p.Replica
-			m.Reported(now, r)
+			m.ApplyReport(now, r)
 		}
 		for _, o := range out.Orders {
-			m.Done(now, OrderDone{ID: o.ID, Outcome: engines[o.Replica].order(now, o)})
+			m.ApplyOrderResult(now, OrderDone{ID: o.ID, Outcome: engines[o.Replica].order(now, o)})
 		}
 	}
 	for _, id := range names {
@@ -233,11 +233,11 @@
 	is := is.New(t)
 	m, e := newMachine(1), newEngine(1)
 	run(m, e, 0, 0)
-	m.Demanded(0, demandFor("x"))
+	m.AddDemand(0, demandFor("x"))
 	run(m, e, 0, 700*time.Millisecond)
-	m.Demanded(at(700*time.Millisecond), demandFor("y"))
+	m.AddDemand(at(700*time.Millisecond), demandFor("y"))
 	run(m, e, 700*time.Millisecond, 1500*time.Millisecond)
-	m.Demanded(at(1500*time.Millisecond), demandFor("x"))
+	m.AddDemand(at(1500*time.Millisecond), demandFor("x"))
 	run(m, e, 1500*time.Millisecond, 1500*time.Millisecond+copied+20*time.Millisecond)
 	is.Equal(loaded(m), []core.AdapterID{"x"})
 }
@@ -249,15 +249,15 @@
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
 	run(m, e, 0, 0)
-	m.Demanded(0, demandFor("x"))
+	m.AddDemand(0, demandFor("x"))
 	run(m, e, 0, time.Second)
 	newer := demandFor("x")
 	newer.Adapter.Version = 5
-	m.Used(at(time.Second), "h", Use{Replica: "r", Adapter: "x", Running: 1})
-	m.Demanded(at(time.Second), newer)
+	m.ApplyUse(at(time.Second), "h", Use{Replica: "r", Adapter: "x", Running: 1})
+	m.AddDemand(at(time.Second), newer)
 	is.Equal(len(m.Tick(at(time.Second), act).Orders), 0)
-	m.Used(at(1100*time.Millisecond), "h", Use{Replica: "r", Adapter: "x"})
-	m.Demanded(at(1100*time.Millisecond), newer)
+	m.ApplyUse(at(1100*time.Millisecond), "h", Use{Replica: "r", Adapter: "x"})
+	m.AddDemand(at(1100*time.Millisecond), newer)
 	is.Equal(len(m.Tick(at(1200*time.Millisecond), act).Orders), 0)
 	out := m.Tick(at(1100*time.Millisecond+minUpgradeIdle), act)
 	is.Equal(len(out.Orders), 1)
@@ -269,12 +269,12 @@
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
 	run(m, e, 0, 0)
-	m.Demanded(0, demandFor("used"))
-	m.Demanded(0, demandFor("idle"))
+	m.AddDemand(0, demandFor("used"))
+	m.AddDemand(0, demandFor("idle"))
 	run(m, e, 0, time.Second)
-	m.Used(at(time.Second), "h", Use{Replica: "r", Adapter: "used", Begun: 1})
-	m.Newest(base, core.AdapterRef{ID: "used", Version: 2})
-	m.Newest(base, core.AdapterRef{ID: "idle", Version: 2})
+	m.ApplyUse(at(time.Second), "h", Use{Replica: "r", Adapter: "used", Begun: 1})
+	m.SetNewestVersion(base, core.AdapterRef{ID: "used", Version: 2})
+	m.SetNewestVersion(base, core.AdapterRef{ID: "idle", Version: 2})
 	is.Equal(len(m.Tick(at(time.Second), act).Orders), 0) // used a moment ago
 	out := m.Tick(at(time.Second+minUpgradeIdle), act)
 	is.Equal(len(out.Orders), 1)
@@ -285,8 +285,8 @@
 	is := is.New(t)
 	m := newMachine(1)
 	m.Tick(0, act)
-	m.Reported(0, Report{Replica: "r", OK: true, Started: 1})
-	m.Demanded(0, demandFor("x"))
+	m.ApplyReport(0, Report{Replica: "r", OK: true, Started: 1})
+	m.AddDemand(0, demandFor("x"))
 	out := m.Tick(0, act)
 	is.Equal(len(out.Orders), 1)
 	is.Equal(out.Orders[0].Model, base)
@@ -296,7 +296,7 @@
 func TestNoOrdersWithoutOwnership(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
-	m.Demanded(0, demandFor("x"))
+	m.AddDemand(0, demandFor("x"))
 	out := m.Tick(0, func(core.UpstreamID) (core.Fence, bool) { return 0, false })
 	is.Equal(len(out.Orders)+len(out.Probes), 0)
 }
@@ -324,37 +324,37 @@
 				return true
 			})
 			if rapid.IntRange(0, 4).Draw(rt, "want") == 0 {
-				m.Demanded(now, demandFor(core.AdapterID(strconv.Itoa(rapid.IntRange(0, 8).Draw(rt, "adapter")))))
+				m.AddDemand(now, demandFor(core.AdapterID(strconv.Itoa(rapid.IntRange(0, 8).Draw(rt, "adapter")))))
 			}
 			lagging = append(lagging, e.report(now))
 			out := m.Tick(now, act)
 			for range out.Probes {
 				if rapid.IntRange(0, 5).Draw(rt, "report fails") == 0 {
-					m.Reported(now, Report{Replica: "r"})
+					m.ApplyReport(now, Report{Replica: "r"})
 					continue
 				}
 				lag := rapid.IntRange(1, 10).Draw(rt, "lag")
-				m.Reported(now, lagging[max(len(lagging)-lag, 0)])
+				m.ApplyReport(now, lagging[max(len(lagging)-lag, 0)])
 			}
 			for _, o := range out.Orders {
 				switch rapid.IntRange(0, 7).Draw(rt, "fault") {
 				case 0: // carried out, but the answer is lost
 					e.order(now, o)
-					m.Done(now, OrderDone{ID: o.ID, Outcome: Unknown})
+					m.ApplyOrderResult(now, OrderDone{ID: o.ID, Outcome: Unknown})
 				case 1: // carried out late
 					pending = append(pending, late{now.Add(time.Duration(rapid.IntRange(1, 300).Draw(rt, "late")) * 10 * time.Millisecond), o})
-					m.Done(now, OrderDone{ID: o.ID, Outcome: Unknown})
+					m.ApplyOrderResult(now, OrderDone{ID: o.ID, Outcome: Unknown})
 				default:
-					m.Done(now, OrderDone{ID: o.ID, Outcome: e.order(now, o)})
+					m.ApplyOrderResult(now, OrderDone{ID: o.ID, Outcome: e.order(now, o)})
 				}
 			}
 			if e.crashed {
 				rt.Fatalf("step %d: ordered to load more than %d adapters", step, slots)
 			}
 		}
-		m.Demanded(at(6*time.Second), demandFor("last"))
+		m.AddDemand(at(6*time.Second), demandFor("last"))
 		run(m, e, 6*time.Second, 7*time.Second)
-		m.Demanded(at(7*time.Second), demandFor("last")) // hosts repeat their demands
+		m.AddDemand(at(7*time.Second), demandFor("last")) // hosts repeat their demands
 		run(m, e, 7*time.Second, 8*time.Second)
 		if !slices.Contains(loaded(m), "last") {
 			rt.Fatalf("the last demand was not met: %v", loaded(m))
--- a/internal/core/residency/order.go
+++ b/internal/core/residency/order.go
@@ -36,14 +36,14 @@
 const minFetches = 2
 
 // updateFetchLimit sets how many adapters may be loaded from the weight store at once.
-func (m *Machine) updateFetchLimit(act Actor) {
+func (m *Machine) updateFetchLimit(act FenceFunc) {
 	ordered := 0
 	for _, r := range m.all() {
 		if _, ok := act(r.id); ok && m.services[r.service].slots > 0 {
 			ordered++
 		}
 	}
-	m.maxFetches = max(int(m.settings.Fetches*float64(ordered)+0.5), minFetches)
+	m.maxFetches = max(int(m.settings.FetchesPerReplica*float64(ordered)+0.5), minFetches)
 }
 
 // advance appends the probes and orders that are due at a replica to out. It returns
@@ -53,7 +53,7 @@
 	if !ok {
 		return nil
 	}
-	r.expire(now, m.settings.DemandFor)
+	r.expire(now, m.settings.DemandTTL)
 	if !r.probing && (!r.synced && r.probeAt == 0 || r.probeAt != 0 && now >= r.probeAt) {
 		r.probing = true
 		r.probeAt = 0
@@ -71,7 +71,7 @@
 		m.send(r, o, fence, out)
 		return nil
 	}
-	if r.loadsInFlight() >= m.settings.InTransit {
+	if r.loadsInFlight() >= m.settings.MaxLoads {
 		return nil
 	}
 	if d := m.topDemand(now, r, true); d != nil {
@@ -87,7 +87,7 @@
 func (m *Machine) send(r *replica, o Order, fence core.Fence, out *Output) {
 	m.lastOrderID++
 	o.ID, o.Replica, o.Address = m.lastOrderID, r.id, r.address
-	o.Expected, o.Holder, o.Fence = r.sequence, m.settings.Self, fence
+	o.ExpectedSequence, o.Owner, o.Fence = r.sequence, m.settings.Self, fence
 	r.order = &o
 	m.byOrder[o.ID] = r
 	out.Orders = append(out.Orders, o)
--- a/internal/core/residency/outcome.go
+++ b/internal/core/residency/outcome.go
@@ -4,8 +4,8 @@
 	"gentiancroft/internal/core"
 )
 
-// Open returns the order with an id, and false if it has ended.
-func (m *Machine) Open(id uint64) (Order, bool) {
+// OpenOrder returns the order with an id, and false if it has ended.
+func (m *Machine) OpenOrder(id uint64) (Order, bool) {
 	r := m.byOrder[id]
 	if r == nil || r.order == nil {
 		return Order{}, false
@@ -13,9 +13,9 @@
 	return *r.order, true
 }
 
-// Done applies the result of an order. After an unexpected or unknown result the
+// ApplyOrderResult applies the result of an order. After an unexpected or unknown result the
 // replica's state is read again. Unknown ids are ignored.
-func (m *Machine) Done(now core.Instant, d OrderDone) {
+func (m *Machine) ApplyOrderResult(now core.Instant, d OrderDone) {
 	r := m.byOrder[d.ID]
 	if r == nil {
 		return
@@ -23,7 +23,7 @@
 	delete(m.byOrder, d.ID)
 	o := *r.order
 	r.order = nil
-	if !r.synced || r.sequence != o.Expected {
+	if !r.synced || r.sequence != o.ExpectedSequence {
 		r.resync(now)
 		return
 	}
@@ -36,9 +36,9 @@
 			return
 		}
 		r.applyAccepted(now, o)
-	case Holds:
+	case AlreadyDone:
 		r.applyHolds(now, o, wasCheck)
-	case Conflict, Elsewhere, Invalid:
+	case Conflict, WrongReplica, Invalid:
 		r.resync(now)
 	case Unknown:
 		r.resync(now.Add(unknownOrderDelay))
@@ -116,10 +116,10 @@
 	}
 }
 
-// Reported applies a replica's report. A failed report, one of another start, one
+// ApplyReport applies a replica's report. A failed report, one of another start, one
 // older than the known state and one that comes while an order is open are ignored,
 // and a new probe is scheduled.
-func (m *Machine) Reported(now core.Instant, report Report) {
+func (m *Machine) ApplyReport(now core.Instant, report Report) {
 	r := m.byID[report.Replica]
 	if r == nil {
 		return
--- a/internal/core/residency/types.go
+++ b/internal/core/residency/types.go
@@ -15,15 +15,15 @@
 
 // Order is a load or unload order for a replica.
 type Order struct {
-	ID       uint64
-	Replica  core.UpstreamID
-	Address  string // ip:port
-	Load     bool   // false: unload
-	Model    core.BaseModel
-	Adapter  core.AdapterRef // zero: the base model itself; version 0: the newest
-	Expected uint64          // the replica's order sequence that this order is based on
-	Holder   core.HostID
-	Fence    core.Fence
+	ID               uint64
+	Replica          core.UpstreamID
+	Address          string // ip:port
+	Load             bool   // false: unload
+	Model            core.BaseModel
+	Adapter          core.AdapterRef // zero: the base model itself; version 0: the newest
+	ExpectedSequence uint64          // the replica's order sequence that this order is based on
+	Owner            core.HostID
+	Fence            core.Fence
 }
 
 // Outcome is the result of an order.
@@ -31,21 +31,21 @@
 
 // Outcomes of an order.
 const (
-	Accepted  Outcome = iota + 1 // the replica is carrying it out
-	Holds                        // the replica is already as ordered
-	Conflict                     // another order was accepted first, or is being carried out
-	Elsewhere                    // another replica has this address
-	Invalid                      // the order can never be carried out
-	Unknown                      // no answer: the order may be carried out, now or later
+	Accepted     Outcome = iota + 1 // the replica is carrying it out
+	AlreadyDone                     // the replica is already as ordered
+	Conflict                        // another order was accepted first, or is being carried out
+	WrongReplica                    // another replica has this address
+	Invalid                         // the order can never be carried out
+	Unknown                         // no answer: the order may be carried out, now or later
 )
 
 var outcomeNames = map[Outcome]string{
-	Accepted:  "accepted",
-	Holds:     "holds",
-	Conflict:  "conflict",
-	Elsewhere: "elsewhere",
-	Invalid:   "invalid",
-	Unknown:   "unknown",
+	Accepted:     "accepted",
+	AlreadyDone:  "holds",
+	Conflict:     "conflict",
+	WrongReplica: "elsewhere",
+	Invalid:      "invalid",
+	Unknown:      "unknown",
 }
 
 // String returns the outcome's name in logs and metrics.
@@ -92,22 +92,22 @@
 // Settings are the machine's settings. Limits and times of 0 or less take their
 // defaults.
 type Settings struct {
-	Self      core.HostID
-	InTransit int           // maximum number of adapters that one replica loads at once
-	Fetches   float64       // maximum number of concurrent loads from the weight store, per replica that this host owns
-	DemandFor time.Duration // after which a demand that is not repeated is dropped
+	Self              core.HostID
+	MaxLoads          int           // maximum number of adapters that one replica loads at once
+	FetchesPerReplica float64       // maximum number of concurrent loads from the weight store, per replica that this host owns
+	DemandTTL         time.Duration // after which a demand that is not repeated is dropped
 }
 
 // Defaults of Settings.
 const (
-	DefaultInTransit = 4
-	DefaultFetches   = 0.75
-	DefaultDemandFor = 700 * time.Millisecond
+	DefaultMaxLoads          = 4
+	DefaultFetchesPerReplica = 0.75
+	DefaultDemandTTL         = 700 * time.Millisecond
 )
 
-// Actor returns the fencing number under which this host may order a replica now, and
+// FenceFunc returns the fencing number under which this host may order a replica now, and
 // false if it may not.
-type Actor func(core.UpstreamID) (core.Fence, bool)
+type FenceFunc func(core.UpstreamID) (core.Fence, bool)
 
 // limits are the adapter slots and models of a service's replicas.
 type limits struct {
