--- a/internal/core/direct/active.go
+++ b/internal/core/direct/active.go
@@ -24,16 +24,16 @@
 func (m *Machine) selectActive() {
 	rate := float64(m.arrivalRate())
 	for h, b := range m.gossip.latest {
-		if m.fleet.Alive(m.now, h) {
+		if m.fleet.Reachable(m.now, h) {
 			rate += float64(b.Rate)
 		}
 	}
-	required := max(rate*coreSecondsPerRequest*headroomFactor, fleet.NeedLeast)
+	required := max(rate*coreSecondsPerRequest*headroomFactor, fleet.MinActiveCapacity)
 	if required > m.requiredCores || required < m.requiredCores*(1-maxSpareFraction) {
 		m.requiredCores = required
 	}
 	wasActive := m.fleet.Active()
-	m.fleet.Select(m.now, m.requiredCores)
+	m.fleet.SelectActive(m.now, m.requiredCores)
 	if m.fleet.Active() == wasActive {
 		return
 	}
--- a/internal/core/direct/bench_test.go
+++ b/internal/core/direct/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkHost(b *testing.B) {
 	for _, hosts := range []int{8, 75, 350} {
 		b.Run(fmt.Sprintf("active-%d", hosts), func(b *testing.B) { benchmarkHost(b, hosts, 2) })
-		if hosts > fleet.SmallMost {
+		if hosts > fleet.MaxAllActive {
 			b.Run(fmt.Sprintf("standby-%d", hosts), func(b *testing.B) { benchmarkHost(b, hosts, 0.1) })
 		}
 	}
@@ -94,7 +94,7 @@
 	case m.fleet.IsActive(from):
 		return tick%20 == 0
 	case m.fleet.Active():
-		return tick == 0 && i%(fleet.SmallMost/2) == 0
+		return tick == 0 && i%(fleet.MaxAllActive/2) == 0
 	}
 	return false
 }
--- a/internal/core/direct/finish.go
+++ b/internal/core/direct/finish.go
@@ -34,7 +34,7 @@
 // retryFraction returns this host's fraction of the fleet's retries.
 func (m *Machine) retryFraction() float64 {
 	switch {
-	case !m.fleet.Large():
+	case !m.fleet.HasStandbys():
 		return 1 / float64(m.fleet.Size(m.now))
 	case m.fleet.Active():
 		return (1 - standbyRetryFraction) / float64(m.fleet.ActiveHosts())
--- a/internal/core/direct/heartbeats.go
+++ b/internal/core/direct/heartbeats.go
@@ -64,14 +64,14 @@
 	peers := m.fleet.ActivePeers()
 	m.due.heartbeat = m.now.Add(m.settings.Heartbeat + time.Duration(len(peers))*heartbeatIntervalPerHost)
 	m.send(peers, Message{Heartbeats: append([]Heartbeat{own}, m.takeStandbyHeartbeats()...)})
-	if !m.fleet.Large() || m.now < m.due.relay {
+	if !m.fleet.HasStandbys() || m.now < m.due.relay {
 		return
 	}
 	m.due.relay = m.now.Add(relayInterval)
 	m.gossip.relayCount++
 	own = own.summary()
 	if m.gossip.relayCount%relaysPerCensus == 0 {
-		own.Hears = m.fleet.Census(m.now)
+		own.Hears = m.fleet.ReadyStandbys(m.now)
 	}
 	all := []Heartbeat{own}
 	for _, p := range peers {
@@ -94,7 +94,7 @@
 	if len(m.requests.byID) > 0 {
 		m.due.heartbeat = m.now.Add(busyStandbyHeartbeatInterval)
 	}
-	m.send(m.fleet.Contacts(), Message{Heartbeats: []Heartbeat{own}})
+	m.send(m.fleet.StandbyContacts(), Message{Heartbeats: []Heartbeat{own}})
 }
 
 func (m *Machine) send(to []fleet.Registration, message Message) {
@@ -117,7 +117,7 @@
 		Versions: m.versionSum,
 		Watches:  m.isWatcher() && m.storeAnswers(),
 		List:     m.listDigest(),
-		Hears:    m.fleet.Hears(m.now),
+		Hears:    m.fleet.DirectStandbys(m.now),
 		Rate:     m.arrivalRate(),
 	}
 }
@@ -174,11 +174,11 @@
 	if ok && b.Number <= known.Number {
 		return
 	}
-	if !m.fleet.Heard(m.now, b.Host, b.Host == from, b.Ready, b.Leaving) {
+	if !m.fleet.ReceiveHeartbeat(m.now, b.Host, b.Host == from, b.Ready, b.Leaving) {
 		return // not registered, as far as this host has read
 	}
 	m.gossip.latest[b.Host] = *b
-	m.fleet.HeardOf(m.now, b.Hears)
+	m.fleet.ReceiveStandbyReport(m.now, b.Hears)
 	if m.fleet.Active() && !m.fleet.IsActive(b.Host) && hadWork(&known, b) {
 		m.gossip.busyStandbys = append(m.gossip.busyStandbys, b.Host)
 	}
@@ -211,7 +211,7 @@
 		m.unsent[k.Replica] = k
 		var to []fleet.Registration
 		for h := range m.waiters[k.Replica] {
-			if p, ok := m.fleet.Of(h); ok {
+			if p, ok := m.fleet.ByHostID(h); ok {
 				to = append(to, p)
 			}
 		}
--- a/internal/core/direct/machine.go
+++ b/internal/core/direct/machine.go
@@ -129,11 +129,11 @@
 	case VersionsRead:
 		m.versionsRead = true
 	case HostListed:
-		if m.fleet.Listed(m.now, e.Host) {
+		if m.fleet.UpdateRegistration(m.now, e.Host) {
 			m.changes.hosts = append(m.changes.hosts, e.Host)
 		}
 	case HostUnlisted:
-		m.fleet.Unlisted(e.Name)
+		m.fleet.RemoveRegistration(e.Name)
 	case LeasesListed:
 		m.shards.Read(m.now, e.Objects)
 		m.restoreQuota()
@@ -172,7 +172,7 @@
 		}
 		m.changes.gone = append(m.changes.gone, gone...)
 	}
-	m.quota.Hears(m.now, m.fleet.Part(m.now))
+	m.quota.Hears(m.now, m.fleet.ReachableFraction(m.now))
 	if m.watch.rereadPending {
 		m.requestReread("store_back", "")
 	}
--- a/internal/core/direct/machine_test.go
+++ b/internal/core/direct/machine_test.go
@@ -188,7 +188,7 @@
 		h.arrive(Arrive{Path: "/act/x"})
 		h.is.Equal(h.dispatch().Upstream, core.UpstreamID("s2"))
 	}
-	h.advance(fleet.HeardFor) // b is no longer reachable: its requests do not count
+	h.advance(fleet.HeartbeatTimeout) // b is no longer reachable: its requests do not count
 	h.arrive(Arrive{Path: "/act/x"})
 	h.is.Equal(h.dispatch().Upstream, core.UpstreamID("s1"))
 }
--- a/internal/core/direct/peers.go
+++ b/internal/core/direct/peers.go
@@ -23,8 +23,8 @@
 	if owner == "" || owner == core.HostID(m.settings.Self.Name) {
 		return false
 	}
-	p, ok := m.fleet.Named(string(owner))
-	if !ok || !m.fleet.Alive(m.now, p.Host) {
+	p, ok := m.fleet.ByName(string(owner))
+	if !ok || !m.fleet.Reachable(m.now, p.Host) {
 		return false
 	}
 	m.emit(ToPeers{To: []fleet.Registration{p}, Message: message})
@@ -44,7 +44,7 @@
 // expireLoads removes the loads of hosts that are no longer reachable.
 func (m *Machine) expireLoads() {
 	for h := range m.loads {
-		if !m.fleet.Alive(m.now, h) {
+		if !m.fleet.Reachable(m.now, h) {
 			m.applyLoads(h, nil)
 		}
 	}
@@ -125,7 +125,7 @@
 // answerDemand sends the replica's residency to a host whose demand it already
 // meets: standby hosts receive residency only on demand.
 func (m *Machine) answerDemand(d residency.Demand, to core.HostID) {
-	p, known := m.fleet.Of(to)
+	p, known := m.fleet.ByHostID(to)
 	loaded, ok := m.residency.ResidencyFor(d)
 	if known && ok {
 		m.send([]fleet.Registration{p}, Message{Residencies: []replicas.Residency{loaded}})
--- a/internal/core/direct/state.go
+++ b/internal/core/direct/state.go
@@ -46,7 +46,7 @@
 		Configuration: m.configVersion(),
 		Active:        m.fleet.Active(),
 		ActiveHosts:   len(m.fleet.Members(m.now)),
-		Part:          m.fleet.Part(m.now),
+		Part:          m.fleet.ReachableFraction(m.now),
 		Retries:       map[table.ServiceID]float64{},
 		Routes:        map[string]bool{},
 	}
@@ -60,7 +60,7 @@
 		s.StoreAge = m.now.Sub(m.watch.lastAnswer)
 	}
 	for _, p := range m.fleet.ActivePeers() {
-		s.PeerAge = max(s.PeerAge, m.fleet.Age(m.now, p.Host))
+		s.PeerAge = max(s.PeerAge, m.fleet.HeartbeatAge(m.now, p.Host))
 	}
 	for i := range m.shards.Count() {
 		if _, ok := m.shards.Acting(m.now, i); ok {
--- a/internal/core/direct/watchers.go
+++ b/internal/core/direct/watchers.go
@@ -78,7 +78,7 @@
 func (m *Machine) listDiffers() bool {
 	for h, since := range m.watch.differSince {
 		switch {
-		case !m.fleet.Alive(m.now, h):
+		case !m.fleet.Reachable(m.now, h):
 			delete(m.watch.differSince, h)
 		case m.now.Sub(since) >= m.differTimeout():
 			return true
@@ -97,8 +97,8 @@
 			}
 			continue
 		}
-		p, ok := m.fleet.Named(string(name))
-		if ok && m.fleet.Alive(m.now, p.Host) && m.gossip.latest[p.Host].Watches {
+		p, ok := m.fleet.ByName(string(name))
+		if ok && m.fleet.Reachable(m.now, p.Host) && m.gossip.latest[p.Host].Watches {
 			return name
 		}
 	}
@@ -240,7 +240,7 @@
 		m.applyVersion(v)
 	}
 	for _, r := range e.Message.Hosts {
-		m.fleet.Listed(m.now, r)
+		m.fleet.UpdateRegistration(m.now, r)
 	}
 	if e.Message.Newer > m.configVersion() {
 		m.requestReread("newer_elsewhere", string(e.From))
--- a/internal/core/fleet/active.go
+++ b/internal/core/fleet/active.go
@@ -15,12 +15,12 @@
 // unreachable. The cost per host then follows the load, not the size of the fleet.
 
 const (
-	// SmallMost is the largest size of a fleet whose hosts are all active.
-	SmallMost = 12
+	// MaxAllActive is the largest size of a fleet whose hosts are all active.
+	MaxAllActive = 12
 	// minActiveHosts is the minimum of active hosts in a larger fleet.
 	minActiveHosts = 3
-	// NeedLeast is the minimum capacity of the active hosts, in cores.
-	NeedLeast = 2.4
+	// MinActiveCapacity is the minimum capacity of the active hosts, in cores.
+	MinActiveCapacity = 2.4
 	// similarFraction is the fraction of the strongest host's capacity from which a
 	// host is active even if the load doesn't need it.
 	similarFraction = 0.5
@@ -31,9 +31,9 @@
 	activeScoreKind = 37
 )
 
-// Select chooses the active hosts so that they carry need, in cores.
-func (f *Fleet) Select(now core.Instant, need float64) {
-	f.large = f.Size(now) > SmallMost
+// SelectActive chooses the active hosts so that they carry need, in cores.
+func (f *Fleet) SelectActive(now core.Instant, need float64) {
+	f.large = f.Size(now) > MaxAllActive
 	if !f.large {
 		f.selfActive = true
 		for _, p := range f.peers {
@@ -151,7 +151,7 @@
 // can carry.
 func choose(sorted []candidate, need float64) map[string]bool {
 	n := 0
-	for n < len(sorted) && n < SmallMost && sorted[n].capacity >= similarFraction*sorted[0].capacity {
+	for n < len(sorted) && n < MaxAllActive && sorted[n].capacity >= similarFraction*sorted[0].capacity {
 		n++
 	}
 	for n < len(sorted) && (n < minActiveHosts || float64(n)*sorted[n-1].capacity < need) {
@@ -167,8 +167,8 @@
 // Active reports whether this host is active.
 func (f *Fleet) Active() bool { return f.selfActive }
 
-// Large reports whether the fleet is large enough for standby hosts.
-func (f *Fleet) Large() bool { return f.large }
+// HasStandbys reports whether the fleet is large enough for standby hosts.
+func (f *Fleet) HasStandbys() bool { return f.large }
 
 // ActivePeers returns the other active hosts, sorted by name.
 func (f *Fleet) ActivePeers() []Registration {
@@ -198,9 +198,9 @@
 // contacts is how many active hosts a standby host sends heartbeats to.
 const contacts = 2
 
-// Contacts returns the active hosts that this one sends heartbeats to while it is a
+// StandbyContacts returns the active hosts that this one sends heartbeats to while it is a
 // standby host. Hosts of its own failure domain are preferred.
-func (f *Fleet) Contacts() []Registration {
+func (f *Fleet) StandbyContacts() []Registration {
 	all := f.ActivePeers()
 	score := func(r Registration) uint64 {
 		return core.Score(core.HostID(r.Name), activeScoreKind, f.self.Name)
@@ -233,15 +233,15 @@
 	return !p.active && p.lastDirect != 0 && now.Sub(p.lastDirect) < standbyReportTimeout
 }
 
-// Hears returns the short numbers of the ready standby hosts that sent this one a
+// DirectStandbys returns the short numbers of the ready standby hosts that sent this one a
 // heartbeat lately, sorted.
-func (f *Fleet) Hears(now core.Instant) []uint32 {
+func (f *Fleet) DirectStandbys(now core.Instant) []uint32 {
 	return f.readyStandbys(func(p *peer) bool { return p.isDirectStandby(now) })
 }
 
-// Census returns the short numbers of all reachable standby hosts that are ready,
+// ReadyStandbys returns the short numbers of all reachable standby hosts that are ready,
 // sorted.
-func (f *Fleet) Census(now core.Instant) []uint32 {
+func (f *Fleet) ReadyStandbys(now core.Instant) []uint32 {
 	return f.readyStandbys(func(p *peer) bool { return f.reachable(now, p) })
 }
 
@@ -258,8 +258,8 @@
 	return all
 }
 
-// HeardOf applies another host's report of ready standby hosts, by short number.
-func (f *Fleet) HeardOf(now core.Instant, hosts []uint32) {
+// ReceiveStandbyReport applies another host's report of ready standby hosts, by short number.
+func (f *Fleet) ReceiveStandbyReport(now core.Instant, hosts []uint32) {
 	for _, short := range hosts {
 		if p := f.shorts[short]; p != nil {
 			p.lastHeartbeat, p.ready = now, true
--- a/internal/core/fleet/active_test.go
+++ b/internal/core/fleet/active_test.go
@@ -21,10 +21,10 @@
 	}
 	f := New(host("w0", 0.192))
 	for i := range strong {
-		f.Listed(now, host(fmt.Sprintf("s%d", i), 0.8))
+		f.UpdateRegistration(now, host(fmt.Sprintf("s%d", i), 0.8))
 	}
 	for i := 1; i < weak; i++ {
-		f.Listed(now, host(fmt.Sprintf("w%d", i), 0.192))
+		f.UpdateRegistration(now, host(fmt.Sprintf("w%d", i), 0.192))
 	}
 	return f
 }
@@ -32,23 +32,23 @@
 // heartbeatAll records a direct heartbeat of every registered host.
 func heartbeatAll(f *Fleet, now core.Instant) {
 	for h := range f.hosts {
-		f.Heard(now, h, true, true, false)
+		f.ReceiveHeartbeat(now, h, true, true, false)
 	}
 }
 
 func TestInASmallFleetEveryHostIsActive(t *testing.T) {
 	is := is.New(t)
 	f := newMixedFleet(start, 6, 6)
-	f.Select(start, NeedLeast)
+	f.SelectActive(start, MinActiveCapacity)
 	is.True(f.Active())
-	is.True(!f.Large())
+	is.True(!f.HasStandbys())
 	is.Equal(len(f.ActivePeers()), 11)
 }
 
 func TestStrongestHostsOfLargeFleetAreActive(t *testing.T) {
 	is := is.New(t)
 	f := newMixedFleet(start, 6, 69)
-	f.Select(start, NeedLeast) // no heartbeat yet: all registered hosts are presumed reachable
+	f.SelectActive(start, MinActiveCapacity) // no heartbeat yet: all registered hosts are presumed reachable
 	is.True(!f.Active())
 	is.Equal(len(f.ActivePeers()), 6)
 	heartbeatAll(f, start)
@@ -59,13 +59,13 @@
 	is := is.New(t)
 	f := newMixedFleet(start, 6, 69)
 	heartbeatAll(f, start)
-	f.Select(start, NeedLeast)
+	f.SelectActive(start, MinActiveCapacity)
 	later := start.Add(relayedTimeout)
 	for i := 1; i < 69; i++ {
-		f.Heard(later, core.HostID(fmt.Sprintf("w%d/1", i)), true, true, false)
+		f.ReceiveHeartbeat(later, core.HostID(fmt.Sprintf("w%d/1", i)), true, true, false)
 	}
-	f.Heard(later, "s0/1", true, true, false)
-	f.Select(later, NeedLeast)
+	f.ReceiveHeartbeat(later, "s0/1", true, true, false)
+	f.SelectActive(later, MinActiveCapacity)
 	active := len(f.ActivePeers())
 	if f.Active() {
 		active++
@@ -79,9 +79,9 @@
 	is := is.New(t)
 	f := newMixedFleet(start, 6, 69)
 	heartbeatAll(f, start)
-	f.Select(start, 4.8)
+	f.SelectActive(start, 4.8)
 	is.Equal(len(f.ActivePeers()), 6)
-	f.Select(start, 10) // 53 weak hosts carry it
+	f.SelectActive(start, 10) // 53 weak hosts carry it
 	is.True(len(f.ActivePeers()) >= 52)
 }
 
@@ -89,7 +89,7 @@
 	is := is.New(t)
 	f := newMixedFleet(start, 0, 40)
 	heartbeatAll(f, start)
-	f.Select(start, 0.192*20)
+	f.SelectActive(start, 0.192*20)
 	active := len(f.ActivePeers())
 	if f.Active() {
 		active++
@@ -100,37 +100,37 @@
 func TestNewlyRegisteredHostIsPresumedReachable(t *testing.T) {
 	is := is.New(t)
 	f := newMixedFleet(start, 6, 69)
-	f.Select(start.Add(presumedTimeout-1), NeedLeast)
+	f.SelectActive(start.Add(presumedTimeout-1), MinActiveCapacity)
 	is.Equal(len(f.ActivePeers()), 6)
-	f.Select(start.Add(presumedTimeout), NeedLeast)
+	f.SelectActive(start.Add(presumedTimeout), MinActiveCapacity)
 	is.True(f.Active()) // no other host is reachable
 }
 
 func TestStandbyReportedByActiveHostIsReachable(t *testing.T) {
 	is := is.New(t)
 	reporter := newMixedFleet(start, 6, 69)
-	reporter.Select(start, NeedLeast)
-	reporter.Heard(start, "w5/1", true, true, false)
-	reporter.Heard(start, "w6/1", true, false, false) // not ready
-	reporter.Heard(start, "s1/1", true, true, false)  // active
-	standbys := reporter.Hears(start)
+	reporter.SelectActive(start, MinActiveCapacity)
+	reporter.ReceiveHeartbeat(start, "w5/1", true, true, false)
+	reporter.ReceiveHeartbeat(start, "w6/1", true, false, false) // not ready
+	reporter.ReceiveHeartbeat(start, "s1/1", true, true, false)  // active
+	standbys := reporter.DirectStandbys(start)
 	is.Equal(standbys, []uint32{core.Short("w5")})
 	is.Equal(len(reporter.Standbys(start)), 2) // both get the active hosts' heartbeats
 	is.Equal(len(reporter.Standbys(start.Add(standbyReportTimeout))), 0)
 
 	f := newMixedFleet(start, 6, 69)
-	f.Select(start, NeedLeast)
-	is.True(!f.Alive(start, "w5/1"))
-	f.HeardOf(start, standbys)
-	is.True(f.Alive(start, "w5/1"))
-	is.True(f.Alive(start.Add(standbyTimeout-time.Millisecond), "w5/1"))
-	is.True(!f.Alive(start.Add(standbyTimeout), "w5/1"))
+	f.SelectActive(start, MinActiveCapacity)
+	is.True(!f.Reachable(start, "w5/1"))
+	f.ReceiveStandbyReport(start, standbys)
+	is.True(f.Reachable(start, "w5/1"))
+	is.True(f.Reachable(start.Add(standbyTimeout-time.Millisecond), "w5/1"))
+	is.True(!f.Reachable(start.Add(standbyTimeout), "w5/1"))
 }
 
 func TestStandbyContactsHostsOfItsDomainFirst(t *testing.T) {
 	is := is.New(t)
 	f := newMixedFleet(start, 6, 69)
-	f.Select(start, NeedLeast)
+	f.SelectActive(start, MinActiveCapacity)
 	near := 0
 	for _, p := range f.ActivePeers() {
 		if p.Domain == f.self.Domain {
@@ -138,7 +138,7 @@
 		}
 	}
 	is.Equal(near, 2)
-	picked := f.Contacts()
+	picked := f.StandbyContacts()
 	is.Equal(len(picked), contacts)
 	for _, p := range picked {
 		is.Equal(p.Domain, f.self.Domain)
@@ -152,12 +152,12 @@
 	f := newMixedFleet(start, 6, 69)
 	f.self = registration("s6")
 	f.self.Capacity = 0.8
-	f.Select(start, NeedLeast)
-	is.True(f.Part(start) < 0.15) // it has received no heartbeat yet
+	f.SelectActive(start, MinActiveCapacity)
+	is.True(f.ReachableFraction(start) < 0.15) // it has received no heartbeat yet
 	for i := range 6 {
-		f.Heard(start, core.HostID(fmt.Sprintf("s%d/1", i)), true, true, false)
+		f.ReceiveHeartbeat(start, core.HostID(fmt.Sprintf("s%d/1", i)), true, true, false)
 	}
-	is.Equal(f.Part(start), 1.0)
+	is.Equal(f.ReachableFraction(start), 1.0)
 }
 
 // Invariant: however the network is partitioned, the fractions of both sides add up to
@@ -171,26 +171,26 @@
 		delete(other.peers, "w68")
 		heartbeatAll(one, start)
 		heartbeatAll(other, start)
-		one.Select(start, NeedLeast)
-		other.Select(start, NeedLeast)
+		one.SelectActive(start, MinActiveCapacity)
+		other.SelectActive(start, MinActiveCapacity)
 		later := start.Add(standbyTimeout)
 		for i := range 69 {
 			side := one
 			if i >= 35 {
 				side = other
 			}
-			side.Heard(later, core.HostID(fmt.Sprintf("w%d/1", i)), true, true, false)
+			side.ReceiveHeartbeat(later, core.HostID(fmt.Sprintf("w%d/1", i)), true, true, false)
 		}
 		for i := range 6 {
 			side := one
 			if i >= strong {
 				side = other
 			}
-			side.Heard(later, core.HostID(fmt.Sprintf("s%d/1", i)), true, true, false)
+			side.ReceiveHeartbeat(later, core.HostID(fmt.Sprintf("s%d/1", i)), true, true, false)
 		}
-		one.Select(later, NeedLeast)
-		other.Select(later, NeedLeast)
-		sum := one.Part(later) + other.Part(later)
+		one.SelectActive(later, MinActiveCapacity)
+		other.SelectActive(later, MinActiveCapacity)
+		sum := one.ReachableFraction(later) + other.ReachableFraction(later)
 		is.True(sum > 0.9)
 		is.True(sum < 1.15) // rates may be exceeded by a tenth plus a slack
 	}
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -27,8 +27,8 @@
 
 // Timeouts and bounds.
 const (
-	// HeardFor is how long after its last heartbeat a host counts as reachable.
-	HeardFor = 1200 * time.Millisecond
+	// HeartbeatTimeout is how long after its last heartbeat a host counts as reachable.
+	HeartbeatTimeout = 1200 * time.Millisecond
 	// relayedTimeout is the same for an active host as seen by a standby host, which
 	// gets some heartbeats through others.
 	relayedTimeout = 1800 * time.Millisecond
@@ -80,15 +80,15 @@
 	}
 }
 
-// Listed adds or updates a registration. It reports whether this changed anything; this
+// UpdateRegistration adds or updates a registration. It reports whether this changed anything; this
 // host's own registration is ignored.
-func (f *Fleet) Listed(now core.Instant, r Registration) bool {
+func (f *Fleet) UpdateRegistration(now core.Instant, r Registration) bool {
 	if r.Name == f.self.Name {
 		return false
 	}
 	p := f.peers[r.Name]
 	if p == nil || p.Host != r.Host {
-		f.Unlisted(r.Name)
+		f.RemoveRegistration(r.Name)
 		p = &peer{Registration: r, listedAt: now, leaving: r.Leaving, active: !f.large}
 		f.peers[r.Name], f.hosts[r.Host], f.shorts[core.Short(r.Name)] = p, p, p
 		f.digest = 0
@@ -113,8 +113,8 @@
 	return sum
 }
 
-// Unlisted removes a registration.
-func (f *Fleet) Unlisted(name string) {
+// RemoveRegistration removes a registration.
+func (f *Fleet) RemoveRegistration(name string) {
 	if p := f.peers[name]; p != nil {
 		delete(f.hosts, p.Host)
 		delete(f.peers, name)
@@ -123,9 +123,9 @@
 	}
 }
 
-// Heard records a heartbeat of a host; direct means that it came from the host itself.
+// ReceiveHeartbeat records a heartbeat of a host; direct means that it came from the host itself.
 // It returns false for a host that isn't registered.
-func (f *Fleet) Heard(now core.Instant, from core.HostID, direct, ready, leaving bool) bool {
+func (f *Fleet) ReceiveHeartbeat(now core.Instant, from core.HostID, direct, ready, leaving bool) bool {
 	p := f.hosts[from]
 	if p == nil {
 		return false
@@ -151,7 +151,7 @@
 	case !f.selfActive:
 		return relayedTimeout
 	}
-	return HeardFor
+	return HeartbeatTimeout
 }
 
 // forgotten reports whether a peer has been unreachable so long that it no longer
@@ -160,30 +160,30 @@
 	return now.Sub(max(p.lastHeartbeat, p.listedAt)) > forgetTimeout
 }
 
-// Named returns another host's registration by the host's name.
-func (f *Fleet) Named(name string) (Registration, bool) {
+// ByName returns another host's registration by the host's name.
+func (f *Fleet) ByName(name string) (Registration, bool) {
 	if p := f.peers[name]; p != nil {
 		return p.Registration, true
 	}
 	return Registration{}, false
 }
 
-// Of returns another host's registration by its process id.
-func (f *Fleet) Of(h core.HostID) (Registration, bool) {
+// ByHostID returns another host's registration by its process id.
+func (f *Fleet) ByHostID(h core.HostID) (Registration, bool) {
 	if p := f.hosts[h]; p != nil {
 		return p.Registration, true
 	}
 	return Registration{}, false
 }
 
-// Alive reports whether another host is reachable.
-func (f *Fleet) Alive(now core.Instant, h core.HostID) bool {
+// Reachable reports whether another host is reachable.
+func (f *Fleet) Reachable(now core.Instant, h core.HostID) bool {
 	p := f.hosts[h]
 	return p != nil && f.reachable(now, p)
 }
 
-// Age is the time since the last heartbeat of another host; 0: none was received.
-func (f *Fleet) Age(now core.Instant, h core.HostID) time.Duration {
+// HeartbeatAge is the time since the last heartbeat of another host; 0: none was received.
+func (f *Fleet) HeartbeatAge(now core.Instant, h core.HostID) time.Duration {
 	p := f.hosts[h]
 	if p == nil || p.lastHeartbeat == 0 {
 		return 0
@@ -191,10 +191,10 @@
 	return now.Sub(p.lastHeartbeat)
 }
 
-// Part is the fraction of the fleet that this host reaches, itself included, in
+// ReachableFraction is the fraction of the fleet that this host reaches, itself included, in
 // (0, 1]. In a large fleet it is a fraction of the capacity of the hosts that are
 // active or were until they became unreachable; standby hosts don't count.
-func (f *Fleet) Part(now core.Instant) float64 {
+func (f *Fleet) ReachableFraction(now core.Instant) float64 {
 	if f.large {
 		return f.reachableActiveFraction(now)
 	}
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -19,7 +19,7 @@
 func newFleet(now core.Instant, names ...string) *Fleet {
 	f := New(registration("self"))
 	for _, n := range names {
-		f.Listed(now, registration(n))
+		f.UpdateRegistration(now, registration(n))
 	}
 	return f
 }
@@ -27,11 +27,11 @@
 func TestAddressesAreThoseOfReachableReadyHosts(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(start, "a", "b", "c", "d")
-	is.True(f.Heard(start, "a/1", true, true, false))
-	f.Heard(start, "b/1", true, false, false) // not ready
-	f.Heard(start, "c/1", true, true, true)   // leaving
+	is.True(f.ReceiveHeartbeat(start, "a/1", true, true, false))
+	f.ReceiveHeartbeat(start, "b/1", true, false, false) // not ready
+	f.ReceiveHeartbeat(start, "c/1", true, true, true)   // leaving
 	is.Equal(f.Addresses(start, true), []string{"a:80", "self:80"})
-	is.Equal(f.Addresses(start.Add(HeardFor), true), []string{"self:80"})
+	is.Equal(f.Addresses(start.Add(HeartbeatTimeout), true), []string{"self:80"})
 }
 
 func TestAddressesOfIsolatedHostAreAllRegisteredOnes(t *testing.T) {
@@ -43,7 +43,7 @@
 func TestAddressesLeaveOutLeavingHost(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(start, "a")
-	f.Heard(start, "a/1", true, true, false)
+	f.ReceiveHeartbeat(start, "a/1", true, true, false)
 	f.Leave()
 	is.Equal(f.Addresses(start, true), []string{"a:80"})
 	is.Equal(f.Members(start), []core.HostID{"a"})
@@ -52,25 +52,25 @@
 func TestReachableFraction(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(start, "a", "b", "c")
-	is.Equal(f.Part(start), 0.25)
-	f.Heard(start, "a/1", true, true, false)
-	is.Equal(f.Part(start), 0.5)
-	is.Equal(f.Part(start.Add(forgetTimeout)), 0.25)
-	is.Equal(f.Part(start.Add(forgetTimeout+HeardFor)), 1.0) // the others no longer count as part of the fleet
+	is.Equal(f.ReachableFraction(start), 0.25)
+	f.ReceiveHeartbeat(start, "a/1", true, true, false)
+	is.Equal(f.ReachableFraction(start), 0.5)
+	is.Equal(f.ReachableFraction(start.Add(forgetTimeout)), 0.25)
+	is.Equal(f.ReachableFraction(start.Add(forgetTimeout+HeartbeatTimeout)), 1.0) // the others no longer count as part of the fleet
 }
 
 func TestRestartedHostIsANewOne(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(start, "a")
-	f.Heard(start, "a/1", true, true, false)
+	f.ReceiveHeartbeat(start, "a/1", true, true, false)
 	again := registration("a")
 	again.Host = "a/2"
 	again.Key = "another key"
-	f.Listed(start.Add(time.Second), again)
-	is.True(!f.Heard(start.Add(time.Second), "a/1", true, true, false))
+	f.UpdateRegistration(start.Add(time.Second), again)
+	is.True(!f.ReceiveHeartbeat(start.Add(time.Second), "a/1", true, true, false))
 	is.True(!f.Trusted("a/1", "key of a"))
 	is.True(!f.Trusted("a/2", "key of a"))
 	is.True(f.Trusted("a/2", "another key"))
-	f.Unlisted("a")
+	f.RemoveRegistration("a")
 	is.True(!f.Trusted("a/2", "another key"))
 }
