--- a/internal/core/direct/admit.go
+++ b/internal/core/direct/admit.go
@@ -112,7 +112,7 @@
 		return nil
 	}
 	r.cost = cost(r.workspace, r.arrival.Tokens)
-	ok, retryAfter := m.quota.Take(m.now, r.workspace.ID, r.cost)
+	ok, retryAfter := m.quota.Admit(m.now, r.workspace.ID, r.cost)
 	if !ok {
 		level, reachable := m.quota.Level(m.now, r.workspace.ID)
 		return core.Refuse(core.CodeRateLimited, retryAfter, fmt.Sprintf("workspace %s is over its rate: %d tokens left, %.2f of the fleet reachable", r.workspace.ID, level, reachable))
@@ -130,7 +130,7 @@
 // refund returns the tokens of a request that has not run.
 func (m *Machine) refund(r *request) {
 	if r.workspace != nil && r.cost > 0 {
-		m.quota.Return(m.now, r.workspace.ID, r.cost)
+		m.quota.Refund(m.now, r.workspace.ID, r.cost)
 		r.cost = 0
 	}
 }
--- a/internal/core/direct/heartbeats.go
+++ b/internal/core/direct/heartbeats.go
@@ -125,8 +125,8 @@
 // ownSpending returns the tokens that this host has admitted, by core.Short of the
 // workspace.
 func (m *Machine) ownSpending() map[uint32]int64 {
-	spent := make(map[uint32]int64, len(m.quota.Mine()))
-	for id, tokens := range m.quota.Mine() {
+	spent := make(map[uint32]int64, len(m.quota.Admitted()))
+	for id, tokens := range m.quota.Admitted() {
 		spent[core.Short(string(id))] = tokens
 	}
 	return spent
@@ -182,10 +182,10 @@
 	if m.fleet.Active() && !m.fleet.IsActive(b.Host) && hadWork(&known, b) {
 		m.gossip.busyStandbys = append(m.gossip.busyStandbys, b.Host)
 	}
-	if !m.quota.Knows(b.Host) && b.Uptime > time.Duration(m.now)+time.Second {
-		m.quota.Join(b.Host, m.spendingByWorkspace(b.Spent)) // spent before this host started
+	if !m.quota.HasTotals(b.Host) && b.Uptime > time.Duration(m.now)+time.Second {
+		m.quota.SetTotals(b.Host, m.spendingByWorkspace(b.Spent)) // spent before this host started
 	}
-	m.quota.Heard(m.now, b.Host, m.spendingByWorkspace(b.Spent))
+	m.quota.ApplyTotals(m.now, b.Host, m.spendingByWorkspace(b.Spent))
 	m.applyLoads(b.Host, b.Loads)
 	m.applyPeerCrashes(b.Host, b.Crashes)
 	m.compareState(b)
--- a/internal/core/direct/machine.go
+++ b/internal/core/direct/machine.go
@@ -172,7 +172,7 @@
 		}
 		m.changes.gone = append(m.changes.gone, gone...)
 	}
-	m.quota.Hears(m.now, m.fleet.ReachableFraction(m.now))
+	m.quota.SetReachableFraction(m.now, m.fleet.ReachableFraction(m.now))
 	if m.watch.rereadPending {
 		m.requestReread("store_back", "")
 	}
--- a/internal/core/direct/state.go
+++ b/internal/core/direct/state.go
@@ -75,7 +75,7 @@
 	for _, x := range m.replicas.All() {
 		s.Replicas = append(s.Replicas, ReplicaState{ID: x.ID, Mine: x.Mine, Others: x.Others, ToldAge: x.ToldAge(m.now), Failures: m.failureScore(x.ID)})
 	}
-	for id, granted := range m.quota.Mine() {
+	for id, granted := range m.quota.Admitted() {
 		level, _ := m.quota.Level(m.now, id)
 		s.Workspaces = append(s.Workspaces, WorkspaceState{ID: id, Level: level, Granted: granted})
 	}
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -127,9 +127,9 @@
 	return levels
 }
 
-// Hears sets the fraction of the fleet that this host reaches, itself included, in
+// SetReachableFraction sets the fraction of the fleet that this host reaches, itself included, in
 // (0, 1].
-func (m *Machine) Hears(now core.Instant, fraction float64) {
+func (m *Machine) SetReachableFraction(now core.Instant, fraction float64) {
 	if fraction == m.reachableFraction {
 		return
 	}
@@ -146,9 +146,9 @@
 	b.level = min(b.level+b.rate*m.reachableFraction*passed.Seconds(), b.burst*m.reachableFraction)
 }
 
-// Take admits and charges a request while its bucket is not in debt. Otherwise it
+// Admit admits and charges a request while its bucket is not in debt. Otherwise it
 // returns false and when to retry. Workspaces without a bucket are not limited.
-func (m *Machine) Take(now core.Instant, id core.WorkspaceID, cost core.Tokens) (ok bool, retryAfter time.Duration) {
+func (m *Machine) Admit(now core.Instant, id core.WorkspaceID, cost core.Tokens) (ok bool, retryAfter time.Duration) {
 	b := m.buckets[id]
 	if b == nil {
 		return true, 0
@@ -174,8 +174,8 @@
 	return int64(b.level), m.reachableFraction
 }
 
-// Return refunds the tokens of an admitted request that was not run.
-func (m *Machine) Return(now core.Instant, id core.WorkspaceID, cost core.Tokens) {
+// Refund refunds the tokens of an admitted request that was not run.
+func (m *Machine) Refund(now core.Instant, id core.WorkspaceID, cost core.Tokens) {
 	m.admitted[id] -= int64(cost)
 	if b := m.buckets[id]; b != nil {
 		m.refill(now, b)
@@ -183,12 +183,12 @@
 	}
 }
 
-// Mine returns the tokens that this host has admitted since it started, by workspace.
-func (m *Machine) Mine() Totals { return m.admitted }
+// Admitted returns the tokens that this host has admitted since it started, by workspace.
+func (m *Machine) Admitted() Totals { return m.admitted }
 
-// Heard applies another host's totals and charges the difference from its previous
+// ApplyTotals applies another host's totals and charges the difference from its previous
 // ones to the buckets. The caller must drop totals older than those applied last.
-func (m *Machine) Heard(now core.Instant, from core.HostID, totals Totals) {
+func (m *Machine) ApplyTotals(now core.Instant, from core.HostID, totals Totals) {
 	known := m.reported[from]
 	if known == nil {
 		known = Totals{}
@@ -206,9 +206,9 @@
 	}
 }
 
-// Join sets another host's totals without charging them: the first totals received
+// SetTotals sets another host's totals without charging them: the first totals received
 // from a host that was running before this one were spent before this one started.
-func (m *Machine) Join(from core.HostID, totals Totals) {
+func (m *Machine) SetTotals(from core.HostID, totals Totals) {
 	known := Totals{}
 	for id, total := range totals {
 		known[id] = total
@@ -216,5 +216,5 @@
 	m.reported[from] = known
 }
 
-// Knows reports whether a host's totals have been received.
-func (m *Machine) Knows(from core.HostID) bool { return m.reported[from] != nil }
+// HasTotals reports whether a host's totals have been received.
+func (m *Machine) HasTotals(from core.HostID) bool { return m.reported[from] != nil }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -22,15 +22,15 @@
 	m := New(false)
 	m.Configure(0, workspaces(100, 200))
 	for range 2 {
-		ok, _ := m.Take(0, "w", 100)
+		ok, _ := m.Admit(0, "w", 100)
 		is.True(ok)
 	}
-	ok, retry := m.Take(0, "w", 100)
+	ok, retry := m.Admit(0, "w", 100)
 	is.True(!ok)
 	is.Equal(retry, time.Second)
-	ok, _ = m.Take(second, "w", 100)
+	ok, _ = m.Admit(second, "w", 100)
 	is.True(ok)
-	ok, _ = m.Take(0, "unlimited", 1e6)
+	ok, _ = m.Admit(0, "unlimited", 1e6)
 	is.True(ok)
 }
 
@@ -38,9 +38,9 @@
 	is := is.New(t)
 	m := New(true)
 	m.Configure(0, workspaces(100, 200))
-	ok, _ := m.Take(0, "w", 30)
+	ok, _ := m.Admit(0, "w", 30)
 	is.True(ok)
-	ok, _ = m.Take(0, "w", 1)
+	ok, _ = m.Admit(0, "w", 1)
 	is.True(!ok)
 }
 
@@ -71,7 +71,7 @@
 			if step >= 95 && step < 100 {
 				break
 			}
-			if ok, _ := fleet[i%hosts].Take(now, "w", cost); ok {
+			if ok, _ := fleet[i%hosts].Admit(now, "w", cost); ok {
 				total += cost
 			}
 		}
@@ -79,7 +79,7 @@
 		for i, m := range fleet {
 			for j, other := range fleet {
 				if i != j {
-					m.Heard(now, names[j], other.Mine())
+					m.ApplyTotals(now, names[j], other.Admitted())
 				}
 			}
 		}
@@ -98,12 +98,12 @@
 	is := is.New(t)
 	m := New(false)
 	m.Configure(0, workspaces(100, 100))
-	ok, _ := m.Take(0, "w", 100)
+	ok, _ := m.Admit(0, "w", 100)
 	is.True(ok)
-	m.Return(0, "w", 100)
-	ok, _ = m.Take(0, "w", 100)
+	m.Refund(0, "w", 100)
+	ok, _ = m.Admit(0, "w", 100)
 	is.True(ok)
-	is.Equal(m.Mine()["w"], int64(100))
+	is.Equal(m.Admitted()["w"], int64(100))
 }
 
 // A workspace sends several times its rate through all hosts while the network is
@@ -134,12 +134,12 @@
 						reached++
 					}
 				}
-				m.Hears(now, float64(reached)/hosts)
+				m.SetReachableFraction(now, float64(reached)/hosts)
 			}
 			total := 0.0
 			for range rapid.IntRange(0, 16).Draw(rt, "requests") {
 				m := fleet[rapid.IntRange(0, hosts-1).Draw(rt, "host")]
-				if ok, _ := m.Take(now, "w", cost); ok {
+				if ok, _ := m.Admit(now, "w", cost); ok {
 					total += cost
 				}
 			}
@@ -147,7 +147,7 @@
 			for i, m := range fleet {
 				for j, other := range fleet {
 					if i != j && group[i] == group[j] {
-						m.Heard(now, names[j], other.Mine())
+						m.ApplyTotals(now, names[j], other.Admitted())
 					}
 				}
 			}
@@ -182,7 +182,7 @@
 	level, _ = m.Level(0, "w")
 	is.Equal(level, int64(600))
 
-	_, _ = old.Take(0, "w", 1500)
+	_, _ = old.Admit(0, "w", 1500)
 	m = New(true)
 	m.Configure(0, workspaces(100, 1000))
 	m.Restore(old.Levels(0))
