--- a/internal/core/direct/host_test.go
+++ b/internal/core/direct/host_test.go
@@ -144,7 +144,7 @@
 
 // lease reads leases of all shards whose owner is the host.
 func (h *host) lease(holder core.HostID) {
-	value, err := json.Marshal(shard.Record{Holder: holder, Fence: 1})
+	value, err := json.Marshal(shard.Record{Owner: holder, Fence: 1})
 	h.is.NoErr(err)
 	var objects []core.Object
 	for i := range shard.DefaultCount {
--- a/internal/core/direct/machine.go
+++ b/internal/core/direct/machine.go
@@ -93,7 +93,7 @@
 	if s.FirstStart {
 		m.due.selection, m.due.heartbeat = core.Instant(discoveryTime), core.Instant(discoveryTime)
 	}
-	m.shards.Carry(func() map[core.WorkspaceID]float64 { return m.quota.Levels(m.now) })
+	m.shards.SetLevels(func() map[core.WorkspaceID]float64 { return m.quota.Levels(m.now) })
 	return m
 }
 
@@ -135,7 +135,7 @@
 	case HostUnlisted:
 		m.fleet.RemoveRegistration(e.Name)
 	case LeasesListed:
-		m.shards.Read(m.now, e.Objects)
+		m.shards.ApplyList(m.now, e.Objects)
 		m.restoreQuota()
 	case StoreLost:
 		m.watch.storeLost = true
@@ -253,7 +253,7 @@
 // orderFence returns the fencing number under which this host may order a replica
 // now, and false where it may not.
 func (m *Machine) orderFence(id core.UpstreamID) (core.Fence, bool) {
-	return m.shards.Acting(m.now, m.shards.Of(id))
+	return m.shards.OrderFence(m.now, m.shards.Of(id))
 }
 
 // handleOrderDone applies the result of an order.
@@ -272,7 +272,7 @@
 // sendOrders emits the orders and probes that are due, and sends the residency that
 // has changed.
 func (m *Machine) sendOrders() {
-	if !m.shards.ActsAny(m.now) && len(m.unsent) == 0 {
+	if !m.shards.OwnsAny(m.now) && len(m.unsent) == 0 {
 		return
 	}
 	out := m.residency.Tick(m.now, m.orderFence)
--- a/internal/core/direct/peers.go
+++ b/internal/core/direct/peers.go
@@ -19,7 +19,7 @@
 // sendToOwner sends a message to the owner of a replica's shard. It returns false if
 // there is none, if it is this host, or if it is not reachable.
 func (m *Machine) sendToOwner(replica core.UpstreamID, message Message) bool {
-	owner := m.shards.Holder(m.shards.Of(replica))
+	owner := m.shards.Owner(m.shards.Of(replica))
 	if owner == "" || owner == core.HostID(m.settings.Self.Name) {
 		return false
 	}
--- a/internal/core/direct/settings.go
+++ b/internal/core/direct/settings.go
@@ -57,5 +57,5 @@
 	core.OrDefault(&s.LeaveBy, DefaultLeaveBy)
 	s.Shard.Self = core.HostID(s.Self.Name)
 	s.Residency.Self = core.HostID(s.Self.Name)
-	core.OrDefault(&s.Shard.Meet, 2*discoveryTime) // after the first heartbeats
+	core.OrDefault(&s.Shard.StartDelay, 2*discoveryTime) // after the first heartbeats
 }
--- a/internal/core/direct/state.go
+++ b/internal/core/direct/state.go
@@ -63,7 +63,7 @@
 		s.PeerAge = max(s.PeerAge, m.fleet.HeartbeatAge(m.now, p.Host))
 	}
 	for i := range m.shards.Count() {
-		if _, ok := m.shards.Acting(m.now, i); ok {
+		if _, ok := m.shards.OrderFence(m.now, i); ok {
 			s.Shards++
 		}
 	}
--- a/internal/core/direct/writes.go
+++ b/internal/core/direct/writes.go
@@ -80,9 +80,9 @@
 func (m *Machine) renewLeases() {
 	for _, c := range m.shards.Tick(m.now, func() []core.HostID { return m.fleet.Members(m.now) }) {
 		m.write(c.Object, func(r core.ObjectResult) {
-			before := m.shards.Holder(c.Shard)
-			m.shards.Written(m.now, c, r)
-			if after := m.shards.Holder(c.Shard); after != before {
+			before := m.shards.Owner(c.Shard)
+			m.shards.ApplyWriteResult(m.now, c, r)
+			if after := m.shards.Owner(c.Shard); after != before {
 				m.emit(Note{Name: "shard", Reason: "holder", Detail: utoa(uint64(c.Shard)) + " " + string(after)})
 			}
 		})
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -29,22 +29,22 @@
 // Settings of the leases. The count and the times take their defaults at 0 or less,
 // apart from the delay after the start.
 type Settings struct {
-	Self  core.HostID   // this host's name, the same over restarts
-	Count int           // of shards
-	Term  time.Duration // lease term: how long an acknowledged renewal permits orders
-	Renew time.Duration // renewal interval, well below Term
-	Gap   time.Duration // minimum time between the orders of two owners
-	Turn  time.Duration // extra wait for each better-ranked successor
-	Meet  time.Duration // from the process's start until missing leases are created, so that hosts find each other first
+	Self           core.HostID   // this host's name, the same over restarts
+	Count          int           // of shards
+	Term           time.Duration // lease term: how long an acknowledged renewal permits orders
+	Renew          time.Duration // renewal interval, well below Term
+	OwnerGap       time.Duration // minimum time between the orders of two owners
+	SuccessorDelay time.Duration // extra wait for each better-ranked successor
+	StartDelay     time.Duration // from the process's start until missing leases are created, so that hosts find each other first
 }
 
 // Defaults of Settings.
 const (
-	DefaultCount = 4
-	DefaultTerm  = 5 * time.Second
-	DefaultRenew = 1100 * time.Millisecond
-	DefaultGap   = 3300 * time.Millisecond
-	DefaultTurn  = 700 * time.Millisecond
+	DefaultCount          = 4
+	DefaultTerm           = 5 * time.Second
+	DefaultRenew          = 1100 * time.Millisecond
+	DefaultOwnerGap       = 3300 * time.Millisecond
+	DefaultSuccessorDelay = 700 * time.Millisecond
 )
 
 // callTimeout is how long a write may stay unanswered before the next one is sent.
@@ -52,7 +52,7 @@
 
 // Record is a lease as stored.
 type Record struct {
-	Holder   core.HostID `json:"holder"`
+	Owner    core.HostID `json:"holder"`
 	Fence    core.Fence  `json:"fence"`    // increases with each owner and after each expiry
 	Renewals uint64      `json:"renewals"` // since this owner took over
 	Released bool        `json:"released"`
@@ -101,11 +101,11 @@
 	if s.Renew <= 0 {
 		s.Renew = DefaultRenew
 	}
-	if s.Gap <= 0 {
-		s.Gap = DefaultGap
+	if s.OwnerGap <= 0 {
+		s.OwnerGap = DefaultOwnerGap
 	}
-	if s.Turn <= 0 {
-		s.Turn = DefaultTurn
+	if s.SuccessorDelay <= 0 {
+		s.SuccessorDelay = DefaultSuccessorDelay
 	}
 	return &Machine{settings: s, leases: make([]lease, s.Count), shardOf: map[core.UpstreamID]int{}}
 }
@@ -130,8 +130,8 @@
 	return shard
 }
 
-// ActsAny reports whether this host may order any replicas now.
-func (m *Machine) ActsAny(now core.Instant) bool {
+// OwnsAny reports whether this host may order any replicas now.
+func (m *Machine) OwnsAny(now core.Instant) bool {
 	for i := range m.leases {
 		if now.Before(m.leases[i].validUntil) {
 			return true
@@ -140,24 +140,24 @@
 	return false
 }
 
-// Acting returns the fencing number under which this host may order a shard's
+// OrderFence returns the fencing number under which this host may order a shard's
 // replicas now, and false if it may not. Callers check it before every send.
-func (m *Machine) Acting(now core.Instant, shard int) (core.Fence, bool) {
+func (m *Machine) OrderFence(now core.Instant, shard int) (core.Fence, bool) {
 	l := &m.leases[shard]
 	return l.record.Fence, now.Before(l.validUntil)
 }
 
-// Holder returns a shard's owner as last observed, "" if there is none.
-func (m *Machine) Holder(shard int) core.HostID {
+// Owner returns a shard's owner as last observed, "" if there is none.
+func (m *Machine) Owner(shard int) core.HostID {
 	l := &m.leases[shard]
 	if l.record.Released {
 		return ""
 	}
-	return l.record.Holder
+	return l.record.Owner
 }
 
-// Read applies a list of the leases. A stale list only delays a takeover.
-func (m *Machine) Read(now core.Instant, objects []core.Object) {
+// ApplyList applies a list of the leases. A stale list only delays a takeover.
+func (m *Machine) ApplyList(now core.Instant, objects []core.Object) {
 	m.listed = true
 	for _, o := range objects {
 		i, err := strconv.Atoi(o.Key[min(len(Prefix), len(o.Key)):])
@@ -178,14 +178,14 @@
 	if json.Unmarshal(o.Value, &r) != nil {
 		r = Record{} // foreign content: taken over like any lease that isn't renewed
 	}
-	if r.Holder != m.settings.Self {
+	if r.Owner != m.settings.Self {
 		l.validUntil = 0
 	}
 	l.record, l.version, l.seenAt = r, o.Version, now
 }
 
-// Carry sets the function that returns the bucket levels stored with each lease.
-func (m *Machine) Carry(levels func() map[core.WorkspaceID]float64) { m.levels = levels }
+// SetLevels sets the function that returns the bucket levels stored with each lease.
+func (m *Machine) SetLevels(levels func() map[core.WorkspaceID]float64) { m.levels = levels }
 
 // Levels returns the bucket levels of the lease with the highest known version, nil if
 // no lease has any.
@@ -228,7 +228,7 @@
 
 // nextWrite returns the write that is due for a lease, and false if there is none.
 func (m *Machine) nextWrite(now core.Instant, i int, l *lease, members func() []core.HostID) (Call, bool) {
-	mine := l.version != 0 && l.record.Holder == m.settings.Self && !l.record.Released
+	mine := l.version != 0 && l.record.Owner == m.settings.Self && !l.record.Released
 	switch {
 	case m.leaving && mine && l.validUntil != 0:
 		l.validUntil = 0
@@ -255,23 +255,23 @@
 
 // takeoverRecord is the record with this host as the new owner.
 func (m *Machine) takeoverRecord(l *lease) Record {
-	return Record{Holder: m.settings.Self, Fence: l.record.Fence + 1}
+	return Record{Owner: m.settings.Self, Fence: l.record.Fence + 1}
 }
 
 // mayTakeOver reports whether this host may write its name into a lease now.
 func (m *Machine) mayTakeOver(now core.Instant, i int, l *lease, members func() []core.HostID) bool {
-	wait := m.settings.Term + m.settings.Gap
+	wait := m.settings.Term + m.settings.OwnerGap
 	if l.record.Released {
-		wait = m.settings.Gap
+		wait = m.settings.OwnerGap
 	}
 	since := l.seenAt
 	if l.version == 0 {
-		since, wait = 0, m.settings.Meet
+		since, wait = 0, m.settings.StartDelay
 	}
 	if now.Sub(since) < wait {
 		return false
 	}
-	delay := time.Duration(m.rank(i, members())) * m.settings.Turn
+	delay := time.Duration(m.rank(i, members())) * m.settings.SuccessorDelay
 	return now.Sub(since) >= wait+delay
 }
 
@@ -301,8 +301,8 @@
 	return Call{Shard: i, Sent: now, Object: c, record: r}
 }
 
-// Written applies the result of a write.
-func (m *Machine) Written(now core.Instant, c Call, result core.ObjectResult) {
+// ApplyWriteResult applies the result of a write.
+func (m *Machine) ApplyWriteResult(now core.Instant, c Call, result core.ObjectResult) {
 	l := &m.leases[c.Shard]
 	l.callSent = 0
 	switch result.Status {
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -50,14 +50,14 @@
 	is := is.New(t)
 	s := newStore()
 	m := New(Settings{Self: "a", Count: 1})
-	m.Read(0, s.list())
+	m.ApplyList(0, s.list())
 	calls := m.Tick(0, alone)
 	is.Equal(len(calls), 1)
-	m.Written(at(time.Millisecond), calls[0], s.do(calls[0].Object))
-	fence, ok := m.Acting(at(time.Second), 0)
+	m.ApplyWriteResult(at(time.Millisecond), calls[0], s.do(calls[0].Object))
+	fence, ok := m.OrderFence(at(time.Second), 0)
 	is.True(ok)
 	is.Equal(fence, core.Fence(1))
-	_, ok = m.Acting(at(DefaultTerm), 0)
+	_, ok = m.OrderFence(at(DefaultTerm), 0)
 	is.True(!ok) // not renewed
 }
 
@@ -66,11 +66,11 @@
 	s := newStore()
 	for i := range 3 {
 		m := New(Settings{Self: "a", Count: 1})
-		m.Read(0, s.list())
+		m.ApplyList(0, s.list())
 		calls := m.Tick(0, alone)
 		is.Equal(len(calls), 1)
-		m.Written(0, calls[0], s.do(calls[0].Object))
-		fence, ok := m.Acting(0, 0)
+		m.ApplyWriteResult(0, calls[0], s.do(calls[0].Object))
+		fence, ok := m.OrderFence(0, 0)
 		is.True(ok)
 		is.Equal(fence, core.Fence(i+1))
 	}
@@ -80,19 +80,19 @@
 	is := is.New(t)
 	s := newStore()
 	m := New(Settings{Self: "a", Count: 1, Renew: 700 * time.Millisecond})
-	m.Read(0, nil)
+	m.ApplyList(0, nil)
 	first := m.Tick(0, alone)[0]
-	m.Written(0, first, s.do(first.Object))
+	m.ApplyWriteResult(0, first, s.do(first.Object))
 	lost := m.Tick(at(time.Second), alone)[0]
 	s.do(lost.Object)
-	m.Written(at(time.Second), lost, core.ObjectResult{Status: core.ObjectUnknown})
-	_, ok := m.Acting(at(DefaultTerm), 0)
+	m.ApplyWriteResult(at(time.Second), lost, core.ObjectResult{Status: core.ObjectUnknown})
+	_, ok := m.OrderFence(at(DefaultTerm), 0)
 	is.True(!ok)
 	again := m.Tick(at(DefaultTerm), alone)[0]
-	m.Written(at(DefaultTerm), again, s.do(again.Object)) // conflicts with its own renewal
+	m.ApplyWriteResult(at(DefaultTerm), again, s.do(again.Object)) // conflicts with its own renewal
 	again = m.Tick(at(DefaultTerm+time.Second), alone)[0]
-	m.Written(at(DefaultTerm+time.Second), again, s.do(again.Object))
-	_, ok = m.Acting(at(DefaultTerm+time.Second), 0)
+	m.ApplyWriteResult(at(DefaultTerm+time.Second), again, s.do(again.Object))
+	_, ok = m.OrderFence(at(DefaultTerm+time.Second), 0)
 	is.True(ok)
 }
 
@@ -131,16 +131,16 @@
 					machines[n] = m
 				}
 				if i%10 == 0 || !m.listed {
-					m.Read(now, stale)
+					m.ApplyList(now, stale)
 				}
 				for _, c := range m.Tick(now, func() []core.HostID { return names }) {
 					result := s.do(c.Object)
 					if rapid.IntRange(0, 9).Draw(rt, "lost") == 0 {
 						result = core.ObjectResult{Status: core.ObjectUnknown}
 					}
-					m.Written(now, c, result)
+					m.ApplyWriteResult(now, c, result)
 				}
-				fence, ok := m.Acting(now, 0)
+				fence, ok := m.OrderFence(now, 0)
 				if !ok {
 					continue
 				}
