--- a/internal/core/direct/finish.go
+++ b/internal/core/direct/finish.go
@@ -201,7 +201,7 @@
 	if x == nil {
 		return
 	}
-	x.Mine = max(x.Mine-1, 0)
+	x.OwnRequests = max(x.OwnRequests-1, 0)
 	switch e.Kind {
 	case EndOK:
 		m.recordSuccess(x.ID)
@@ -210,7 +210,7 @@
 	case EndNotRun:
 		m.recordFailure(x.ID, weightNotRun)
 	case EndMissing:
-		m.replicas.Lacks(x.ID, r.arrival.Adapter)
+		m.replicas.MarkNotLoaded(x.ID, r.arrival.Adapter)
 	case EndBroken, EndNotReached:
 		m.recordFailure(x.ID, weightBroken)
 	case EndCancelled:
--- a/internal/core/direct/heartbeats.go
+++ b/internal/core/direct/heartbeats.go
@@ -207,7 +207,7 @@
 func (m *Machine) sendResidency() {
 	changed := m.residency.ChangedResidencies(m.orderFence, false)
 	for _, k := range changed {
-		m.replicas.TakeResidency(m.now, k)
+		m.replicas.ApplyResidency(m.now, k)
 		m.unsent[k.Replica] = k
 		var to []fleet.Registration
 		for h := range m.waiters[k.Replica] {
@@ -235,7 +235,7 @@
 	if m.now >= m.due.residency {
 		m.due.residency = m.now.Add(residencyInterval)
 		for _, k := range m.residency.ChangedResidencies(m.orderFence, true) {
-			m.replicas.TakeResidency(m.now, k)
+			m.replicas.ApplyResidency(m.now, k)
 			m.unsent[k.Replica] = k
 		}
 	}
--- a/internal/core/direct/lists.go
+++ b/internal/core/direct/lists.go
@@ -21,7 +21,7 @@
 			changed = append(changed, e)
 		}
 	}
-	m.replicas.List(m.now, entries)
+	m.replicas.RemoveUnlisted(m.now, entries)
 	var gone []core.UpstreamID
 	for _, id := range m.residency.Replicas() {
 		if m.dropIfGone(id) {
@@ -46,7 +46,7 @@
 	before := m.replicas.Get(e.ID)
 	moved := before != nil && before.Address != e.Address
 	wasLeaving := before != nil && before.Leaving
-	fresh := m.replicas.Put(m.now, e)
+	fresh := m.replicas.Update(m.now, e)
 	m.residency.UpdateReplica(e)
 	if fresh {
 		m.emit(Note{Name: "replica", Reason: "started", Upstream: e.ID, Detail: string(e.Service)})
--- a/internal/core/direct/peers.go
+++ b/internal/core/direct/peers.go
@@ -34,8 +34,8 @@
 func (m *Machine) ownLoads() []Load {
 	var loads []Load
 	for _, x := range m.replicas.All() {
-		if x.Mine > 0 {
-			loads = append(loads, Load{Replica: core.Short(string(x.ID)), Running: x.Mine})
+		if x.OwnRequests > 0 {
+			loads = append(loads, Load{Replica: core.Short(string(x.ID)), Running: x.OwnRequests})
 		}
 	}
 	return loads
@@ -53,13 +53,13 @@
 // applyLoads replaces the loads that a host has at the replicas; nil removes them.
 func (m *Machine) applyLoads(from core.HostID, loads []Load) {
 	for _, l := range m.loads[from] {
-		if x := m.replicas.Short(l.Replica); x != nil {
-			x.Others = max(x.Others-l.Running, 0)
+		if x := m.replicas.ByShortHash(l.Replica); x != nil {
+			x.OtherRequests = max(x.OtherRequests-l.Running, 0)
 		}
 	}
 	for _, l := range loads {
-		if x := m.replicas.Short(l.Replica); x != nil {
-			x.Others += l.Running
+		if x := m.replicas.ByShortHash(l.Replica); x != nil {
+			x.OtherRequests += l.Running
 		}
 	}
 	if loads == nil {
@@ -151,7 +151,7 @@
 		if _, ok := m.orderFence(s.Replica); ok {
 			continue // this host is the owner, and its own state is newer
 		}
-		m.replicas.TakeResidency(m.now, s)
+		m.replicas.ApplyResidency(m.now, s)
 		m.residency.ReleaseReplica(s.Replica)
 	}
 	if len(e.Message.Demands) > 0 {
--- a/internal/core/direct/place.go
+++ b/internal/core/direct/place.go
@@ -78,7 +78,7 @@
 // candidates returns the replicas that can run a request now; saturated
 // is true if replicas were left out because they are saturated.
 func (m *Machine) candidates(r *request) (usable []*replicas.Replica, saturated bool) {
-	for _, x := range m.replicas.Of(r.service.ID) {
+	for _, x := range m.replicas.ByService(r.service.ID) {
 		if x.Leaving || !m.canRun(r, x) {
 			continue
 		}
@@ -97,13 +97,13 @@
 	if r.service.Engine == nil || r.arrival.Model == "" {
 		return true
 	}
-	if !x.HoldsModel(r.arrival.Model) {
+	if !x.HasModel(r.arrival.Model) {
 		return false
 	}
 	if r.arrival.Adapter == "" {
 		return true
 	}
-	version, ok := x.Holds(r.arrival.Adapter)
+	version, ok := x.AdapterVersion(r.arrival.Adapter)
 	return ok && version >= m.minVersion(r.arrival.Adapter)
 }
 
@@ -129,7 +129,7 @@
 		if slices.Contains(r.tried, x.ID) {
 			s += triedWeight
 		}
-		if version, ok := x.Holds(r.arrival.Adapter); ok && version < m.versions[r.arrival.Adapter].version {
+		if version, ok := x.AdapterVersion(r.arrival.Adapter); ok && version < m.versions[r.arrival.Adapter].version {
 			s += olderVersionWeight
 		}
 		return s
@@ -155,8 +155,8 @@
 	}
 	name := string(r.arrival.Adapter)
 	var all []scored
-	for _, x := range m.replicas.Of(r.service.ID) {
-		if !x.Leaving && x.HoldsModel(r.arrival.Model) {
+	for _, x := range m.replicas.ByService(r.service.ID) {
+		if !x.Leaving && x.HasModel(r.arrival.Model) {
 			all = append(all, scored{x, core.Score(core.HostID(x.ID), preferenceKind, name)})
 		}
 	}
@@ -185,7 +185,7 @@
 // is no longer in use.
 func (m *Machine) demandOnPreferred(r *request) (demanded bool) {
 	for _, x := range m.preferredReplicas(r) {
-		_, older := x.Holds(r.arrival.Adapter)
+		_, older := x.AdapterVersion(r.arrival.Adapter)
 		if !m.sendDemand(r, x) {
 			continue
 		}
@@ -201,7 +201,7 @@
 // still serves.
 func (m *Machine) demandNewerVersion(r *request, x *replicas.Replica) {
 	a := r.arrival.Adapter
-	version, ok := x.Holds(a)
+	version, ok := x.AdapterVersion(a)
 	if !ok || version >= m.versions[a].version || m.lastExtraDemand[a] != 0 && m.now.Sub(m.lastExtraDemand[a]) < demandInterval {
 		return
 	}
@@ -248,7 +248,7 @@
 	}
 	m.lastExtraDemand[a] = m.now
 	for _, x := range m.preferredReplicas(r) {
-		if _, ok := x.Holds(a); ok || x.Occupancy() > best.Occupancy()/2 {
+		if _, ok := x.AdapterVersion(a); ok || x.Occupancy() > best.Occupancy()/2 {
 			continue
 		}
 		m.sendDemand(r, x)
@@ -271,7 +271,7 @@
 	r.upstream = x.ID
 	r.stage, r.stageSince = stageRunning, m.now
 	r.answerStarted, r.moving = false, false
-	x.Mine++
+	x.OwnRequests++
 	m.countUse(r, x)
 	if r.attempt == 1 {
 		m.retryBudget(r.service.ID).First(m.now)
--- a/internal/core/direct/state.go
+++ b/internal/core/direct/state.go
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, x := range m.replicas.All() {
-		s.Replicas = append(s.Replicas, ReplicaState{ID: x.ID, Mine: x.Mine, Others: x.Others, ToldAge: x.ToldAge(m.now), Failures: m.failureScore(x.ID)})
+		s.Replicas = append(s.Replicas, ReplicaState{ID: x.ID, Mine: x.OwnRequests, Others: x.OtherRequests, ToldAge: x.ReportAge(m.now), Failures: m.failureScore(x.ID)})
 	}
 	for id, granted := range m.quota.Admitted() {
 		level, _ := m.quota.Level(m.now, id)
--- a/internal/core/replicas/replicas.go
+++ b/internal/core/replicas/replicas.go
@@ -46,8 +46,8 @@
 // Replica is an entry with the state that this host keeps for it.
 type Replica struct {
 	Entry
-	Mine           int                    // this host's requests there
-	Others         int                    // other hosts' requests there, as last reported
+	OwnRequests    int                    // this host's requests there
+	OtherRequests  int                    // other hosts' requests there, as last reported
 	missing        bool                   // not in the platform's list, perhaps only because of a store outage
 	adapters       map[core.AdapterID]int // versions of the loaded adapters
 	baseModels     map[core.BaseModel]bool
@@ -56,22 +56,22 @@
 }
 
 // Load is the number of requests at the replica, as far as this host knows.
-func (r *Replica) Load() int { return r.Mine + r.Others }
+func (r *Replica) Load() int { return r.OwnRequests + r.OtherRequests }
 
 // Occupancy is the load divided by the batch size.
 func (r *Replica) Occupancy() float64 { return float64(r.Load()) / float64(max(r.Batch, 1)) }
 
-// Holds returns the loaded version of an adapter, and false if it isn't loaded.
-func (r *Replica) Holds(a core.AdapterID) (version int, ok bool) {
+// AdapterVersion returns the loaded version of an adapter, and false if it isn't loaded.
+func (r *Replica) AdapterVersion(a core.AdapterID) (version int, ok bool) {
 	version, ok = r.adapters[a]
 	return version, ok
 }
 
-// HoldsModel reports whether a base model is loaded on the replica.
-func (r *Replica) HoldsModel(m core.BaseModel) bool { return r.baseModels[m] }
+// HasModel reports whether a base model is loaded on the replica.
+func (r *Replica) HasModel(m core.BaseModel) bool { return r.baseModels[m] }
 
-// ToldAge is the time since the owner's last report of the residency; 0: never.
-func (r *Replica) ToldAge(now core.Instant) time.Duration {
+// ReportAge is the time since the owner's last report of the residency; 0: never.
+func (r *Replica) ReportAge(now core.Instant) time.Duration {
 	if r.reportedAt == 0 {
 		return 0
 	}
@@ -106,8 +106,8 @@
 // Get returns the replica with an id, or nil.
 func (s *Set) Get(id core.UpstreamID) *Replica { return s.byID[id] }
 
-// Short returns the replica whose id has this core.Short number, or nil.
-func (s *Set) Short(n uint32) *Replica {
+// ByShortHash returns the replica whose id has this core.Short number, or nil.
+func (s *Set) ByShortHash(n uint32) *Replica {
 	if s.sorted == nil {
 		s.index()
 	}
@@ -122,9 +122,9 @@
 	return s.sorted
 }
 
-// Of returns the replicas of a service, sorted by id. Callers must not modify the
+// ByService returns the replicas of a service, sorted by id. Callers must not modify the
 // slice.
-func (s *Set) Of(service table.ServiceID) []*Replica {
+func (s *Set) ByService(service table.ServiceID) []*Replica {
 	if s.sorted == nil {
 		s.index()
 	}
@@ -174,9 +174,9 @@
 	return sum
 }
 
-// Put adds or updates a replica from a listed entry. It reports whether this is a new
+// Update adds or updates a replica from a listed entry. It reports whether this is a new
 // replica or a new incarnation. An older entry than the known one changes only Leaving.
-func (s *Set) Put(now core.Instant, e Entry) (fresh bool) {
+func (s *Set) Update(now core.Instant, e Entry) (fresh bool) {
 	s.digest = 0
 	r := s.byID[e.ID]
 	if r == nil || r.Started != e.Started && e.Started != 0 {
@@ -223,9 +223,9 @@
 	Models  []Model
 }
 
-// TakeResidency applies the owner's report of a replica's residency. Reports of another
+// ApplyResidency applies the owner's report of a replica's residency. Reports of another
 // start or of fewer accepted orders than the last one are ignored.
-func (s *Set) TakeResidency(now core.Instant, res Residency) {
+func (s *Set) ApplyResidency(now core.Instant, res Residency) {
 	r := s.byID[res.Replica]
 	if r == nil || r.Started != res.Started || res.Orders < r.reportedOrders {
 		return
@@ -234,8 +234,8 @@
 	r.setModels(res.Models)
 }
 
-// Lacks records a replica's answer that an adapter isn't loaded on it.
-func (s *Set) Lacks(id core.UpstreamID, a core.AdapterID) {
+// MarkNotLoaded records a replica's answer that an adapter isn't loaded on it.
+func (s *Set) MarkNotLoaded(id core.UpstreamID, a core.AdapterID) {
 	if r := s.byID[id]; r != nil {
 		delete(r.adapters, a)
 	}
@@ -256,9 +256,9 @@
 	s.drop(id)
 }
 
-// List removes the replicas that the platform's whole list lacks. The listed entries
+// RemoveUnlisted removes the replicas that the platform's whole list lacks. The listed entries
 // must have been applied before.
-func (s *Set) List(now core.Instant, entries []Entry) {
+func (s *Set) RemoveUnlisted(now core.Instant, entries []Entry) {
 	listed := make(map[core.UpstreamID]bool, len(entries))
 	for _, e := range entries {
 		listed[e.ID] = true
