--- a/internal/core/admission/backlog.go
+++ b/internal/core/admission/backlog.go
@@ -89,7 +89,7 @@
 // furthest over its share.
 func (q *Queue) shedOne() Item {
 	ws := q.byOverShare[0].workspace
-	for c := core.Classes - 1; ; c-- {
+	for c := core.ClassCount - 1; ; c-- {
 		if f := q.levels[c].flows[ws]; f != nil && f.count > 0 {
 			return q.removeEntry(f.newest())
 		}
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -69,7 +69,7 @@
 // Queue is a bounded, weighted fair queue. It is not safe for concurrent use.
 type Queue struct {
 	settings    QueueSettings
-	levels      [core.Classes]level
+	levels      [core.ClassCount]level
 	items       map[core.RequestID]*entry
 	waiting     map[core.AdapterRef]int
 	byOverShare backlogHeap // workspaces with waiting items, the furthest over its share first
@@ -207,7 +207,7 @@
 // promoteAged lets items that have waited long compete one class higher than their
 // own. Overnight work therefore never competes with interactive requests.
 func (q *Queue) promoteAged(now core.Instant) {
-	for c := core.Normal; c < core.Classes; c++ {
+	for c := core.Normal; c < core.ClassCount; c++ {
 		lv := &q.levels[c]
 		for e := lv.oldest(); e != nil && now.Sub(e.Enqueued) >= q.settings.AgeAfter; e = lv.oldest() {
 			lv.remove(e)
--- a/internal/core/direct/active_test.go
+++ b/internal/core/direct/active_test.go
@@ -104,7 +104,7 @@
 // it.
 func TestSpendingOfAStandbyHostIsRelayed(t *testing.T) {
 	h := newHostInLargeFleet(t, "s0")
-	spent := map[uint32]int64{core.Short("w"): 10}
+	spent := map[uint32]int64{core.ShortHash("w"): 10}
 	h.deliverHeartbeat("w3", Heartbeat{Number: 2, Spent: spent})
 	h.deliverHeartbeat("w4", Heartbeat{Number: 2})
 	h.advanceFleet(300 * time.Millisecond)
--- a/internal/core/direct/admit.go
+++ b/internal/core/direct/admit.go
@@ -39,14 +39,14 @@
 
 func (m *Machine) admit(e Arrive) (*request, *core.Refusal) {
 	if !m.initialized() {
-		return nil, core.Refuse(core.CodeCutOff, retryAfterStarting, "this host has no configuration yet")
+		return nil, core.Refuse(core.CodeHostCutOff, retryAfterStarting, "this host has no configuration yet")
 	}
 	route := m.table.Route(e.Host, e.Path)
 	if route == nil {
 		return nil, core.Refuse(core.CodeUnknownRoute, 0, "no route for this host and path")
 	}
 	if m.rejectsRoute(route) {
-		return nil, core.Refuse(core.CodeLeaving, retryAfterLeaving, "this host is leaving; ask for addresses again")
+		return nil, core.Refuse(core.CodeHostLeaving, retryAfterLeaving, "this host is leaving; ask for addresses again")
 	}
 	r := &request{arrival: e, route: route, arrivedAt: m.now, lastEvent: e.LastEvent}
 	if refusal := m.authorize(r); refusal != nil {
@@ -101,7 +101,7 @@
 		r.workspace = m.table.Keys[r.arrival.Key]
 	}
 	if r.workspace == nil {
-		return core.Refuse(core.CodeNoKey, 0, "the key is missing or not valid")
+		return core.Refuse(core.CodeInvalidKey, 0, "the key is missing or not valid")
 	}
 	return nil
 }
--- a/internal/core/direct/bench_test.go
+++ b/internal/core/direct/bench_test.go
@@ -34,14 +34,14 @@
 		id := core.UpstreamID(fmt.Sprintf("i-%d", i))
 		entries = append(entries, replica(id, engines, core.AdapterRef{ID: "x", Version: 1}))
 		if i < 8 {
-			loads = append(loads, Load{Replica: core.Short(string(id)), Running: 2})
+			loads = append(loads, Load{Replica: core.ShortHash(string(id)), Running: 2})
 		}
 	}
 	m.Step(now, ReplicasListed{Entries: entries})
 	heartbeats := make([]Heartbeat, hosts-1)
 	for i := range heartbeats {
 		name := fmt.Sprintf("host-%d", i)
-		heartbeats[i] = Heartbeat{Host: core.HostID(name), Ready: true, Loads: loads, Spent: map[uint32]int64{core.Short("w"): 0}}
+		heartbeats[i] = Heartbeat{Host: core.HostID(name), Ready: true, Loads: loads, Spent: map[uint32]int64{core.ShortHash("w"): 0}}
 		m.Step(now, HostListed{Host: fleet.Registration{Name: name, Host: heartbeats[i].Host, Domain: "a"}})
 	}
 	sent, bytes, n := 0, 0, uint64(0)
--- a/internal/core/direct/catalog.go
+++ b/internal/core/direct/catalog.go
@@ -27,15 +27,15 @@
 
 // refusalReasons are the codes that a request can be refused with.
 var refusalReasons = []Reason{
-	{Name: string(core.CodeCutOff), Meaning: "the host has not read its configuration, replicas or adapter versions yet"},
-	{Name: string(core.CodeLeaving), Meaning: "the host is shutting down"},
+	{Name: string(core.CodeHostCutOff), Meaning: "the host has not read its configuration, replicas or adapter versions yet"},
+	{Name: string(core.CodeHostLeaving), Meaning: "the host is shutting down"},
 	{Name: string(core.CodeUnknownRoute), Meaning: "no route for host and path in the configuration in force"},
-	{Name: string(core.CodeNoKey), Meaning: "the key is missing or not in the configuration in force"},
+	{Name: string(core.CodeInvalidKey), Meaning: "the key is missing or not in the configuration in force"},
 	{Name: string(core.CodeKeyWithdrawn), Meaning: "the key was withdrawn while the request waited"},
 	{Name: string(core.CodeRateLimited), Meaning: "the workspace's bucket, which all hosts share, is in debt"},
 	{Name: string(core.CodeNoUpstream), Meaning: "no replica could run it in time"},
 	{Name: string(core.CodeOverloaded), Meaning: "all replicas are saturated or rejected it, or the request is suspected of crashing replicas"},
-	{Name: string(core.CodeDeadline), Meaning: "the deadline or the route's timeout has passed"},
+	{Name: string(core.CodeDeadlineExceeded), Meaning: "the deadline or the route's timeout has passed"},
 	{Name: string(core.CodeUpstreamFailed), Meaning: "a replica may have run it and gave no complete answer"},
 }
 
--- a/internal/core/direct/finish.go
+++ b/internal/core/direct/finish.go
@@ -121,7 +121,7 @@
 	}
 	corrected := *refusal
 	corrected.Ran = ran
-	if corrected.Code != core.CodeDeadline {
+	if corrected.Code != core.CodeDeadlineExceeded {
 		corrected.Code = core.CodeUpstreamFailed
 	}
 	return &corrected
@@ -265,7 +265,7 @@
 		switch {
 		case r.closed:
 		case m.now >= r.deadline:
-			m.refuse(r, &core.Refusal{Code: core.CodeDeadline, Message: "no whole answer before the request's deadline", Ran: r.ranState()})
+			m.refuse(r, &core.Refusal{Code: core.CodeDeadlineExceeded, Message: "no whole answer before the request's deadline", Ran: r.ranState()})
 		case r.stage == stageWaiting && m.now.Sub(r.stageSince) >= r.maxAdapterWait():
 			m.refuseNoReplica(r)
 		case r.stage == stageWaiting:
--- a/internal/core/direct/heartbeats.go
+++ b/internal/core/direct/heartbeats.go
@@ -127,7 +127,7 @@
 func (m *Machine) ownSpending() map[uint32]int64 {
 	spent := make(map[uint32]int64, len(m.quota.Admitted()))
 	for id, tokens := range m.quota.Admitted() {
-		spent[core.Short(string(id))] = tokens
+		spent[core.ShortHash(string(id))] = tokens
 	}
 	return spent
 }
--- a/internal/core/direct/machine.go
+++ b/internal/core/direct/machine.go
@@ -230,7 +230,7 @@
 	m.residency.Configure(t.Services)
 	m.workspaces = make(map[uint32]core.WorkspaceID, len(t.Workspaces))
 	for id := range t.Workspaces {
-		m.workspaces[core.Short(string(id))] = id
+		m.workspaces[core.ShortHash(string(id))] = id
 	}
 	m.emit(Note{Name: "configuration", Reason: "in_force", Detail: "version " + utoa(t.Version)})
 	m.refuseWithdrawnKeys()
--- a/internal/core/direct/machine_test.go
+++ b/internal/core/direct/machine_test.go
@@ -16,7 +16,7 @@
 	h.is.True(!h.m.Ready())
 	h.arrive(Arrive{Path: "/read/x"})
 	r := h.refusal()
-	h.is.Equal(r.Code, core.CodeCutOff)
+	h.is.Equal(r.Code, core.CodeHostCutOff)
 	h.is.Equal(r.Ran, core.RanNo)
 }
 
@@ -25,9 +25,9 @@
 	h.arrive(Arrive{Path: "/nowhere"})
 	h.is.Equal(h.refusal().Code, core.CodeUnknownRoute)
 	h.arrive(Arrive{Path: "/keyed/x"})
-	h.is.Equal(h.refusal().Code, core.CodeNoKey)
+	h.is.Equal(h.refusal().Code, core.CodeInvalidKey)
 	h.arrive(Arrive{Path: "/keyed/x", HasKey: true, Key: table.HashKey([]byte("other"))})
-	h.is.Equal(h.refusal().Code, core.CodeNoKey)
+	h.is.Equal(h.refusal().Code, core.CodeInvalidKey)
 	h.arrive(Arrive{Path: "/keyed/x", HasKey: true, Key: table.HashKey([]byte("key"))})
 	h.is.Equal(h.dispatch().Workspace, core.WorkspaceID("w"))
 }
@@ -82,7 +82,7 @@
 	h.dispatch()
 	h.advance(time.Second)
 	r := h.refusal()
-	h.is.Equal(r.Code, core.CodeDeadline)
+	h.is.Equal(r.Code, core.CodeDeadlineExceeded)
 	h.is.Equal(r.Ran, core.RanUnknown)
 }
 
@@ -146,7 +146,7 @@
 	d := h.dispatch()
 	h.advance(DefaultLeaveStreams + time.Millisecond)
 	h.arrive(stream)
-	h.is.Equal(h.refusal().Code, core.CodeLeaving)
+	h.is.Equal(h.refusal().Code, core.CodeHostLeaving)
 	h.arrive(Arrive{Path: "/read/x"})
 	h.endAttempt(h.dispatch(), EndOK)
 	h.advance(DefaultLeaveAfter - DefaultLeaveStreams)
@@ -183,7 +183,7 @@
 func TestPeerLoadCountsInTheChoiceOfReplica(t *testing.T) {
 	h := newHost(t)
 	h.step(HostListed{Host: fleet.Registration{Name: "b", Host: "b/1"}})
-	h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true, Loads: []Load{{Replica: core.Short("s1"), Running: 5}}}}}})
+	h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true, Loads: []Load{{Replica: core.ShortHash("s1"), Running: 5}}}}}})
 	for range 4 {
 		h.arrive(Arrive{Path: "/act/x"})
 		h.is.Equal(h.dispatch().Upstream, core.UpstreamID("s2"))
@@ -315,7 +315,7 @@
 	for _, e := range []Event{Configured{Table: testTable()}, ReplicasListed{}, VersionsRead{}} {
 		h.is.True(!h.m.Ready())
 		h.arrive(Arrive{Path: "/read/x"})
-		h.is.Equal(h.refusal().Code, core.CodeCutOff)
+		h.is.Equal(h.refusal().Code, core.CodeHostCutOff)
 		h.step(e)
 	}
 	h.is.True(h.m.Ready())
--- a/internal/core/direct/peers.go
+++ b/internal/core/direct/peers.go
@@ -35,7 +35,7 @@
 	var loads []Load
 	for _, x := range m.replicas.All() {
 		if x.OwnRequests > 0 {
-			loads = append(loads, Load{Replica: core.Short(string(x.ID)), Running: x.OwnRequests})
+			loads = append(loads, Load{Replica: core.ShortHash(string(x.ID)), Running: x.OwnRequests})
 		}
 	}
 	return loads
--- a/internal/core/dispatch/once/once.go
+++ b/internal/core/dispatch/once/once.go
@@ -134,7 +134,7 @@
 	m.out = Result{}
 	switch {
 	case r.Key == "":
-		m.refuse(r.ID, core.Refuse(core.CodeKeyNeeded, 0, "this route needs an Idempotency-Key header"))
+		m.refuse(r.ID, core.Refuse(core.CodeIdempotencyKeyRequired, 0, "this route needs an Idempotency-Key header"))
 		return m.out
 	case len(r.Key) > MaxKeyBytes:
 		m.refuse(r.ID, core.Refuse(core.CodeBadRequest, 0, "Idempotency-Key is longer than "+strconv.Itoa(MaxKeyBytes)+" bytes"))
--- a/internal/core/dispatch/once/once_test.go
+++ b/internal/core/dispatch/once/once_test.go
@@ -85,7 +85,7 @@
 	is.Equal(string(late.Outcome.Body), "booked")
 
 	other := b.begin("4", 8)
-	is.Equal(other.Refusal.Code, core.CodeKeyReused)
+	is.Equal(other.Refusal.Code, core.CodeIdempotencyKeyReused)
 	is.Equal(other.Refusal.Ran, core.RanNo)
 	is.Equal(a.runs+b.runs, 1)
 }
@@ -95,7 +95,7 @@
 	m := New("a", core.NewRand(1))
 	r := m.Begin(start, Request{ID: "1", Workspace: "w"})
 	is.Equal(len(r.Calls), 0)
-	is.Equal(r.Decisions[0].Refusal.Code, core.CodeKeyNeeded)
+	is.Equal(r.Decisions[0].Refusal.Code, core.CodeIdempotencyKeyRequired)
 	is.Equal(r.Decisions[0].Refusal.Ran, core.RanNo)
 }
 
--- a/internal/core/dispatch/once/steps.go
+++ b/internal/core/dispatch/once/steps.go
@@ -148,7 +148,7 @@
 	case err != nil:
 		d.Refusal = &core.Refusal{Code: core.CodeOutcomeUnknown, Message: "the record of this key can't be read", Ran: core.RanUnknown}
 	case r.Body != q.Body:
-		d.Refusal = core.Refuse(core.CodeKeyReused, 0, "this Idempotency-Key was used for another request")
+		d.Refusal = core.Refuse(core.CodeIdempotencyKeyReused, 0, "this Idempotency-Key was used for another request")
 	case r.Phase == phaseDone && r.Outcome != nil:
 		return Decision{ID: q.ID, Kind: Replay, Outcome: *r.Outcome}
 	case r.Phase == phaseDone:
--- a/internal/core/fleet/active.go
+++ b/internal/core/fleet/active.go
@@ -251,7 +251,7 @@
 	var all []uint32
 	for _, p := range f.peers {
 		if !p.active && p.ready && !p.leaving && keep(p) {
-			all = append(all, core.Short(p.Name))
+			all = append(all, core.ShortHash(p.Name))
 		}
 	}
 	slices.Sort(all)
--- a/internal/core/fleet/active_test.go
+++ b/internal/core/fleet/active_test.go
@@ -114,7 +114,7 @@
 	reporter.ReceiveHeartbeat(start, "w6/1", true, false, false) // not ready
 	reporter.ReceiveHeartbeat(start, "s1/1", true, true, false)  // active
 	standbys := reporter.DirectStandbys(start)
-	is.Equal(standbys, []uint32{core.Short("w5")})
+	is.Equal(standbys, []uint32{core.ShortHash("w5")})
 	is.Equal(len(reporter.Standbys(start)), 2) // both get the active hosts' heartbeats
 	is.Equal(len(reporter.Standbys(start.Add(standbyReportTimeout))), 0)
 
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -90,7 +90,7 @@
 	if p == nil || p.Host != r.Host {
 		f.RemoveRegistration(r.Name)
 		p = &peer{Registration: r, listedAt: now, leaving: r.Leaving, active: !f.large}
-		f.peers[r.Name], f.hosts[r.Host], f.shorts[core.Short(r.Name)] = p, p, p
+		f.peers[r.Name], f.hosts[r.Host], f.shorts[core.ShortHash(r.Name)] = p, p, p
 		f.digest = 0
 		return true
 	}
@@ -118,7 +118,7 @@
 	if p := f.peers[name]; p != nil {
 		delete(f.hosts, p.Host)
 		delete(f.peers, name)
-		delete(f.shorts, core.Short(name))
+		delete(f.shorts, core.ShortHash(name))
 		f.digest = 0
 	}
 }
--- a/internal/core/hash.go
+++ b/internal/core/hash.go
@@ -59,9 +59,9 @@
 	return out
 }
 
-// Short returns a 32-bit hash that stands for a name in frequent messages. Collisions
+// ShortHash returns a 32-bit hash that stands for a name in frequent messages. Collisions
 // of names of one kind are unlikely, but possible.
-func Short(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
+func ShortHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // Fingerprint hashes the parts of a request that decide what an upstream runs,
 // mixed with a deployment-wide key.
--- a/internal/core/limit/machine_test.go
+++ b/internal/core/limit/machine_test.go
@@ -256,7 +256,7 @@
 	for _, c := range []struct {
 		tokens core.Tokens
 		code   core.Code
-	}{{0, core.CodeBadRequest}, {-1, core.CodeBadRequest}, {math.MinInt64, core.CodeBadRequest}, {1001, core.CodeNeverFits}, {math.MaxInt64, core.CodeNeverFits}} {
+	}{{0, core.CodeBadRequest}, {-1, core.CodeBadRequest}, {math.MinInt64, core.CodeBadRequest}, {1001, core.CodeExceedsBurst}, {math.MaxInt64, core.CodeExceedsBurst}} {
 		r := p.owner.Reserve(p.now, p.ownerView, "r", ws, c.tokens)
 		p.is.Equal(r.Decisions[0].Refusal.Code, c.code)
 	}
--- a/internal/core/limit/reserve.go
+++ b/internal/core/limit/reserve.go
@@ -46,7 +46,7 @@
 	case tokens <= 0:
 		m.refuse(&r, id, core.CodeBadRequest, 0, "tokens: must be at least 1")
 	case tokens > l.Burst:
-		m.refuse(&r, id, core.CodeNeverFits, 0, "prompt and max_tokens exceed the workspace's burst")
+		m.refuse(&r, id, core.CodeExceedsBurst, 0, "prompt and max_tokens exceed the workspace's burst")
 	default:
 		m.reserve(now, own, id, ws, tokens, &r)
 	}
--- a/internal/core/node/admit.go
+++ b/internal/core/node/admit.go
@@ -35,10 +35,10 @@
 // admit returns the request for an arrival, or the refusal.
 func (n *Node) admit(e Arrive) (*request, *core.Refusal) {
 	if n.leaving.closed {
-		return nil, core.Refuse(core.CodeLeaving, retryAfterLeaving, "this host is leaving; ask for entries again")
+		return nil, core.Refuse(core.CodeHostLeaving, retryAfterLeaving, "this host is leaving; ask for entries again")
 	}
 	if n.snapshot == nil {
-		return nil, core.Refuse(core.CodeCutOff, retryAfterCutOff, "this host has no configuration yet")
+		return nil, core.Refuse(core.CodeHostCutOff, retryAfterCutOff, "this host has no configuration yet")
 	}
 	route := n.snapshot.Route(e.Path)
 	if route == nil {
@@ -52,7 +52,7 @@
 		return nil, refusal
 	}
 	if !route.Idempotent && e.IdempotencyKey == "" {
-		return nil, core.Refuse(core.CodeKeyNeeded, 0, "this route needs an Idempotency-Key header")
+		return nil, core.Refuse(core.CodeIdempotencyKeyRequired, 0, "this route needs an Idempotency-Key header")
 	}
 	return r, nil
 }
@@ -68,11 +68,11 @@
 		return nil
 	}
 	if n.feed.CutOff(n.now) {
-		return core.Refuse(core.CodeCutOff, retryAfterCutOff, "this host can't tell whether keys are still valid")
+		return core.Refuse(core.CodeHostCutOff, retryAfterCutOff, "this host can't tell whether keys are still valid")
 	}
 	key := n.snapshot.Key(r.arrival.KeyHash)
 	if key == nil {
-		return core.Refuse(core.CodeNoKey, 0, "the key is missing or not valid")
+		return core.Refuse(core.CodeInvalidKey, 0, "the key is missing or not valid")
 	}
 	if key.Withdrawn {
 		return core.Refuse(core.CodeKeyWithdrawn, 0, "the key has been withdrawn")
@@ -83,7 +83,7 @@
 	r.key = key
 	r.workspace = n.snapshot.Workspace(key.Workspace)
 	if r.workspace == nil {
-		return core.Refuse(core.CodeNoKey, 0, "the key's workspace does not exist")
+		return core.Refuse(core.CodeInvalidKey, 0, "the key's workspace does not exist")
 	}
 	return nil
 }
--- a/internal/core/node/configure.go
+++ b/internal/core/node/configure.go
@@ -109,7 +109,7 @@
 	}
 	for _, r := range n.requests.all() {
 		if r.key != nil && !r.callerDone {
-			n.refuse(r, core.Refuse(core.CodeCutOff, retryAfterCutOff, "this host can't tell whether keys are still valid"))
+			n.refuse(r, core.Refuse(core.CodeHostCutOff, retryAfterCutOff, "this host can't tell whether keys are still valid"))
 		}
 	}
 }
--- a/internal/core/node/finish.go
+++ b/internal/core/node/finish.go
@@ -226,7 +226,7 @@
 func (n *Node) refuseExpired() {
 	for _, r := range n.requests.all() {
 		if n.now >= r.deadline && !r.callerDone {
-			n.refuse(r, core.Refuse(core.CodeDeadline, retryAfterDeadline, "no whole answer before the request's deadline"))
+			n.refuse(r, core.Refuse(core.CodeDeadlineExceeded, retryAfterDeadline, "no whole answer before the request's deadline"))
 		}
 	}
 }
--- a/internal/core/node/fleet_test.go
+++ b/internal/core/node/fleet_test.go
@@ -277,7 +277,7 @@
 // executeOrder loads or unloads an adapter after a delay.
 func (f *fleet) executeOrder(h *fakeHost, o core.AdapterOrder) {
 	e := f.engines[o.Upstream]
-	done := func() { f.step(h, OrderDone{core.OrderDone{ID: o.ID, OK: true, Sure: true}}) }
+	done := func() { f.step(h, OrderDone{core.OrderDone{ID: o.ID, OK: true, NoEffect: true}}) }
 	if o.Load {
 		f.after(loadDelay, func() {
 			e.adapters[o.Adapter] = true
--- a/internal/core/node/leaving.go
+++ b/internal/core/node/leaving.go
@@ -86,7 +86,7 @@
 func (n *Node) refuseRemaining() {
 	for _, r := range n.requests.all() {
 		if !r.callerDone {
-			n.refuse(r, core.Refuse(core.CodeLeaving, retryAfterLeaving, "this host has left"))
+			n.refuse(r, core.Refuse(core.CodeHostLeaving, retryAfterLeaving, "this host has left"))
 		}
 	}
 }
--- a/internal/core/node/node_test.go
+++ b/internal/core/node/node_test.go
@@ -84,11 +84,11 @@
 	large.MaxTokens = 1 << 20
 	f.step(f.hosts[0], large)
 	f.run(time.Second)
-	is.Equal(f.answers["bad key"].refusal.Code, core.CodeNoKey)
+	is.Equal(f.answers["bad key"].refusal.Code, core.CodeInvalidKey)
 	is.Equal(f.answers["bad adapter"].refusal.Code, core.CodeUnknownAdapter)
 	is.Equal(f.answers["bad version"].refusal.Code, core.CodeUnknownAdapter)
-	is.Equal(f.answers["no idempotency key"].refusal.Code, core.CodeKeyNeeded)
-	is.Equal(f.answers["too large"].refusal.Code, core.CodeNeverFits)
+	is.Equal(f.answers["no idempotency key"].refusal.Code, core.CodeIdempotencyKeyRequired)
+	is.Equal(f.answers["too large"].refusal.Code, core.CodeExceedsBurst)
 	is.Equal(f.starts, 0)
 	for id, a := range f.answers {
 		is.Equal(a.refusal.Ran, core.RanNo) // as no engine was sent a request
@@ -258,7 +258,7 @@
 	f.step(f.hosts[3], completionRequest("at the cut host", "key-1", "quotes-01"))
 	f.step(f.hosts[0], completionRequest("elsewhere", "key-1", "quotes-01"))
 	f.run(3 * time.Second)
-	is.Equal(f.answers["at the cut host"].refusal.Code, core.CodeCutOff)
+	is.Equal(f.answers["at the cut host"].refusal.Code, core.CodeHostCutOff)
 	is.Equal(f.answers["at the cut host"].refusal.Ran, core.RanNo)
 	is.True(f.answers["elsewhere"].ok)
 	f.hosts[3].partitioned = false
--- a/internal/core/placement/entry.go
+++ b/internal/core/placement/entry.go
@@ -108,11 +108,11 @@
 // waits for a load of r's adapter, or refuses r.
 func (m *Machine) place(r *request) {
 	if !m.now.Before(r.Deadline) {
-		m.refuse(r, core.Refuse(core.CodeDeadline, retryNoLoad, "no upstream was free before the deadline"))
+		m.refuse(r, core.Refuse(core.CodeDeadlineExceeded, retryNoLoad, "no upstream was free before the deadline"))
 		return
 	}
 	if m.view.snapshot == nil {
-		m.refuse(r, core.Refuse(core.CodeCutOff, retryNoUpstream, "no configuration yet"))
+		m.refuse(r, core.Refuse(core.CodeHostCutOff, retryNoUpstream, "no configuration yet"))
 		return
 	}
 	q := pick.Request{Prefix: r.Prefix, Class: r.Class, Domain: m.settings.Domain, Avoid: r.Avoid}
@@ -327,7 +327,7 @@
 	if r.state == awaitingLoad {
 		if !m.now.Before(r.Deadline) {
 			m.cancelLoadRequest(r)
-			m.refuse(r, core.Refuse(core.CodeDeadline, m.loadRetryAfter(r.Adapter), "the adapter was not loaded before the deadline"))
+			m.refuse(r, core.Refuse(core.CodeDeadlineExceeded, m.loadRetryAfter(r.Adapter), "the adapter was not loaded before the deadline"))
 		}
 		return
 	}
@@ -336,7 +336,7 @@
 	switch {
 	case r.state == awaitingTicket && !m.now.Before(r.Deadline):
 		m.withdraw(r, End{NotReached: true})
-		m.refuse(r, core.Refuse(core.CodeDeadline, retryOverloaded, "no place came free before the deadline"))
+		m.refuse(r, core.Refuse(core.CodeDeadlineExceeded, retryOverloaded, "no place came free before the deadline"))
 	case r.state == awaitingTicket && (moved || m.now.Sub(r.lastSent) >= m.settings.Repeat):
 		m.sendTicketRequest(r)
 	case r.state == hasTicket && (moved || !r.confirmed && m.now.Sub(r.lastSent) >= m.settings.Repeat):
--- a/internal/core/placement/fleet_test.go
+++ b/internal/core/placement/fleet_test.go
@@ -226,9 +226,9 @@
 		}
 		ok := f.engines[o.Upstream].order(f, o)
 		if n := f.nodes[o.by]; n.up() {
-			done := core.OrderDone{ID: o.ID, OK: ok, Sure: true}
+			done := core.OrderDone{ID: o.ID, OK: ok, NoEffect: true}
 			if !f.orderAnswered(o.AdapterOrder) {
-				done.OK, done.Sure = false, false
+				done.OK, done.NoEffect = false, false
 			}
 			f.do(o.by, n.OrderDone(f.clock(o.by), f.ownership(o.by), done))
 		}
--- a/internal/core/placement/jobs.go
+++ b/internal/core/placement/jobs.go
@@ -137,7 +137,7 @@
 	case d.OK:
 		s.setState(resident, m.now)
 		end = LoadOK
-	case d.Sure:
+	case d.NoEffect:
 		delete(o.slots, x.adapter)
 	default:
 		s.setState(uncertain, m.now)
@@ -154,7 +154,7 @@
 		delete(o.slots, x.adapter)
 		o.removedAt[x.adapter] = m.now
 		m.startLoad(o, x.job)
-	case d.Sure:
+	case d.NoEffect:
 		v.setState(resident, m.now)
 		m.endLoadJob(o, x.job, LoadFailed)
 	default:
--- a/internal/core/replicas/replicas.go
+++ b/internal/core/replicas/replicas.go
@@ -142,7 +142,7 @@
 	s.byShort = map[uint32]*Replica{}
 	for _, r := range s.sorted {
 		s.byService[r.Service] = append(s.byService[r.Service], r)
-		s.byShort[core.Short(string(r.ID))] = r
+		s.byShort[core.ShortHash(string(r.ID))] = r
 	}
 }
 
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -116,7 +116,7 @@
 	Interactive Class = iota
 	Normal
 	Overnight
-	Classes // number of classes
+	ClassCount // number of classes
 )
 
 // Ran is whether an upstream has run a request.
@@ -134,29 +134,29 @@
 
 // Codes returned to callers.
 const (
-	CodeBadRequest       Code = "bad_request"
-	CodeTooLarge         Code = "too_large"
-	CodeNoKey            Code = "invalid_key"
-	CodeKeyWithdrawn     Code = "key_withdrawn"
-	CodeRouteForbidden   Code = "route_forbidden"
-	CodeUnknownAdapter   Code = "unknown_adapter"
-	CodeUnknownRoute     Code = "unknown_route"
-	CodeRateLimited      Code = "rate_limited"
-	CodeNeverFits        Code = "exceeds_burst"
-	CodeOverloaded       Code = "overloaded"
-	CodeDeadline         Code = "deadline_exceeded"
-	CodeNoUpstream       Code = "no_upstream"
-	CodeUpstreamFailed   Code = "upstream_failed"
-	CodeStreamBroken     Code = "stream_broken"
-	CodeSuspect          Code = "suspected_of_crashing_upstreams"
-	CodeKeyNeeded        Code = "idempotency_key_required"
-	CodeKeyReused        Code = "idempotency_key_reused"
-	CodeOutcomeUnknown   Code = "outcome_unknown"
-	CodeStoreUnavailable Code = "store_unavailable"
-	CodeCutOff           Code = "host_cut_off"
-	CodeLeaving          Code = "host_leaving"
-	CodeCancelled        Code = "cancelled"
-	CodeInternal         Code = "internal"
+	CodeBadRequest             Code = "bad_request"
+	CodeTooLarge               Code = "too_large"
+	CodeInvalidKey             Code = "invalid_key"
+	CodeKeyWithdrawn           Code = "key_withdrawn"
+	CodeRouteForbidden         Code = "route_forbidden"
+	CodeUnknownAdapter         Code = "unknown_adapter"
+	CodeUnknownRoute           Code = "unknown_route"
+	CodeRateLimited            Code = "rate_limited"
+	CodeExceedsBurst           Code = "exceeds_burst"
+	CodeOverloaded             Code = "overloaded"
+	CodeDeadlineExceeded       Code = "deadline_exceeded"
+	CodeNoUpstream             Code = "no_upstream"
+	CodeUpstreamFailed         Code = "upstream_failed"
+	CodeStreamBroken           Code = "stream_broken"
+	CodeSuspect                Code = "suspected_of_crashing_upstreams"
+	CodeIdempotencyKeyRequired Code = "idempotency_key_required"
+	CodeIdempotencyKeyReused   Code = "idempotency_key_reused"
+	CodeOutcomeUnknown         Code = "outcome_unknown"
+	CodeStoreUnavailable       Code = "store_unavailable"
+	CodeHostCutOff             Code = "host_cut_off"
+	CodeHostLeaving            Code = "host_leaving"
+	CodeCancelled              Code = "cancelled"
+	CodeInternal               Code = "internal"
 )
 
 // Refusal is the reason why a request got no complete answer.
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -35,9 +35,9 @@
 
 // OrderDone is the result of the adapter order with the same id.
 type OrderDone struct {
-	ID   uint64
-	OK   bool
-	Sure bool // if OK is false: the order has had and will have no effect
+	ID       uint64
+	OK       bool
+	NoEffect bool // if OK is false: the order has had and will have no effect
 }
 
 // Outcome is the recorded answer to a non-idempotent request. Its size is bounded.
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -32,22 +32,22 @@
 
 // statusByCode maps refusal codes to HTTP statuses; every other code is 503.
 var statusByCode = map[core.Code]int{
-	core.CodeBadRequest:     400,
-	core.CodeKeyNeeded:      400,
-	core.CodeTooLarge:       413,
-	core.CodeNoKey:          401,
-	core.CodeKeyWithdrawn:   401,
-	core.CodeRouteForbidden: 403,
-	core.CodeUnknownAdapter: 404,
-	core.CodeUnknownRoute:   404,
-	core.CodeKeyReused:      422,
-	core.CodeSuspect:        422,
-	core.CodeNeverFits:      413,
-	core.CodeRateLimited:    429,
-	core.CodeUpstreamFailed: 502,
-	core.CodeOutcomeUnknown: 409,
-	core.CodeDeadline:       504,
-	core.CodeInternal:       500,
+	core.CodeBadRequest:             400,
+	core.CodeIdempotencyKeyRequired: 400,
+	core.CodeTooLarge:               413,
+	core.CodeInvalidKey:             401,
+	core.CodeKeyWithdrawn:           401,
+	core.CodeRouteForbidden:         403,
+	core.CodeUnknownAdapter:         404,
+	core.CodeUnknownRoute:           404,
+	core.CodeIdempotencyKeyReused:   422,
+	core.CodeSuspect:                422,
+	core.CodeExceedsBurst:           413,
+	core.CodeRateLimited:            429,
+	core.CodeUpstreamFailed:         502,
+	core.CodeOutcomeUnknown:         409,
+	core.CodeDeadlineExceeded:       504,
+	core.CodeInternal:               500,
 }
 
 func encodeRefusal(r *core.Refusal) []byte {
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -138,7 +138,7 @@
 		return
 	}
 	t.hangUp()
-	t.endRefused(ctx, &core.Refusal{Code: core.CodeDeadline, Message: "no answer in time", Ran: core.RanUnknown})
+	t.endRefused(ctx, &core.Refusal{Code: core.CodeDeadlineExceeded, Message: "no answer in time", Ran: core.RanUnknown})
 }
 
 // carryOut carries out a decision. It returns true if the request needs no further
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -211,7 +211,7 @@
 		h.Tell(node.OrderDone{OrderDone: h.executors.Orders.Do(ctx, o)})
 	})
 	if !accepted {
-		h.localEvents = append(h.localEvents, node.OrderDone{OrderDone: core.OrderDone{ID: o.ID, Sure: true}})
+		h.localEvents = append(h.localEvents, node.OrderDone{OrderDone: core.OrderDone{ID: o.ID, NoEffect: true}})
 	}
 }
 
--- a/internal/measure/adapters/placed.go
+++ b/internal/measure/adapters/placed.go
@@ -209,7 +209,7 @@
 	generation := e.incarnation
 	done := func(ok bool) {
 		p.clock.after(linkTime, func() {
-			p.do(host, p.machines[host].OrderDone(p.now(), p.own(host), core.OrderDone{ID: o.ID, OK: ok, Sure: true}))
+			p.do(host, p.machines[host].OrderDone(p.now(), p.own(host), core.OrderDone{ID: o.ID, OK: ok, NoEffect: true}))
 		})
 	}
 	if !o.Load {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -157,15 +157,15 @@
 
 // statusByCode maps refusal codes to HTTP statuses; every other code is 503.
 var statusByCode = map[core.Code]int{
-	core.CodeBadRequest:     fasthttp.StatusBadRequest,
-	core.CodeTooLarge:       fasthttp.StatusRequestEntityTooLarge,
-	core.CodeNoKey:          fasthttp.StatusUnauthorized,
-	core.CodeKeyWithdrawn:   fasthttp.StatusUnauthorized,
-	core.CodeUnknownRoute:   fasthttp.StatusNotFound,
-	core.CodeRateLimited:    fasthttp.StatusTooManyRequests,
-	core.CodeUpstreamFailed: fasthttp.StatusBadGateway,
-	core.CodeDeadline:       fasthttp.StatusGatewayTimeout,
-	core.CodeInternal:       fasthttp.StatusInternalServerError,
+	core.CodeBadRequest:       fasthttp.StatusBadRequest,
+	core.CodeTooLarge:         fasthttp.StatusRequestEntityTooLarge,
+	core.CodeInvalidKey:       fasthttp.StatusUnauthorized,
+	core.CodeKeyWithdrawn:     fasthttp.StatusUnauthorized,
+	core.CodeUnknownRoute:     fasthttp.StatusNotFound,
+	core.CodeRateLimited:      fasthttp.StatusTooManyRequests,
+	core.CodeUpstreamFailed:   fasthttp.StatusBadGateway,
+	core.CodeDeadlineExceeded: fasthttp.StatusGatewayTimeout,
+	core.CodeInternal:         fasthttp.StatusInternalServerError,
 }
 
 type errorBody struct {
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -123,14 +123,14 @@
 	now := core.Instant(10)
 	o := Orders{Client: NewClient(nil, nil), Now: func() core.Instant { return now }}
 	order := core.AdapterOrder{ID: 7, Address: address(s), Load: true, Adapter: core.AdapterRef{ID: "a", Version: 1}, Grant: core.Grant{Fence: 9, Until: 11}, Timeout: time.Second}
-	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, OK: true, Sure: true})
+	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, OK: true, NoEffect: true})
 	is.Equal(fence.Load(), "9")
 	now = 11
-	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, Sure: true})
+	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, NoEffect: true})
 	is.Equal(orders.Load(), int32(1)) // nothing is sent at or after Until
 	reads := 0
 	o.Now = func() core.Instant { reads++; return core.Instant(10 + reads/2) }
-	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, Sure: true})
+	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, NoEffect: true})
 	is.Equal(orders.Load(), int32(1)) // the grant expired while the connection was being opened
 }
 
--- a/internal/upstream/orders.go
+++ b/internal/upstream/orders.go
@@ -32,18 +32,18 @@
 	defer cancel()
 	body, err := json.Marshal(orderBody{Name: o.Adapter.String(), Path: o.Adapter.String()})
 	if err != nil || s.expired(o) {
-		return core.OrderDone{ID: o.ID, Sure: true}
+		return core.OrderDone{ID: o.ID, NoEffect: true}
 	}
 	a, err := s.client().sendOrder(ctx, orderCall(o, body), func() bool { return s.expired(o) })
 	if err != nil {
-		return core.OrderDone{ID: o.ID, Sure: NotReached.Has(err)}
+		return core.OrderDone{ID: o.ID, NoEffect: NotReached.Has(err)}
 	}
 	defer a.Close()
 	if _, err := ReadWhole(a, maxOrderAnswerBytes); err != nil {
 		return core.OrderDone{ID: o.ID}
 	}
 	refused := a.Status >= http.StatusBadRequest && a.Status < http.StatusInternalServerError
-	return core.OrderDone{ID: o.ID, OK: a.Status == http.StatusOK, Sure: a.Status == http.StatusOK || refused || a.NotRun}
+	return core.OrderDone{ID: o.ID, OK: a.Status == http.StatusOK, NoEffect: a.Status == http.StatusOK || refused || a.NotRun}
 }
 
 func orderCall(o core.AdapterOrder, body []byte) Call {
--- a/internal/wiring/status.go
+++ b/internal/wiring/status.go
@@ -65,11 +65,11 @@
 	}
 	snapshot := <-result
 	if snapshot == nil {
-		return nil, core.Refuse(core.CodeCutOff, time.Second, "this host has no configuration yet")
+		return nil, core.Refuse(core.CodeHostCutOff, time.Second, "this host has no configuration yet")
 	}
 	key := snapshot.Key(keyHash)
 	if key == nil || key.Withdrawn {
-		return nil, core.Refuse(core.CodeNoKey, 0, "the key is missing or not valid")
+		return nil, core.Refuse(core.CodeInvalidKey, 0, "the key is missing or not valid")
 	}
 	return models(snapshot, key.Workspace), nil
 }
