--- a/internal/core/direct/admit.go
+++ b/internal/core/direct/admit.go
@@ -94,7 +94,7 @@
 // authorize sets the workspace that a request runs for. Invariant: except on open
 // routes, a request runs only for the workspace of its key.
 func (m *Machine) authorize(r *request) *core.Refusal {
-	if !m.table.Keyed || r.route.Open {
+	if !m.table.KeysRequired || r.route.KeyOptional {
 		return nil
 	}
 	if r.arrival.HasKey {
@@ -124,7 +124,7 @@
 	if declared > 0 {
 		return declared
 	}
-	return w.Plain
+	return w.DefaultCost
 }
 
 // refund returns the tokens of a request that has not run.
--- a/internal/core/direct/finish.go
+++ b/internal/core/direct/finish.go
@@ -281,7 +281,7 @@
 
 // maxAdapterWait returns how long a request may wait for its adapter.
 func (r *request) maxAdapterWait() time.Duration {
-	return max(maxWaitObjectives*r.route.Objective, minAdapterWait)
+	return max(maxWaitObjectives*r.route.LatencyTarget, minAdapterWait)
 }
 
 // shouldMove reports whether a request is to be moved because its replica has not
@@ -290,7 +290,7 @@
 	if r.answerStarted || r.moving || !r.route.Repeatable() || r.possibleRuns+1 >= r.route.MaxAttempts {
 		return false
 	}
-	wait := max(time.Duration(resendObjectiveFraction*float64(r.route.Objective)), minResendDelay)
+	wait := max(time.Duration(resendObjectiveFraction*float64(r.route.LatencyTarget)), minResendDelay)
 	if m.now.Sub(r.stageSince) < wait || r.deadline.Sub(m.now) < wait {
 		return false
 	}
--- a/internal/core/direct/host_test.go
+++ b/internal/core/direct/host_test.go
@@ -35,18 +35,18 @@
 	t := &table.Table{
 		Version: 1,
 		Routes: []table.Route{
-			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: table.Streaming, Resumable: true, Open: true, Timeout: 10 * time.Second, Objective: 500 * time.Millisecond, MaxAttempts: 2, Targets: []table.Target{{Service: engines, Weight: 1}}},
-			{Name: "once-stream", Host: "h", Prefix: "/once-stream/", Kind: table.Streaming, Open: true, Timeout: 10 * time.Second, Objective: 500 * time.Millisecond, MaxAttempts: 1, Targets: []table.Target{{Service: engines, Weight: 1}}},
-			{Name: "read", Host: "h", Prefix: "/read/", Kind: table.Idempotent, Open: true, Timeout: time.Second, Objective: 100 * time.Millisecond, MaxAttempts: 2, Targets: []table.Target{{Service: services, Weight: 1}}},
-			{Name: "act", Host: "h", Prefix: "/act/", Kind: table.NonIdempotent, Open: true, Timeout: time.Second, Objective: 100 * time.Millisecond, MaxAttempts: 1, Targets: []table.Target{{Service: services, Weight: 1}}},
-			{Name: "keyed", Host: "h", Prefix: "/keyed/", Kind: table.NonIdempotent, Timeout: time.Second, Objective: 100 * time.Millisecond, MaxAttempts: 1, Targets: []table.Target{{Service: services, Weight: 1}}},
+			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: table.Streaming, Resumable: true, KeyOptional: true, Timeout: 10 * time.Second, LatencyTarget: 500 * time.Millisecond, MaxAttempts: 2, Targets: []table.Target{{Service: engines, Weight: 1}}},
+			{Name: "once-stream", Host: "h", Prefix: "/once-stream/", Kind: table.Streaming, KeyOptional: true, Timeout: 10 * time.Second, LatencyTarget: 500 * time.Millisecond, MaxAttempts: 1, Targets: []table.Target{{Service: engines, Weight: 1}}},
+			{Name: "read", Host: "h", Prefix: "/read/", Kind: table.Idempotent, KeyOptional: true, Timeout: time.Second, LatencyTarget: 100 * time.Millisecond, MaxAttempts: 2, Targets: []table.Target{{Service: services, Weight: 1}}},
+			{Name: "act", Host: "h", Prefix: "/act/", Kind: table.NonIdempotent, KeyOptional: true, Timeout: time.Second, LatencyTarget: 100 * time.Millisecond, MaxAttempts: 1, Targets: []table.Target{{Service: services, Weight: 1}}},
+			{Name: "keyed", Host: "h", Prefix: "/keyed/", Kind: table.NonIdempotent, Timeout: time.Second, LatencyTarget: 100 * time.Millisecond, MaxAttempts: 1, Targets: []table.Target{{Service: services, Weight: 1}}},
 		},
-		Keyed: true,
+		KeysRequired: true,
 		Services: map[table.ServiceID]*table.Service{
 			engines:  {ID: engines, Engine: &table.Engine{Batch: 4, AdapterSlots: 2, Models: []table.Model{{Name: model}}}},
 			services: {ID: services},
 		},
-		Workspaces: map[core.WorkspaceID]*table.Workspace{"w": {ID: "w", Rate: 100, Burst: 100, Plain: 10}},
+		Workspaces: map[core.WorkspaceID]*table.Workspace{"w": {ID: "w", Rate: 100, Burst: 100, DefaultCost: 10}},
 	}
 	t.Keys = map[table.KeyHash]*table.Workspace{table.HashKey([]byte("key")): t.Workspaces["w"]}
 	t.Index()
--- a/internal/core/direct/machine.go
+++ b/internal/core/direct/machine.go
@@ -241,7 +241,7 @@
 // Running requests are completed.
 func (m *Machine) refuseWithdrawnKeys() {
 	for _, r := range m.requests.all() {
-		if r.stage != stageWaiting || r.route.Open || !m.table.Keyed {
+		if r.stage != stageWaiting || r.route.KeyOptional || !m.table.KeysRequired {
 			continue
 		}
 		if m.table.Keys[r.arrival.Key] == nil {
--- a/internal/core/direct/place.go
+++ b/internal/core/direct/place.go
@@ -217,7 +217,7 @@
 		Model:   r.arrival.Model,
 		Adapter: core.AdapterRef{ID: r.arrival.Adapter, Version: m.versions[r.arrival.Adapter].version},
 		Weight:  m.waitingCount(r.arrival.Adapter),
-		Left:    r.arrivedAt.Add(r.route.Objective).Sub(m.now) - dispatchToFirstEvent,
+		Left:    r.arrivedAt.Add(r.route.LatencyTarget).Sub(m.now) - dispatchToFirstEvent,
 	}
 	if _, ok := m.orderFence(x.ID); ok {
 		m.residency.AddDemand(m.now, d)
--- a/internal/core/table/table.go
+++ b/internal/core/table/table.go
@@ -46,18 +46,18 @@
 
 // Route maps requests for a host name and a path prefix to services.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // begins and ends with a slash
-	Kind        Kind
-	Resumable   bool // another replica may continue a stream
-	Open        bool // callers need no key
-	Timeout     time.Duration
-	Objective   time.Duration // target latency of the whole answer, or of the first event of a stream
-	Pause       time.Duration // maximum time between two events that counts as on time
-	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // replicas that one request may be sent to
-	Targets     []Target
+	Name          string
+	Host          string
+	Prefix        string // begins and ends with a slash
+	Kind          Kind
+	Resumable     bool // another replica may continue a stream
+	KeyOptional   bool // callers need no key
+	Timeout       time.Duration
+	LatencyTarget time.Duration // target latency of the whole answer, or of the first event of a stream
+	MaxEventGap   time.Duration // maximum time between two events that counts as on time
+	Priority      int           // 0 is the most urgent
+	MaxAttempts   int           // replicas that one request may be sent to
+	Targets       []Target
 }
 
 // Repeatable reports whether a request may run more than once.
@@ -105,11 +105,11 @@
 
 // Workspace is a group of callers with one rate.
 type Workspace struct {
-	ID       core.WorkspaceID
-	Priority int
-	Rate     float64     // tokens per second over all hosts; 0: no limit
-	Burst    float64     // tokens
-	Plain    core.Tokens // cost of a request that doesn't state its own
+	ID          core.WorkspaceID
+	Priority    int
+	Rate        float64     // tokens per second over all hosts; 0: no limit
+	Burst       float64     // tokens
+	DefaultCost core.Tokens // cost of a request that doesn't state its own
 }
 
 // KeyHash is the hash of a caller's key; keys themselves are not stored.
@@ -120,12 +120,12 @@
 
 // Table is one checked version of the configuration.
 type Table struct {
-	Version    uint64
-	Keyed      bool // callers need keys except on open routes
-	Routes     []Route
-	Services   map[ServiceID]*Service
-	Workspaces map[core.WorkspaceID]*Workspace
-	Keys       map[KeyHash]*Workspace
+	Version      uint64
+	KeysRequired bool // callers need keys except on open routes
+	Routes       []Route
+	Services     map[ServiceID]*Service
+	Workspaces   map[core.WorkspaceID]*Workspace
+	Keys         map[KeyHash]*Workspace
 
 	routes map[string]map[string]*Route // by host name and prefix
 }
