--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -15,17 +15,17 @@
 
 // Bounds of an answer.
 const (
-	// Keep is how long a caller may cache an answer. A leaving host continues to serve
+	// AnswerTTL is how long a caller may cache an answer. A leaving host continues to serve
 	// for at least this long after it has left the directory.
-	Keep = 10 * time.Second
-	// KeepUnsure is the same if hosts are suspected or a home is overloaded.
-	KeepUnsure = 3 * time.Second
+	AnswerTTL = 10 * time.Second
+	// UnsureAnswerTTL is the same if hosts are suspected or a home is overloaded.
+	UnsureAnswerTTL = 3 * time.Second
 	// MinHomes is the minimum of homes of a workspace, if that many hosts are usable.
 	MinHomes = 2
 	// MaxAddresses is the maximum of addresses in an answer.
 	MaxAddresses = 8
-	// LoadFull is the fraction of capacity in use from which a host is ordered last.
-	LoadFull = 0.9
+	// SaturatedLoad is the fraction of capacity in use from which a host is ordered last.
+	SaturatedLoad = 0.9
 )
 
 // homeScoreKind separates these rendezvous scores from other uses.
@@ -48,7 +48,7 @@
 type Answer struct {
 	Hosts     []core.HostID // best first
 	Addresses []string      // of Hosts
-	Keep      time.Duration // how long the caller may cache the answer
+	TTL       time.Duration // how long the caller may cache the answer
 }
 
 // Entries chooses the hosts for a caller, at least one if there is any member: a
@@ -57,9 +57,9 @@
 	live, unsure := usableMembers(in)
 	homes := chooseHomes(live, in)
 	order(homes, in)
-	answer := Answer{Keep: Keep}
+	answer := Answer{TTL: AnswerTTL}
 	if unsure || overloaded(homes, in) {
-		answer.Keep = KeepUnsure
+		answer.TTL = UnsureAnswerTTL
 	}
 	for _, m := range homes[:min(len(homes), MaxAddresses)] {
 		answer.Hosts = append(answer.Hosts, m.Host)
@@ -93,10 +93,10 @@
 	return live, true
 }
 
-// Homes is the number of n hosts that a workspace with a share of all rates is spread
+// HomeCount is the number of n hosts that a workspace with a share of all rates is spread
 // over: twice its even share, but at least MinHomes and at most n. More would leave too
 // little of the workspace's rate on each host.
-func Homes(n int, share float64) int {
+func HomeCount(n int, share float64) int {
 	const spare = 2 // times the even share, for callers that arrive unevenly
 	homes := int(math.Ceil(share * spare * float64(n)))
 	return min(max(homes, MinHomes), n)
@@ -115,7 +115,7 @@
 		sb := core.Score(b.Host, homeScoreKind, string(in.Workspace))
 		return cmp.Or(cmp.Compare(sb, sa), cmp.Compare(a.Host, b.Host))
 	})
-	count := Homes(len(ranked), in.Share)
+	count := HomeCount(len(ranked), in.Share)
 	homes := make([]core.Member, 0, count)
 	for round := 0; len(homes) < count; round++ {
 		perDomain := map[core.Domain]int{}
@@ -157,7 +157,7 @@
 	const callerScoreKind = 0xd2
 	draw := core.NewRand(in.Seed).Uint64()
 	slices.SortFunc(homes, func(a, b core.Member) int {
-		saturatedA, saturatedB := in.Load[a.Host] >= LoadFull, in.Load[b.Host] >= LoadFull
+		saturatedA, saturatedB := in.Load[a.Host] >= SaturatedLoad, in.Load[b.Host] >= SaturatedLoad
 		if saturatedA != saturatedB {
 			if saturatedB {
 				return -1
@@ -190,7 +190,7 @@
 // overloaded reports whether any home is saturated.
 func overloaded(homes []core.Member, in Input) bool {
 	for _, m := range homes {
-		if in.Load[m.Host] >= LoadFull {
+		if in.Load[m.Host] >= SaturatedLoad {
 			return true
 		}
 	}
--- a/internal/core/directory/directory_test.go
+++ b/internal/core/directory/directory_test.go
@@ -55,7 +55,7 @@
 			in.Load[m.Host] = rapid.Float64Range(0, 2).Draw(t, "load")
 		}
 		a := Entries(in)
-		if len(a.Hosts) == 0 || len(a.Hosts) != len(a.Addresses) || a.Keep <= 0 {
+		if len(a.Hosts) == 0 || len(a.Hosts) != len(a.Addresses) || a.TTL <= 0 {
 			t.Fatalf("empty answer %+v", a)
 		}
 		for _, h := range a.Hosts {
