--- a/internal/core/dispatch/suspect/bench_test.go
+++ b/internal/core/dispatch/suspect/bench_test.go
@@ -19,8 +19,8 @@
 	}
 	carry := func(r Result) {
 		for _, s := range r.Sends {
-			for _, back := range f.machines[s.To].Peer(f.now, own, "h0", s.Message).Sends {
-				entry.Peer(f.now, own, s.To, back.Message)
+			for _, back := range f.machines[s.To].HandleMessage(f.now, own, "h0", s.Message).Sends {
+				entry.HandleMessage(f.now, own, s.To, back.Message)
 			}
 		}
 	}
--- a/internal/core/dispatch/suspect/entry.go
+++ b/internal/core/dispatch/suspect/entry.go
@@ -39,7 +39,7 @@
 		ID:          c.id,
 		Fingerprint: c.req.Fingerprint,
 		Upstream:    c.req.Upstream,
-		Second:      home != first,
+		SecondHome:  home != first,
 	}})
 }
 
@@ -60,7 +60,7 @@
 		return
 	}
 	if host, ok := m.isolationHost(now, c.req.Upstream); ok {
-		m.send(now, host, Message{Free: &FreeMessage{ID: c.id, Upstream: c.req.Upstream}})
+		m.send(now, host, Message{FreeSlot: &FreeSlotMessage{ID: c.id, Upstream: c.req.Upstream}})
 	}
 }
 
@@ -80,7 +80,7 @@
 	c.decided = true
 	c.isolated = isolated
 	c.due = now.Add(renewInterval)
-	m.decide(Decision{ID: c.req.ID, Allowed: true, Suspect: isolated, Reason: reason})
+	m.decide(Decision{ID: c.req.ID, Allowed: true, Isolate: isolated, Reason: reason})
 }
 
 func (m *Machine) refuse(c *claim, r *core.Refusal, reason string) {
@@ -111,7 +111,7 @@
 		return
 	}
 	if host, ok := m.isolationHost(now, c.req.Upstream); ok {
-		m.send(now, host, Message{Apart: &ApartMessage{ID: c.id, Entry: m.self, Upstream: c.req.Upstream}})
+		m.send(now, host, Message{Isolate: &IsolateMessage{ID: c.id, Entry: m.self, Upstream: c.req.Upstream}})
 	}
 }
 
@@ -129,21 +129,21 @@
 		m.handleRevocation(now, c)
 	case c.decided:
 	case v.Waiting:
-		c.isolated, c.alternatives = true, v.Use
+		c.isolated, c.alternatives = true, v.Alternatives
 		c.due = now.Add(isolationTimeout)
 		if len(c.alternatives) > 0 {
 			c.due = now.Add(secondUpstreamTimeout)
 		}
 	case v.Allowed:
-		m.allow(now, c, v.Suspect, "home "+string(from))
-	case v.Struck >= Budget:
-		m.mergeCount(now, Strike{Fingerprint: c.req.Fingerprint, Count: v.Struck})
+		m.allow(now, c, v.Isolated, "home "+string(from))
+	case v.CrashCount >= MaxCrashes:
+		m.mergeCount(now, CrashCount{Fingerprint: c.req.Fingerprint, Count: v.CrashCount})
 		m.refuse(c, blockedRefusal(), "convicted")
 	default:
 		if c.isolated {
 			m.endClaim(now, c, EndNotSent) // the slot's queue is full: release the claim at the home
 		}
-		m.refuseOverBudget(c, v.Use)
+		m.refuseOverBudget(c, v.Alternatives)
 	}
 }
 
@@ -151,7 +151,7 @@
 // upstreams as it may, and returns those where a claim would be allowed.
 func (m *Machine) refuseOverBudget(c *claim, alternatives []core.UpstreamID) {
 	m.refuse(c, core.Refuse(core.CodeOverloaded, busyRetryAfter, "the same request is being tried elsewhere"), "budget in use")
-	m.out.Decisions[len(m.out.Decisions)-1].Use = alternatives
+	m.out.Decisions[len(m.out.Decisions)-1].Alternatives = alternatives
 }
 
 // isolationTimedOut ends the wait of a claim for its isolation slot.
--- a/internal/core/dispatch/suspect/fleet_test.go
+++ b/internal/core/dispatch/suspect/fleet_test.go
@@ -56,7 +56,7 @@
 	unreported  []running                        // crashed runs that the entry host has not reported yet
 	refused     map[core.RequestID]core.Code
 	use         map[core.RequestID][]core.UpstreamID
-	crashCounts []Strike
+	crashCounts []CrashCount
 	serial      int
 }
 
@@ -92,7 +92,7 @@
 		}
 		if !d.Allowed {
 			f.refused[d.ID] = d.Refusal.Code
-			f.use[d.ID] = d.Use
+			f.use[d.ID] = d.Alternatives
 			continue
 		}
 		c := f.machines[h].byRequest[d.ID]
@@ -136,7 +136,7 @@
 func (f *fleet) reportCrash(i int) {
 	x := f.unreported[i]
 	f.unreported = append(f.unreported[:i], f.unreported[i+1:]...)
-	f.apply(x.entry, f.machines[x.entry].Release(f.now, f.own(x.entry), x.req.ID, EndDied))
+	f.apply(x.entry, f.machines[x.entry].Release(f.now, f.own(x.entry), x.req.ID, EndCrashed))
 }
 
 func (f *fleet) finish(i int) {
@@ -149,7 +149,7 @@
 	p := f.inFlight[i]
 	f.inFlight = append(f.inFlight[:i], f.inFlight[i+1:]...)
 	if m := f.machines[p.to]; m != nil {
-		f.apply(p.to, m.Peer(f.now, f.own(p.to), p.from, p.msg))
+		f.apply(p.to, m.HandleMessage(f.now, f.own(p.to), p.from, p.msg))
 	}
 }
 
--- a/internal/core/dispatch/suspect/home.go
+++ b/internal/core/dispatch/suspect/home.go
@@ -41,10 +41,10 @@
 		m.handleVerdict(now, from, *msg.Verdict)
 	case msg.Release != nil:
 		m.handleRelease(now, *msg.Release)
-	case msg.Apart != nil:
-		m.handleIsolate(now, *msg.Apart)
-	case msg.Free != nil:
-		m.handleFree(now, *msg.Free)
+	case msg.Isolate != nil:
+		m.handleIsolate(now, *msg.Isolate)
+	case msg.FreeSlot != nil:
+		m.handleFree(now, *msg.FreeSlot)
 	}
 }
 
@@ -81,9 +81,9 @@
 		return
 	}
 	if !r.allows(now, c) {
-		v := VerdictMessage{ID: c.ID, Struck: r.crashCount}
+		v := VerdictMessage{ID: c.ID, CrashCount: r.crashCount}
 		if r.crashCount == 0 {
-			v.Use = r.upstreams()
+			v.Alternatives = r.upstreams()
 		}
 		m.send(now, from, Message{Verdict: &v})
 		return
@@ -102,7 +102,7 @@
 // and those it runs on together never exceed the budget. The second home has
 // no record of what the first one allowed, so it allows one upstream only.
 func (r *fingerprintRecord) allows(now core.Instant, c ClaimMessage) bool {
-	if r.crashCount >= Budget {
+	if r.crashCount >= MaxCrashes {
 		return false
 	}
 	if r.crashCount > 0 {
@@ -111,8 +111,8 @@
 	if now.Before(r.clearedUntil) {
 		return true
 	}
-	budget := Budget
-	if c.Second {
+	budget := MaxCrashes
+	if c.SecondHome {
 		budget = 1
 	}
 	used := r.upstreams()
@@ -150,8 +150,8 @@
 func (r *fingerprintRecord) expire(now core.Instant) {
 	r.runs = slices.DeleteFunc(r.runs, func(x run) bool { return now.Sub(x.renewedAt) >= claimTTL })
 	ttl := suspicionTTL
-	if r.crashCount >= Budget {
-		ttl = ConvictionTerm
+	if r.crashCount >= MaxCrashes {
+		ttl = BlockTTL
 	}
 	if r.crashCount > 0 && now.Sub(r.lastCrash) >= ttl {
 		r.crashCount = 0
@@ -162,16 +162,16 @@
 // handleRelease applies the end of a claim, or a crash reported without one.
 func (m *Machine) handleRelease(now core.Instant, e ReleaseMessage) {
 	r := m.records[e.Fingerprint]
-	if r == nil && e.End != EndDied {
+	if r == nil && e.End != EndCrashed {
 		return
 	}
-	if e.End == EndDied {
+	if e.End == EndCrashed {
 		r = m.recordOf(now, e.Fingerprint)
 	}
 	r.expire(now)
 	r.removeRun(e.ID)
 	switch e.End {
-	case EndDied:
+	case EndCrashed:
 		m.countCrash(now, r, e)
 	case EndOK:
 		m.clear(now, e.Fingerprint, r)
@@ -190,10 +190,10 @@
 	}
 	m.revokeRuns(now, r, e.Upstream)
 	r.crashes = append(r.crashes, crash{upstream: e.Upstream, at: now})
-	if over := len(r.crashes) - Budget; over > 0 {
+	if over := len(r.crashes) - MaxCrashes; over > 0 {
 		r.crashes = r.crashes[over:]
 	}
-	r.crashCount = min(r.crashCount+1, Budget)
+	r.crashCount = min(r.crashCount+1, MaxCrashes)
 	r.serial++
 	r.lastCrash = now
 	r.clearedUntil = 0
@@ -214,7 +214,7 @@
 // clear resets the crash count of a fingerprint that completed, unless it is
 // blocked.
 func (m *Machine) clear(now core.Instant, f uint64, r *fingerprintRecord) {
-	if r.crashCount >= Budget {
+	if r.crashCount >= MaxCrashes {
 		return
 	}
 	r.clearedUntil = now.Add(clearedTTL)
@@ -227,7 +227,7 @@
 }
 
 func (m *Machine) publish(f uint64, r *fingerprintRecord) {
-	s := Strike{Fingerprint: f, Count: r.crashCount, Serial: r.serial}
+	s := CrashCount{Fingerprint: f, Count: r.crashCount, Serial: r.serial}
 	delete(m.learned, f) // older than this home's count
 	m.out.Publish = append(m.out.Publish, s)
 }
--- a/internal/core/dispatch/suspect/isolation.go
+++ b/internal/core/dispatch/suspect/isolation.go
@@ -10,9 +10,9 @@
 // order of arrival. So a second crash identifies one suspect and never a request
 // that merely ran beside it.
 type isolationSlot struct {
-	running   ApartMessage
+	running   IsolateMessage
 	renewedAt core.Instant
-	waiting   []ApartMessage
+	waiting   []IsolateMessage
 }
 
 // isolate sends an allowed run to the isolation host of its upstream. One that is
@@ -22,13 +22,13 @@
 	if !ok {
 		return // the entry host refuses it after its wait
 	}
-	m.send(now, x.entry, Message{Verdict: &VerdictMessage{ID: x.id, Waiting: true, Use: use}})
-	m.send(now, host, Message{Apart: &ApartMessage{ID: x.id, Entry: x.entry, Upstream: x.upstream}})
+	m.send(now, x.entry, Message{Verdict: &VerdictMessage{ID: x.id, Waiting: true, Alternatives: use}})
+	m.send(now, host, Message{Isolate: &IsolateMessage{ID: x.id, Entry: x.entry, Upstream: x.upstream}})
 }
 
 // handleIsolate grants the slot of an upstream to a suspect, or queues it. A
 // repeated message from the running one renews it.
-func (m *Machine) handleIsolate(now core.Instant, a ApartMessage) {
+func (m *Machine) handleIsolate(now core.Instant, a IsolateMessage) {
 	slot := m.slots[a.Upstream]
 	if slot == nil {
 		slot = &isolationSlot{}
@@ -38,33 +38,33 @@
 	switch {
 	case slot.running.ID == "" || slot.running.ID == a.ID:
 		m.grantSlot(now, slot, a)
-	case slices.ContainsFunc(slot.waiting, func(w ApartMessage) bool { return w.ID == a.ID }):
+	case slices.ContainsFunc(slot.waiting, func(w IsolateMessage) bool { return w.ID == a.ID }):
 	case len(slot.waiting) < maxQueuedPerSlot:
 		slot.waiting = append(slot.waiting, a)
 	default:
-		m.send(now, a.Entry, Message{Verdict: &VerdictMessage{ID: a.ID, Struck: 1}})
+		m.send(now, a.Entry, Message{Verdict: &VerdictMessage{ID: a.ID, CrashCount: 1}})
 	}
 }
 
-func (m *Machine) grantSlot(now core.Instant, slot *isolationSlot, a ApartMessage) {
+func (m *Machine) grantSlot(now core.Instant, slot *isolationSlot, a IsolateMessage) {
 	slot.running, slot.renewedAt = a, now
-	m.send(now, a.Entry, Message{Verdict: &VerdictMessage{ID: a.ID, Allowed: true, Suspect: true, Struck: 1}})
+	m.send(now, a.Entry, Message{Verdict: &VerdictMessage{ID: a.ID, Allowed: true, Isolated: true, CrashCount: 1}})
 }
 
 // handleFree ends a suspect's run or wait; the next one gets the slot.
-func (m *Machine) handleFree(now core.Instant, f FreeMessage) {
+func (m *Machine) handleFree(now core.Instant, f FreeSlotMessage) {
 	slot := m.slots[f.Upstream]
 	if slot == nil {
 		return
 	}
-	slot.waiting = slices.DeleteFunc(slot.waiting, func(w ApartMessage) bool { return w.ID == f.ID })
+	slot.waiting = slices.DeleteFunc(slot.waiting, func(w IsolateMessage) bool { return w.ID == f.ID })
 	if slot.running.ID == f.ID {
 		m.grantNext(now, slot)
 	}
 }
 
 func (m *Machine) grantNext(now core.Instant, slot *isolationSlot) {
-	slot.running = ApartMessage{}
+	slot.running = IsolateMessage{}
 	if len(slot.waiting) == 0 {
 		return
 	}
--- a/internal/core/dispatch/suspect/learned.go
+++ b/internal/core/dispatch/suspect/learned.go
@@ -9,8 +9,8 @@
 	until  core.Instant
 }
 
-// Learned applies crash counts that other hosts published. The higher serial wins.
-func (m *Machine) Learned(now core.Instant, counts []Strike) Result {
+// ApplyPublished applies crash counts that other hosts published. The higher serial wins.
+func (m *Machine) ApplyPublished(now core.Instant, counts []CrashCount) Result {
 	m.begin(nil)
 	for _, s := range counts {
 		m.mergeCount(now, s)
@@ -23,14 +23,14 @@
 
 // mergeCount stores a published count unless a newer one is stored. Serial 0
 // always replaces the count and keeps the stored serial.
-func (m *Machine) mergeCount(now core.Instant, s Strike) {
+func (m *Machine) mergeCount(now core.Instant, s CrashCount) {
 	old, stored := m.learned[s.Fingerprint]
 	if stored && s.Serial != 0 && s.Serial <= old.serial {
 		return
 	}
 	ttl := suspicionTTL
-	if s.Count >= Budget {
-		ttl = ConvictionTerm
+	if s.Count >= MaxCrashes {
+		ttl = BlockTTL
 	}
 	if !stored {
 		m.learnedOrder = append(m.learnedOrder, s.Fingerprint)
--- a/internal/core/dispatch/suspect/message.go
+++ b/internal/core/dispatch/suspect/message.go
@@ -12,11 +12,11 @@
 
 // Message is exchanged between hosts; exactly one field is set.
 type Message struct {
-	Claim   *ClaimMessage   `cbor:"1,keyasint,omitempty"`
-	Verdict *VerdictMessage `cbor:"2,keyasint,omitempty"`
-	Release *ReleaseMessage `cbor:"3,keyasint,omitempty"`
-	Apart   *ApartMessage   `cbor:"4,keyasint,omitempty"`
-	Free    *FreeMessage    `cbor:"5,keyasint,omitempty"`
+	Claim    *ClaimMessage    `cbor:"1,keyasint,omitempty"`
+	Verdict  *VerdictMessage  `cbor:"2,keyasint,omitempty"`
+	Release  *ReleaseMessage  `cbor:"3,keyasint,omitempty"`
+	Isolate  *IsolateMessage  `cbor:"4,keyasint,omitempty"`
+	FreeSlot *FreeSlotMessage `cbor:"5,keyasint,omitempty"`
 }
 
 // ClaimMessage asks a fingerprint's home for permission to run.
@@ -26,18 +26,18 @@
 	Upstream    core.UpstreamID `cbor:"3,keyasint"`
 	Running     bool            `cbor:"4,keyasint,omitempty"` // it runs already: a renewal, or sent to a new home
 	Age         time.Duration   `cbor:"5,keyasint,omitempty"` // since the claim was made
-	Second      bool            `cbor:"6,keyasint,omitempty"` // sent to the second home: the first one did not answer
+	SecondHome  bool            `cbor:"6,keyasint,omitempty"` // sent to the second home: the first one did not answer
 }
 
 // VerdictMessage answers a claim.
 type VerdictMessage struct {
-	ID      claimID           `cbor:"1,keyasint"`
-	Allowed bool              `cbor:"2,keyasint"`
-	Suspect bool              `cbor:"3,keyasint,omitempty"`
-	Struck  int               `cbor:"4,keyasint,omitempty"` // crash count of the fingerprint
-	Use     []core.UpstreamID `cbor:"5,keyasint,omitempty"` // upstreams where a claim would be allowed
-	Waiting bool              `cbor:"6,keyasint,omitempty"` // queued for an isolation slot; the final answer follows
-	Revoked bool              `cbor:"7,keyasint,omitempty"` // the upstream crashed: revokes what was allowed
+	ID           claimID           `cbor:"1,keyasint"`
+	Allowed      bool              `cbor:"2,keyasint"`
+	Isolated     bool              `cbor:"3,keyasint,omitempty"`
+	CrashCount   int               `cbor:"4,keyasint,omitempty"` // crash count of the fingerprint
+	Alternatives []core.UpstreamID `cbor:"5,keyasint,omitempty"` // upstreams where a claim would be allowed
+	Waiting      bool              `cbor:"6,keyasint,omitempty"` // queued for an isolation slot; the final answer follows
+	Revoked      bool              `cbor:"7,keyasint,omitempty"` // the upstream crashed: revokes what was allowed
 }
 
 // ReleaseMessage ends a claim.
@@ -49,15 +49,15 @@
 	Age         time.Duration   `cbor:"5,keyasint,omitempty"` // since the claim was made
 }
 
-// ApartMessage asks the isolation host of an upstream for its slot.
-type ApartMessage struct {
+// IsolateMessage asks the isolation host of an upstream for its slot.
+type IsolateMessage struct {
 	ID       claimID         `cbor:"1,keyasint"`
 	Entry    core.HostID     `cbor:"2,keyasint"` // receives the verdict
 	Upstream core.UpstreamID `cbor:"3,keyasint"`
 }
 
-// FreeMessage gives a slot back, or leaves its queue.
-type FreeMessage struct {
+// FreeSlotMessage gives a slot back, or leaves its queue.
+type FreeSlotMessage struct {
 	ID       claimID         `cbor:"1,keyasint"`
 	Upstream core.UpstreamID `cbor:"2,keyasint"`
 }
--- a/internal/core/dispatch/suspect/suspect.go
+++ b/internal/core/dispatch/suspect/suspect.go
@@ -22,8 +22,8 @@
 	"gentiancroft/internal/core"
 )
 
-// Budget is the number of upstreams that one crashing request may take down.
-const Budget = 2
+// MaxCrashes is the number of upstreams that one crashing request may take down.
+const MaxCrashes = 2
 
 // Bounds on what one host keeps.
 const (
@@ -35,7 +35,7 @@
 
 // Times.
 const (
-	ConvictionTerm        = 24 * time.Hour         // how long a fingerprint stays refused
+	BlockTTL              = 24 * time.Hour         // how long a fingerprint stays refused
 	suspicionTTL          = time.Hour              // how long one crash counts
 	clearedTTL            = 10 * time.Minute       // how long a fingerprint counts as harmless after it completed
 	claimTTL              = time.Minute            // a claim that is not renewed expires
@@ -64,14 +64,14 @@
 // Ends of a dispatch.
 const (
 	EndOK      End = iota + 1 // completed: the fingerprint is cleared
-	EndDied                   // the upstream crashed while it ran
+	EndCrashed                // the upstream crashed while it ran
 	EndNotSent                // certainly not dispatched
-	EndCut                    // cancelled or failed: proves nothing, and it may still crash the upstream
+	EndAborted                // cancelled or failed: proves nothing, and it may still crash the upstream
 )
 
-// Strike is the published number of upstreams that crashed while a fingerprint ran
+// CrashCount is the published number of upstreams that crashed while a fingerprint ran
 // on them.
-type Strike struct {
+type CrashCount struct {
 	Fingerprint uint64 `cbor:"1,keyasint"`
 	Count       int    `cbor:"2,keyasint"` // 0: cleared
 	Serial      uint64 `cbor:"3,keyasint"` // incremented with each change of this fingerprint
@@ -80,20 +80,20 @@
 // Decision answers a claim. Each claim gets exactly one, unless it is released
 // before; a revocation may follow one that was allowed.
 type Decision struct {
-	ID      core.RequestID
-	Allowed bool
-	Revoked bool              // the upstream has crashed: if not dispatched yet, refuse it or claim again
-	Suspect bool              // run it isolated: never in one batch with another suspect
-	Use     []core.UpstreamID // if not allowed: upstreams where a claim would be
-	Refusal *core.Refusal     // if not allowed
-	Reason  string
+	ID           core.RequestID
+	Allowed      bool
+	Revoked      bool              // the upstream has crashed: if not dispatched yet, refuse it or claim again
+	Isolate      bool              // run it isolated: never in one batch with another suspect
+	Alternatives []core.UpstreamID // if not allowed: upstreams where a claim would be
+	Refusal      *core.Refusal     // if not allowed
+	Reason       string
 }
 
 // Result is the output of one event.
 type Result struct {
 	core.Output[Message]
 	Decisions []Decision
-	Publish   []Strike // to be spread to all hosts by fingerprint; the highest serial wins
+	Publish   []CrashCount // to be spread to all hosts by fingerprint; the highest serial wins
 }
 
 // Kinds of rendezvous names: those of fingerprints, for their homes, and those of
@@ -180,7 +180,7 @@
 // request is aborted.
 func (m *Machine) Claim(now core.Instant, own core.Ownership, r Request) Result {
 	m.begin(own)
-	if m.crashCountOf(now, r.Fingerprint) >= Budget {
+	if m.crashCountOf(now, r.Fingerprint) >= MaxCrashes {
 		m.decide(Decision{ID: r.ID, Refusal: blockedRefusal(), Reason: "convicted"})
 		return m.out
 	}
@@ -203,7 +203,7 @@
 	c := m.byRequest[id]
 	switch {
 	case c == nil:
-	case end == EndCut && c.decided:
+	case end == EndAborted && c.decided:
 		m.abortClaim(now, c)
 	default:
 		m.endClaim(now, c, end)
@@ -218,26 +218,26 @@
 	c.due = now.Add(abortedClaimTTL)
 }
 
-// Died reports an upstream's crash and the fingerprints that ran on it without a
+// UpstreamCrashed reports an upstream's crash and the fingerprints that ran on it without a
 // claim of this host. Of this host's claims, those aborted shortly before are
 // reported here, the others by their release.
-func (m *Machine) Died(now core.Instant, own core.Ownership, u core.UpstreamID, fingerprints []uint64) Result {
+func (m *Machine) UpstreamCrashed(now core.Instant, own core.Ownership, u core.UpstreamID, fingerprints []uint64) Result {
 	m.begin(own)
 	for _, id := range m.claimOrder {
 		if c := m.claims[id]; c != nil && c.aborted && c.req.Upstream == u {
-			m.endClaim(now, c, EndDied)
+			m.endClaim(now, c, EndCrashed)
 		}
 	}
 	for _, f := range fingerprints {
 		if home, ok := m.home(now, f); ok {
-			m.send(now, home, Message{Release: &ReleaseMessage{Fingerprint: f, Upstream: u, End: EndDied, Age: unclaimedReportAge}})
+			m.send(now, home, Message{Release: &ReleaseMessage{Fingerprint: f, Upstream: u, End: EndCrashed, Age: unclaimedReportAge}})
 		}
 	}
 	return m.out
 }
 
-// Peer applies a message from another host.
-func (m *Machine) Peer(now core.Instant, own core.Ownership, from core.HostID, msg Message) Result {
+// HandleMessage applies a message from another host.
+func (m *Machine) HandleMessage(now core.Instant, own core.Ownership, from core.HostID, msg Message) Result {
 	m.begin(own)
 	m.handle(now, from, msg)
 	return m.out
@@ -252,7 +252,7 @@
 		c := m.claims[id]
 		switch {
 		case c.aborted && !now.Before(c.due):
-			m.endClaim(now, c, EndCut)
+			m.endClaim(now, c, EndAborted)
 		case c.aborted:
 		case c.decided && (moved || !now.Before(c.due)):
 			m.renew(now, c)
@@ -270,9 +270,9 @@
 	return m.out
 }
 
-// Running returns the number of this host's claims: allowed, waiting, or aborted
+// OpenClaims returns the number of this host's claims: allowed, waiting, or aborted
 // within the last few seconds.
-func (m *Machine) Running() int { return len(m.claims) }
+func (m *Machine) OpenClaims() int { return len(m.claims) }
 
 func (m *Machine) decide(d Decision) { m.out.Decisions = append(m.out.Decisions, d) }
 
@@ -311,5 +311,5 @@
 }
 
 func blockedRefusal() *core.Refusal {
-	return core.Refuse(core.CodeSuspect, blockedRetryAfter, "requests like this one have crashed "+strconv.Itoa(Budget)+" upstreams")
+	return core.Refuse(core.CodeSuspect, blockedRetryAfter, "requests like this one have crashed "+strconv.Itoa(MaxCrashes)+" upstreams")
 }
--- a/internal/core/dispatch/suspect/suspect_test.go
+++ b/internal/core/dispatch/suspect/suspect_test.go
@@ -22,14 +22,14 @@
 		f.claim(f.list[i].Host, poison, upstream(i))
 	}
 	f.deliverAll()
-	is.Equal(f.crashes[poison], Budget)
+	is.Equal(f.crashes[poison], MaxCrashes)
 	for round := range 20 { // the callers keep retrying it
 		f.tick(time.Second)
 		f.claim(f.list[round].Host, poison, upstream(100+round))
 		f.deliverAll()
 	}
-	is.Equal(f.crashes[poison], Budget)
-	is.Equal(f.crashCounts[len(f.crashCounts)-1].Count, Budget)
+	is.Equal(f.crashes[poison], MaxCrashes)
+	is.Equal(f.crashCounts[len(f.crashCounts)-1].Count, MaxCrashes)
 }
 
 func TestPoisonInAnyOrderCrashesAtMostTwoUpstreams(t *testing.T) {
@@ -59,7 +59,7 @@
 			}
 		}
 		f.deliverAll()
-		if f.crashes[poison] > Budget {
+		if f.crashes[poison] > MaxCrashes {
 			t.Fatalf("the request crashed %d upstreams", f.crashes[poison])
 		}
 	})
@@ -104,7 +104,7 @@
 		f.tick(100 * time.Millisecond)
 		f.deliverAll()
 	}
-	is.Equal(f.crashes[poison], Budget)
+	is.Equal(f.crashes[poison], MaxCrashes)
 	is.Equal(turns, neighbours) // each ran once more, none was lost in the second crash
 	is.Equal(len(f.refused), 0) // and none was refused
 	for i := range neighbours { // cleared: they may run anywhere, together
@@ -169,17 +169,17 @@
 	f.deliverAll()
 	is.Equal(f.crashes[poison], 1)
 	for _, m := range f.machines { // the crash count has spread
-		m.Learned(f.now, f.crashCounts)
+		m.ApplyPublished(f.now, f.crashCounts)
 	}
 	f.removeHost(f.home(poison))
 	f.tick(time.Second)
 	entry := f.list[0].Host
 	f.claim(entry, poison, upstream(1))
 	f.deliverAll()
-	is.Equal(f.crashes[poison], Budget) // the new home has the first one's count
+	is.Equal(f.crashes[poison], MaxCrashes) // the new home has the first one's count
 	id := f.claim(f.list[1].Host, poison, upstream(2))
 	f.deliverAll()
-	is.Equal(f.crashes[poison], Budget)
+	is.Equal(f.crashes[poison], MaxCrashes)
 	is.Equal(f.refused[id], core.CodeSuspect)
 }
 
@@ -207,7 +207,7 @@
 		f.apply(h, f.machines[h].Tick(f.now, f.own(h)))
 	}
 	f.deliverAll()
-	is.True(f.crashes[poison] <= Budget)
+	is.True(f.crashes[poison] <= MaxCrashes)
 	is.True(f.crashes[poison] >= 1)
 }
 
@@ -221,7 +221,7 @@
 		f.apply("h0", f.machines["h0"].Tick(f.now, f.own("h0")))
 	}
 	is.Equal(len(f.running), 1) // requests that are not suspected are still served
-	f.machines["h0"].Learned(f.now, []Strike{{Fingerprint: 22, Count: 1, Serial: 1}})
+	f.machines["h0"].ApplyPublished(f.now, []CrashCount{{Fingerprint: 22, Count: 1, Serial: 1}})
 	id := f.claim("h0", 22, upstream(0))
 	for range 4 {
 		f.inFlight = nil
@@ -236,17 +236,17 @@
 	f := newFleet(3)
 	f.claim("h0", 31, upstream(0))
 	f.deliverAll()
-	f.apply("h0", f.machines["h0"].Release(f.now, f.own("h0"), f.running[0].req.ID, EndCut))
+	f.apply("h0", f.machines["h0"].Release(f.now, f.own("h0"), f.running[0].req.ID, EndAborted))
 	f.tick(time.Second)
-	f.apply("h0", f.machines["h0"].Died(f.now, f.own("h0"), upstream(0), nil))
+	f.apply("h0", f.machines["h0"].UpstreamCrashed(f.now, f.own("h0"), upstream(0), nil))
 	f.deliverAll()
 	is.Equal(f.machines[f.home(31)].records[31].crashCount, 1)
 	f.claim("h0", 32, upstream(1))
 	f.deliverAll()
-	f.apply("h0", f.machines["h0"].Release(f.now, f.own("h0"), f.running[1].req.ID, EndCut))
+	f.apply("h0", f.machines["h0"].Release(f.now, f.own("h0"), f.running[1].req.ID, EndAborted))
 	f.tick(abortedClaimTTL)
 	f.deliverAll()
-	is.Equal(f.machines["h0"].Running(), 0)
+	is.Equal(f.machines["h0"].OpenClaims(), 0)
 	is.Equal(len(f.machines[f.home(32)].records[32].runs), 0)
 }
 
@@ -257,7 +257,7 @@
 	r := Request{ID: "r", Fingerprint: 41, Upstream: upstream(0)}
 	f.apply("h0", m.Claim(f.now, f.own("h0"), r))
 	f.deliverAll()
-	f.apply("h0", m.Release(f.now, f.own("h0"), "r", EndCut)) // failed, and retried elsewhere
+	f.apply("h0", m.Release(f.now, f.own("h0"), "r", EndAborted)) // failed, and retried elsewhere
 	r.Upstream = upstream(1)
 	f.apply("h0", m.Claim(f.now, f.own("h0"), r))
 	f.deliverAll()
--- a/internal/core/node/dispatch.go
+++ b/internal/core/node/dispatch.go
@@ -77,8 +77,8 @@
 	}
 	n.emit(Note{Name: "claim", Reason: "not_allowed", Detail: d.Reason, ID: d.ID})
 	r.hasClaim = false
-	if len(d.Use) > 0 && len(r.excluded) < maxExcluded {
-		n.move(r, d.Use)
+	if len(d.Alternatives) > 0 && len(r.excluded) < maxExcluded {
+		n.move(r, d.Alternatives)
 		return
 	}
 	n.refuse(r, d.Refusal)
--- a/internal/core/node/finish.go
+++ b/internal/core/node/finish.go
@@ -122,7 +122,7 @@
 	}))
 	n.releaseClaim(r, suspectEnd(e))
 	if e.Crashed {
-		n.applySuspectResult(n.suspect.Died(n.now, n.lease, r.ticket.Upstream, nil))
+		n.applySuspectResult(n.suspect.UpstreamCrashed(n.now, n.lease, r.ticket.Upstream, nil))
 	}
 	switch e.Kind {
 	case EndOK:
@@ -148,11 +148,11 @@
 	case e.Kind == EndOK:
 		return suspect.EndOK
 	case e.Crashed:
-		return suspect.EndDied
+		return suspect.EndCrashed
 	case e.Kind == EndNotRun || e.Kind == EndMissing:
 		return suspect.EndNotSent
 	}
-	return suspect.EndCut
+	return suspect.EndAborted
 }
 
 // addUsage adds the tokens that an attempt used: the cost of a service call, else
--- a/internal/core/node/peer.go
+++ b/internal/core/node/peer.go
@@ -31,7 +31,7 @@
 	case m.Placement != nil:
 		n.applyPlacementResult(n.placement.Peer(n.now, n.lease, e.From, *m.Placement))
 	case m.Suspect != nil:
-		n.applySuspectResult(n.suspect.Peer(n.now, n.lease, e.From, *m.Suspect))
+		n.applySuspectResult(n.suspect.HandleMessage(n.now, n.lease, e.From, *m.Suspect))
 	}
 }
 
--- a/internal/core/node/propagate.go
+++ b/internal/core/node/propagate.go
@@ -63,9 +63,9 @@
 			n.applyPlacementResult(n.placement.Learned(n.now, n.lease, r))
 		}
 	case topicCrashCounts:
-		var s suspect.Strike
+		var s suspect.CrashCount
 		if cbor.Unmarshal(e.Value, &s) == nil {
-			n.applySuspectResult(n.suspect.Learned(n.now, []suspect.Strike{s}))
+			n.applySuspectResult(n.suspect.ApplyPublished(n.now, []suspect.CrashCount{s}))
 		}
 	case feed.TopicMembers:
 		n.applyMembership(e)
@@ -105,7 +105,7 @@
 	n.publish(k, feed.Stamp{Fence: r.Fence, Seq: r.Seq}, r)
 }
 
-func (n *Node) publishCrashCount(s suspect.Strike) {
+func (n *Node) publishCrashCount(s suspect.CrashCount) {
 	const base = 36
 	k := feed.Key{Topic: topicCrashCounts, Name: strconv.FormatUint(s.Fingerprint, base)}
 	if _, known := n.feed.Get(k); s.Count == 0 && !known {
--- a/internal/measure/once/fleet.go
+++ b/internal/measure/once/fleet.go
@@ -167,13 +167,13 @@
 		f.messages++
 		f.after(f.delay(host, to), func() {
 			if !f.silent[to] {
-				f.take(to, f.machines[to].Peer(f.now, view{f: f, self: to}, f.members[host].Host, s.Message))
+				f.take(to, f.machines[to].HandleMessage(f.now, view{f: f, self: to}, f.members[host].Host, s.Message))
 			}
 		})
 	}
 	if len(r.Publish) > 0 {
 		for i := range f.machines {
-			f.after(f.delay(host, i), func() { f.take(i, f.machines[i].Learned(f.now, r.Publish)) })
+			f.after(f.delay(host, i), func() { f.take(i, f.machines[i].ApplyPublished(f.now, r.Publish)) })
 		}
 	}
 	for _, d := range r.Decisions {
@@ -191,9 +191,9 @@
 	case d.Revoked:
 	case d.Allowed:
 		f.dispatch(q)
-	case len(d.Use) > 0 && q.moves < moves:
+	case len(d.Alternatives) > 0 && q.moves < moves:
 		q.moves++
-		q.upstream, _ = strconv.Atoi(string(d.Use[f.rng.IntN(len(d.Use))]))
+		q.upstream, _ = strconv.Atoi(string(d.Alternatives[f.rng.IntN(len(d.Alternatives))]))
 		f.send(q)
 	default:
 		q.refused = d.Refusal.Code
@@ -246,7 +246,7 @@
 		u := core.UpstreamID(strconv.Itoa(q.upstream))
 		f.take(q.entry, f.machines[q.entry].Claim(f.now, view{f: f, self: q.entry}, suspect.Request{ID: q.id, Fingerprint: q.print, Upstream: u}))
 	case broadcastOnly:
-		if f.known[q.entry][q.print] >= suspect.Budget {
+		if f.known[q.entry][q.print] >= suspect.MaxCrashes {
 			q.refused = core.CodeSuspect
 			return
 		}
@@ -309,7 +309,7 @@
 	if f.silent[q.entry] {
 		return
 	}
-	f.end(q, suspect.EndDied)
+	f.end(q, suspect.EndCrashed)
 	if f.policy == broadcastOnly {
 		for i := range f.known {
 			f.messages++
