--- a/internal/core/dispatch/once/expiry.go
+++ b/internal/core/dispatch/once/expiry.go
@@ -14,12 +14,12 @@
 // shorter, whichever host collects. A record whose version is below the oldest
 // epoch's has not been written for the whole retention and is deleted.
 const (
-	MarkKey   = "once/marks"
-	EpochTerm = time.Hour
-	Retention = 24 // epochs that a record is kept after its last write
+	EpochsKey       = "once/marks"
+	EpochDuration   = time.Hour
+	RetentionEpochs = 24 // epochs that a record is kept after its last write
 
 	bucketCount         = 256
-	bucketInterval      = EpochTerm / bucketCount // one bucket at a time
+	bucketInterval      = EpochDuration / bucketCount // one bucket at a time
 	maxDeletesInFlight  = 64
 	collectorRetryDelay = 30 * time.Second
 )
@@ -63,16 +63,16 @@
 	s.due = now.Add(bucketInterval)
 	switch {
 	case s.version == 0 && s.kind == 0:
-		m.collectorCall(core.ObjectCall{Op: core.ObjectGet, Key: MarkKey})
+		m.collectorCall(core.ObjectCall{Op: core.ObjectGet, Key: EpochsKey})
 	case s.version == 0:
-		m.collectorCall(core.ObjectCall{Op: core.ObjectCreate, Key: MarkKey, Value: encodeEpochs(epochVersions{})})
-	case now.Sub(s.seenSince) >= EpochTerm:
+		m.collectorCall(core.ObjectCall{Op: core.ObjectCreate, Key: EpochsKey, Value: encodeEpochs(epochVersions{})})
+	case now.Sub(s.seenSince) >= EpochDuration:
 		next := epochVersions{Versions: append(append([]uint64(nil), s.epochs.Versions...), s.version)}
-		if over := len(next.Versions) - Retention; over > 0 {
+		if over := len(next.Versions) - RetentionEpochs; over > 0 {
 			next.Versions = next.Versions[over:]
 		}
-		m.collectorCall(core.ObjectCall{Op: core.ObjectUpdate, Key: MarkKey, Value: encodeEpochs(next), IfVersion: s.version})
-	case len(s.epochs.Versions) >= Retention:
+		m.collectorCall(core.ObjectCall{Op: core.ObjectUpdate, Key: EpochsKey, Value: encodeEpochs(next), IfVersion: s.version})
+	case len(s.epochs.Versions) >= RetentionEpochs:
 		m.collectorCall(core.ObjectCall{Op: core.ObjectList, Key: bucketPrefix(s.bucket)})
 		s.bucket = (s.bucket + 1) % bucketCount
 	}
@@ -95,7 +95,7 @@
 
 func bucketPrefix(bucket int) string {
 	const digits = "0123456789abcdef"
-	return Prefix + string(digits[bucket>>4]) + string(digits[bucket&15]) + "/"
+	return RecordPrefix + string(digits[bucket>>4]) + string(digits[bucket&15]) + "/"
 }
 
 func encodeEpochs(x epochVersions) []byte {
--- a/internal/core/dispatch/once/expiry_test.go
+++ b/internal/core/dispatch/once/expiry_test.go
@@ -31,9 +31,9 @@
 	a.advanceAsCollector(time.Minute)
 	a.begin("1", 7)
 	a.finish("1", core.RanYes)
-	a.advanceAsCollector(Retention*EpochTerm - 2*time.Minute)
+	a.advanceAsCollector(RetentionEpochs*EpochDuration - 2*time.Minute)
 	is.Equal(a.begin("2", 7).Kind, Replay)
-	a.advanceAsCollector(4 * EpochTerm)
+	a.advanceAsCollector(4 * EpochDuration)
 	is.Equal(a.begin("3", 7).Kind, Run)
 }
 
@@ -44,7 +44,7 @@
 	a.advanceAsCollector(time.Minute)
 	a.begin("1", 7)
 	a.finish("1", core.RanYes)
-	for range Retention + 6 { // a new host collects every 100 minutes
+	for range RetentionEpochs + 6 { // a new host collects every 100 minutes
 		a = newScript(store, "a")
 		a.advanceAsCollector(100 * time.Minute)
 	}
@@ -55,8 +55,8 @@
 	is := is.New(t)
 	store := platform.NewStore()
 	a := newScript(store, "a")
-	a.advanceAsCollector((Retention + 2) * EpochTerm)
+	a.advanceAsCollector((RetentionEpochs + 2) * EpochDuration)
 	before := store.Total()
-	a.advanceAsCollector(EpochTerm)
+	a.advanceAsCollector(EpochDuration)
 	is.True(store.Total()-before <= bucketCount+2) // a list for each bucket, and the epochs
 }
--- a/internal/core/dispatch/once/once.go
+++ b/internal/core/dispatch/once/once.go
@@ -43,7 +43,7 @@
 	ID        core.RequestID
 	Workspace core.WorkspaceID
 	Key       string // the caller's idempotency key
-	Body      uint64 // hash of the body
+	BodyHash  uint64 // hash of the body
 }
 
 // Kind is the kind of a decision.
@@ -170,19 +170,19 @@
 		e.step = stepRelease
 	case core.RanYes:
 		e.step = stepRecord
-		e.outcome = record{Token: e.token, Body: e.req.Body, Phase: phaseDone, Outcome: m.replayable(o)}
+		e.outcome = record{Token: e.token, Body: e.req.BodyHash, Phase: phaseDone, Outcome: m.replayable(o)}
 	default:
 		e.step = stepRecord
-		e.outcome = record{Token: e.token, Body: e.req.Body, Phase: phaseUnknown}
+		e.outcome = record{Token: e.token, Body: e.req.BodyHash, Phase: phaseUnknown}
 	}
 	m.proceed(now, e)
 	return m.out
 }
 
-// Forget cancels a request whose caller is gone. Before the Run decision the
+// Cancel cancels a request whose caller is gone. Before the Run decision the
 // request never runs and its record is deleted. After it, Finish is still
 // required.
-func (m *Machine) Forget(now core.Instant, id core.RequestID) Result {
+func (m *Machine) Cancel(now core.Instant, id core.RequestID) Result {
 	m.out = Result{}
 	e := m.byID[id]
 	if e == nil || e.step == stepRun {
@@ -213,8 +213,8 @@
 	return m.out
 }
 
-// Object applies the result of an object call.
-func (m *Machine) Object(now core.Instant, r core.ObjectResult) Result {
+// HandleObject applies the result of an object call.
+func (m *Machine) HandleObject(now core.Instant, r core.ObjectResult) Result {
 	m.out = Result{}
 	if e := m.byTag[r.Tag]; e != nil {
 		m.handleResult(now, e, r)
--- a/internal/core/dispatch/once/once_test.go
+++ b/internal/core/dispatch/once/once_test.go
@@ -44,12 +44,12 @@
 		}
 	}
 	for _, c := range r.Calls {
-		s.carryOut(s.m.Object(s.now, s.store.Do(c)))
+		s.carryOut(s.m.HandleObject(s.now, s.store.Do(c)))
 	}
 }
 
 func (s *script) begin(id core.RequestID, body uint64) Decision {
-	s.carryOut(s.m.Begin(s.now, Request{ID: id, Workspace: "w", Key: "k", Body: body}))
+	s.carryOut(s.m.Begin(s.now, Request{ID: id, Workspace: "w", Key: "k", BodyHash: body}))
 	return s.last[id]
 }
 
@@ -166,8 +166,8 @@
 	is := is.New(t)
 	store := platform.NewStore()
 	a := newScript(store, "a")
-	r := a.m.Begin(a.now, Request{ID: "1", Workspace: "w", Key: "k", Body: 7})
-	a.carryOut(a.m.Forget(a.now, "1"))
+	r := a.m.Begin(a.now, Request{ID: "1", Workspace: "w", Key: "k", BodyHash: 7})
+	a.carryOut(a.m.Cancel(a.now, "1"))
 	a.carryOut(r) // the create's result arrives after the caller has gone
 	is.Equal(a.runs, 0)
 	is.Equal(newScript(store, "b").begin("2", 7).Kind, Run) // no record was left
@@ -240,7 +240,7 @@
 		a := &attempt{host: host, incarnation: w.incarnations[host], id: core.RequestID(rune('a' + w.serial))}
 		w.attempts[a.id] = a
 		w.order = append(w.order, a)
-		w.apply(t, host, w.machines[host].Begin(w.now, Request{ID: a.id, Workspace: "w", Key: "k", Body: 1}))
+		w.apply(t, host, w.machines[host].Begin(w.now, Request{ID: a.id, Workspace: "w", Key: "k", BodyHash: 1}))
 	case 2, 3, 4: // a call reaches the store
 		if n := len(w.calls); n > 0 {
 			i := rapid.IntRange(0, n-1).Draw(t, "call")
@@ -260,7 +260,7 @@
 			if rapid.Bool().Draw(t, "lost") {
 				f.result = core.ObjectResult{Tag: f.result.Tag, Status: core.ObjectUnknown}
 			}
-			w.apply(t, f.host, w.machines[f.host].Object(w.now, f.result))
+			w.apply(t, f.host, w.machines[f.host].HandleObject(w.now, f.result))
 		}
 	case 7: // a dispatch ends, or its caller is gone
 		for _, a := range w.order {
@@ -269,7 +269,7 @@
 			}
 			if !a.running {
 				if rapid.Bool().Draw(t, "forget") {
-					w.apply(t, a.host, w.machines[a.host].Forget(w.now, a.id))
+					w.apply(t, a.host, w.machines[a.host].Cancel(w.now, a.id))
 				}
 				continue
 			}
--- a/internal/core/dispatch/once/record.go
+++ b/internal/core/dispatch/once/record.go
@@ -14,9 +14,9 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("once")
 
-// Prefix is the object key prefix of records. A record's key is this prefix, its
+// RecordPrefix is the object key prefix of records. A record's key is this prefix, its
 // bucket in two hex digits, "/" and the hash of workspace and idempotency key.
-const Prefix = "once/record/"
+const RecordPrefix = "once/record/"
 
 // phase is the progress of a recorded request.
 type phase uint8
@@ -60,5 +60,5 @@
 	h.Write([]byte(strconv.Itoa(len(ws)) + ":" + string(ws)))
 	h.Write([]byte(key))
 	sum := hex.EncodeToString(h.Sum(nil))
-	return Prefix + sum[:2] + "/" + sum
+	return RecordPrefix + sum[:2] + "/" + sum
 }
--- a/internal/core/dispatch/once/steps.go
+++ b/internal/core/dispatch/once/steps.go
@@ -8,7 +8,7 @@
 func (m *Machine) create(now core.Instant, e *entry) {
 	e.step = stepCreate
 	e.attempts++
-	r := record{Token: e.token, Body: e.req.Body, Phase: phaseRunning}
+	r := record{Token: e.token, Body: e.req.BodyHash, Phase: phaseRunning}
 	m.call(now, e, core.ObjectCall{Op: core.ObjectCreate, Value: r.encode()})
 }
 
@@ -147,7 +147,7 @@
 	switch {
 	case err != nil:
 		d.Refusal = &core.Refusal{Code: core.CodeOutcomeUnknown, Message: "the record of this key can't be read", Ran: core.RanUnknown}
-	case r.Body != q.Body:
+	case r.Body != q.BodyHash:
 		d.Refusal = core.Refuse(core.CodeIdempotencyKeyReused, 0, "this Idempotency-Key was used for another request")
 	case r.Phase == phaseDone && r.Outcome != nil:
 		return Decision{ID: q.ID, Kind: Replay, Outcome: *r.Outcome}
--- a/internal/core/node/admit.go
+++ b/internal/core/node/admit.go
@@ -144,7 +144,7 @@
 		return
 	}
 	r.stage = stageRecord
-	n.applyOnceResult(n.once.Begin(n.now, once.Request{ID: r.id(), Workspace: r.workspace.ID, Key: r.arrival.IdempotencyKey, Body: r.arrival.Body}))
+	n.applyOnceResult(n.once.Begin(n.now, once.Request{ID: r.id(), Workspace: r.workspace.ID, Key: r.arrival.IdempotencyKey, BodyHash: r.arrival.Body}))
 }
 
 // handleOnceDecision places, replays or refuses a non-idempotent request.
--- a/internal/core/node/finish.go
+++ b/internal/core/node/finish.go
@@ -82,7 +82,7 @@
 	n.requests.remove(r)
 	switch r.stage {
 	case stageRecord:
-		n.applyOnceResult(n.once.Forget(n.now, r.id()))
+		n.applyOnceResult(n.once.Cancel(n.now, r.id()))
 	case stagePlace, stageClaim:
 		n.applyPlacementResult(n.placement.Withdraw(n.now, n.lease, r.id()))
 	}
--- a/internal/core/node/outputs.go
+++ b/internal/core/node/outputs.go
@@ -55,7 +55,7 @@
 	case machineLimit:
 		n.applyLimitResult(n.limit.Object(n.now, n.lease, r))
 	case machineOnce:
-		n.applyOnceResult(n.once.Object(n.now, r))
+		n.applyOnceResult(n.once.HandleObject(n.now, r))
 	}
 }
 
--- a/internal/measure/once/calls.go
+++ b/internal/measure/once/calls.go
@@ -29,12 +29,12 @@
 		}
 	}
 	for _, c := range r.Calls {
-		k.do(k.m.Object(k.now, k.store.Do(c)))
+		k.do(k.m.HandleObject(k.now, k.store.Do(c)))
 	}
 }
 
 func (k *keyed) begin(id core.RequestID, body uint64) {
-	k.do(k.m.Begin(k.now, once.Request{ID: id, Workspace: "w", Key: "k", Body: body}))
+	k.do(k.m.Begin(k.now, once.Request{ID: id, Workspace: "w", Key: "k", BodyHash: body}))
 }
 
 func (k *keyed) finish(id core.RequestID, ran core.Ran) {
