--- a/internal/core/admission/property_test.go
+++ b/internal/core/admission/property_test.go
@@ -16,7 +16,7 @@
 // popped while a ready interactive one waits.
 func TestEveryItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := NewQueue(QueueSettings{Bound: 8, AgeAfter: 5 * time.Second})
+		q := NewQueue(QueueSettings{MaxItems: 8, AgeAfter: 5 * time.Second})
 		in := map[core.RequestID]Item{}
 		left := func(items ...Item) {
 			for _, it := range items {
@@ -40,7 +40,7 @@
 				if it, ok := q.Pop(now, ready); ok {
 					urgentWaits(t, in, it, cold)
 					left(it)
-					q.Settle(it.Workspace, it.Charged, it.Cost, core.Tokens(rapid.IntRange(-5, 500).Draw(t, "used")))
+					q.CorrectCharge(it.Workspace, it.ChargedClass, it.Cost, core.Tokens(rapid.IntRange(-5, 500).Draw(t, "used")))
 				}
 			case 3:
 				left(q.Expire(now)...)
@@ -119,7 +119,7 @@
 	for range 20 {
 		q.Pop(2, anyAdapter)
 	}
-	_, ok := q.PopWithin(3, core.Overnight, anyAdapter)
+	_, ok := q.PopUnderShare(3, core.Overnight, anyAdapter)
 	is.True(!ok)
 	q.Push(3, item(0, "small", core.Interactive, 100))
 	q.Pop(core.Instant(3).Add(3*time.Second), anyAdapter) // the drain rate is known from here on
@@ -131,7 +131,7 @@
 func TestRetryAfterFollowsTheDrain(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(QueueSettings{})
-	is.Equal(q.RetryAfter(1, "none"), DefaultRetryMin)
+	is.Equal(q.RetryAfter(1, "none"), DefaultMinRetryAfter)
 	now := core.Instant(1)
 	for i := range 100 {
 		q.Push(now, item(i, "ws", core.Interactive, 100))
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -18,27 +18,27 @@
 	Adapter   core.AdapterRef
 	Enqueued  core.Instant // zero: when it was pushed
 	Deadline  core.Instant // zero: none
-	// Charged is the class whose share paid for the item; ageing may have raised
+	// ChargedClass is the class whose share paid for the item; ageing may have raised
 	// it. Pop sets it; it is needed again to correct the charge.
-	Charged core.Class
+	ChargedClass core.Class
 }
 
 // QueueSettings are the bounds of a queue. Zero fields take the defaults.
 type QueueSettings struct {
-	Bound    int           // maximum number of waiting items
-	AgeAfter time.Duration // wait after which an item competes one class higher
-	Credit   time.Duration // how much of its unused share a workspace may catch up on
-	RetryMin time.Duration // minimum retry_after
-	RetryMax time.Duration // maximum retry_after
+	MaxItems      int           // maximum number of waiting items
+	AgeAfter      time.Duration // wait after which an item competes one class higher
+	Credit        time.Duration // how much of its unused share a workspace may catch up on
+	MinRetryAfter time.Duration // minimum retry_after
+	MaxRetryAfter time.Duration // maximum retry_after
 }
 
 // Defaults of QueueSettings.
 const (
-	DefaultBound    = 512
-	DefaultAgeAfter = 30 * time.Second
-	DefaultCredit   = 10 * time.Second
-	DefaultRetryMin = 200 * time.Millisecond
-	DefaultRetryMax = 30 * time.Second
+	DefaultMaxItems      = 512
+	DefaultAgeAfter      = 30 * time.Second
+	DefaultCredit        = 10 * time.Second
+	DefaultMinRetryAfter = 200 * time.Millisecond
+	DefaultMaxRetryAfter = 30 * time.Second
 )
 
 // Limits of an item's values.
@@ -48,8 +48,8 @@
 )
 
 func (s QueueSettings) withDefaults() QueueSettings {
-	if s.Bound <= 0 {
-		s.Bound = DefaultBound
+	if s.MaxItems <= 0 {
+		s.MaxItems = DefaultMaxItems
 	}
 	if s.AgeAfter <= 0 {
 		s.AgeAfter = DefaultAgeAfter
@@ -57,11 +57,11 @@
 	if s.Credit <= 0 {
 		s.Credit = DefaultCredit
 	}
-	if s.RetryMin <= 0 {
-		s.RetryMin = DefaultRetryMin
+	if s.MinRetryAfter <= 0 {
+		s.MinRetryAfter = DefaultMinRetryAfter
 	}
-	if s.RetryMax < s.RetryMin {
-		s.RetryMax = max(DefaultRetryMax, s.RetryMin)
+	if s.MaxRetryAfter < s.MinRetryAfter {
+		s.MaxRetryAfter = max(DefaultMaxRetryAfter, s.MinRetryAfter)
 	}
 	return s
 }
@@ -119,7 +119,7 @@
 		return nil
 	}
 	q.insert(normalise(now, it))
-	for len(q.items) > q.settings.Bound {
+	for len(q.items) > q.settings.MaxItems {
 		shed = append(shed, q.shedOne())
 	}
 	return shed
@@ -129,7 +129,7 @@
 	it.Weight = min(max(it.Weight, 1), maxWeight)
 	it.Cost = min(max(it.Cost, 1), maxCost)
 	it.Class = min(it.Class, core.Overnight)
-	it.Charged = it.Class
+	it.ChargedClass = it.Class
 	if it.Enqueued == 0 || now.Before(it.Enqueued) {
 		it.Enqueued = now
 	}
@@ -159,7 +159,7 @@
 	if e.expiry >= 0 {
 		heap.Remove(&q.deadlines, e.expiry)
 	}
-	e.Charged = e.level
+	e.ChargedClass = e.level
 	return e.Item
 }
 
@@ -176,10 +176,10 @@
 	return q.pop(now, lowest, false, ready)
 }
 
-// PopWithin is PopUpTo among workspaces that recently used less than their share.
+// PopUnderShare is PopUpTo among workspaces that recently used less than their share.
 // A caller can reserve its last free places for them, so that they don't wait for
 // the requests of workspaces that use more.
-func (q *Queue) PopWithin(now core.Instant, lowest core.Class, ready func(core.AdapterRef) bool) (Item, bool) {
+func (q *Queue) PopUnderShare(now core.Instant, lowest core.Class, ready func(core.AdapterRef) bool) (Item, bool) {
 	return q.pop(now, lowest, true, ready)
 }
 
@@ -236,9 +236,9 @@
 	return out
 }
 
-// Settle corrects a workspace's virtual time by the tokens that a popped item
+// CorrectCharge corrects a workspace's virtual time by the tokens that a popped item
 // actually used. class is the one that Pop reported as charged.
-func (q *Queue) Settle(ws core.WorkspaceID, class core.Class, charged, used core.Tokens) {
+func (q *Queue) CorrectCharge(ws core.WorkspaceID, class core.Class, charged, used core.Tokens) {
 	charged = min(max(charged, 1), maxCost)
 	used = min(max(used, 0), maxCost)
 	q.levels[min(class, core.Overnight)].correct(ws, used-charged)
@@ -249,8 +249,8 @@
 func (q *Queue) RetryAfter(now core.Instant, ws core.WorkspaceID) time.Duration {
 	b, ok := q.byWorkspace[ws]
 	if !ok {
-		return q.settings.RetryMin
+		return q.settings.MinRetryAfter
 	}
 	d := q.drain.timeToDrain(now, b.queued, q.totalWeight, int64(b.weight))
-	return min(max(d, q.settings.RetryMin), q.settings.RetryMax)
+	return min(max(d, q.settings.MinRetryAfter), q.settings.MaxRetryAfter)
 }
--- a/internal/core/admission/queue_test.go
+++ b/internal/core/admission/queue_test.go
@@ -48,7 +48,7 @@
 
 func TestShedsTheFurthestOverItsShare(t *testing.T) {
 	is := is.New(t)
-	q := NewQueue(QueueSettings{Bound: 4})
+	q := NewQueue(QueueSettings{MaxItems: 4})
 	for i := range 4 {
 		is.Equal(len(q.Push(1, item(i, "flood", core.Interactive, 100))), 0)
 	}
@@ -74,7 +74,7 @@
 	second, _ := q.Pop(later, anyAdapter)
 	third, _ := q.Pop(later, anyAdapter)
 	is.Equal(second.Workspace, core.WorkspaceID("day"))
-	is.Equal(third.Charged, core.Normal)
+	is.Equal(third.ChargedClass, core.Normal)
 }
 
 func TestOnlyReadyAdaptersAndDeadlines(t *testing.T) {
--- a/internal/core/placement/owner.go
+++ b/internal/core/placement/owner.go
@@ -100,7 +100,7 @@
 		pins:           map[core.RequestID]*pin{},
 		ticketRequests: map[core.RequestID]*queuedRequest{},
 		loadJobs:       map[core.AdapterRef]*loadJob{},
-		queue:          admission.NewQueue(admission.QueueSettings{Bound: m.settings.QueueLimit}),
+		queue:          admission.NewQueue(admission.QueueSettings{MaxItems: m.settings.QueueLimit}),
 		health:         health.NewTracker(health.Settings{}),
 	}
 	if g, ok := m.ownership.Acting(m.now, shard); ok {
@@ -304,7 +304,7 @@
 		minClass = core.Normal
 	}
 	if room <= o.config.Batch/shareReserveDivisor {
-		return o.queue.PopWithin(now, minClass, ready)
+		return o.queue.PopUnderShare(now, minClass, ready)
 	}
 	return o.queue.PopUpTo(now, minClass, ready)
 }
--- a/internal/core/placement/pins.go
+++ b/internal/core/placement/pins.go
@@ -43,7 +43,7 @@
 		s.pins--
 	}
 	if e.Used > 0 || e.NotReached {
-		o.queue.Settle(p.item.Workspace, p.item.Charged, p.item.Cost, e.Used)
+		o.queue.CorrectCharge(p.item.Workspace, p.item.ChargedClass, p.item.Cost, e.Used)
 	}
 }
 
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -64,7 +64,7 @@
 func TestLastPlacesAreReservedForWorkspacesWithinTheirShare(t *testing.T) {
 	is := is.New(t)
 	const batch = 32
-	o := &ownedUpstream{config: &config.Upstream{Batch: batch}, queue: admission.NewQueue(admission.QueueSettings{Bound: 100})}
+	o := &ownedUpstream{config: &config.Upstream{Batch: batch}, queue: admission.NewQueue(admission.QueueSettings{MaxItems: 100})}
 	ready := func(core.AdapterRef) bool { return true }
 	push := func(id core.RequestID, ws core.WorkspaceID, class core.Class) {
 		o.queue.Push(1, admission.Item{Request: id, Workspace: ws, Weight: 1, Class: class, Cost: 1000, Deadline: core.Instant(time.Hour)})
--- a/internal/measure/fairness/upstream.go
+++ b/internal/measure/fairness/upstream.go
@@ -42,7 +42,7 @@
 }
 
 func newFair(reserve, within int) *fair {
-	return &fair{admission.NewQueue(admission.QueueSettings{Bound: queueBound}), reserve, within}
+	return &fair{admission.NewQueue(admission.QueueSettings{MaxItems: queueBound}), reserve, within}
 }
 
 func (f *fair) push(now core.Instant, it admission.Item) []admission.Item { return f.q.Push(now, it) }
@@ -53,7 +53,7 @@
 		least = core.Interactive
 	}
 	if free <= f.within {
-		return f.q.PopWithin(now, least, anyAdapter)
+		return f.q.PopUnderShare(now, least, anyAdapter)
 	}
 	return f.q.PopUpTo(now, least, anyAdapter)
 }
@@ -61,7 +61,7 @@
 func (f *fair) expire(now core.Instant) []admission.Item { return f.q.Expire(now) }
 
 func (f *fair) settle(it admission.Item, used core.Tokens) {
-	f.q.Settle(it.Workspace, it.Charged, it.Cost, used)
+	f.q.CorrectCharge(it.Workspace, it.ChargedClass, it.Cost, used)
 }
 
 // fifo is first come, first served.
@@ -106,7 +106,7 @@
 func newPerHost() *perHost {
 	p := &perHost{}
 	for i := range p.hosts {
-		p.hosts[i] = admission.NewQueue(admission.QueueSettings{Bound: queueBound / entryHosts})
+		p.hosts[i] = admission.NewQueue(admission.QueueSettings{MaxItems: queueBound / entryHosts})
 	}
 	return p
 }
@@ -135,7 +135,7 @@
 }
 
 func (p *perHost) settle(it admission.Item, used core.Tokens) {
-	p.hosts[hostOf(it)].Settle(it.Workspace, it.Charged, it.Cost, used)
+	p.hosts[hostOf(it)].CorrectCharge(it.Workspace, it.ChargedClass, it.Cost, used)
 }
 
 // running are the places in use, by when they end.
