--- a/internal/core/dispatch/pick/filter_suspect.go
+++ b/internal/core/dispatch/pick/filter_suspect.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// NotSuspect drops upstreams that are ejected for their health. The code
+// NotEjected drops upstreams that are ejected for their health. The code
 // that builds the candidates must bound the fraction of a pool that is ejected at
 // once.
-type NotSuspect struct{}
+type NotEjected struct{}
 
 // Name implements Filter.
-func (NotSuspect) Name() string { return "all_suspect" }
+func (NotEjected) Name() string { return "all_suspect" }
 
 // Keep implements Filter.
-func (NotSuspect) Keep(_ *Request, all []Candidate) []Candidate {
-	return slices.DeleteFunc(all, func(c Candidate) bool { return c.Suspect })
+func (NotEjected) Keep(_ *Request, all []Candidate) []Candidate {
+	return slices.DeleteFunc(all, func(c Candidate) bool { return c.Ejected })
 }
--- a/internal/core/dispatch/pick/pick.go
+++ b/internal/core/dispatch/pick/pick.go
@@ -10,26 +10,26 @@
 
 // Request is the input of one choice.
 type Request struct {
-	Prefix uint64 // hash of the start of the prompt; 0: none
-	Class  core.Class
-	Domain core.Domain       // of the choosing host
-	Avoid  []core.UpstreamID // upstreams on which the request has failed
+	PrefixHash uint64 // hash of the start of the prompt; 0: none
+	Class      core.Class
+	Domain     core.Domain       // of the choosing host
+	Avoid      []core.UpstreamID // upstreams on which the request has failed
 }
 
 // Candidate is one upstream as known to the choosing host.
 type Candidate struct {
-	Upstream core.UpstreamID
-	Domain   core.Domain
-	Load     int     // requests running and waiting, including this host's in flight
-	Batch    int     // requests it can run at once
-	Warmth   float64 // slow start: fraction of a full load that it may get, in (0, 1]
-	Suspect  bool    // ejected for its health
-	Leaving  bool    // accepts no new work
+	Upstream        core.UpstreamID
+	Domain          core.Domain
+	Load            int     // requests running and waiting, including this host's in flight
+	Batch           int     // requests it can run at once
+	SlowStartWeight float64 // slow start: fraction of a full load that it may get, in (0, 1]
+	Ejected         bool    // ejected for its health
+	Leaving         bool    // accepts no new work
 }
 
 // occupancy returns the load relative to what the upstream may get now.
 func (c *Candidate) occupancy() float64 {
-	room := float64(max(c.Batch, 1)) * c.Warmth
+	room := float64(max(c.Batch, 1)) * c.SlowStartWeight
 	return float64(c.Load) / max(room, 1)
 }
 
@@ -68,7 +68,7 @@
 // Default returns the chain for requests.
 func Default() Chooser {
 	return Chooser{
-		Filters: []Filter{NotTried{}, NotLeaving{}, NotSuspect{}},
+		Filters: []Filter{NotTried{}, NotLeaving{}, NotEjected{}},
 		Scorers: []Weighted{{Occupancy{}, 1}, {Locality{}, 0.05}},
 	}
 }
--- a/internal/core/dispatch/pick/pick_test.go
+++ b/internal/core/dispatch/pick/pick_test.go
@@ -12,7 +12,7 @@
 func pool(loads ...int) []Candidate {
 	var all []Candidate
 	for i, l := range loads {
-		all = append(all, Candidate{Upstream: core.UpstreamID(fmt.Sprintf("u%d", i)), Load: l, Batch: 10, Warmth: 1})
+		all = append(all, Candidate{Upstream: core.UpstreamID(fmt.Sprintf("u%d", i)), Load: l, Batch: 10, SlowStartWeight: 1})
 	}
 	return all
 }
@@ -24,7 +24,7 @@
 	all[0].Leaving = true
 	is.Equal(Default().Choose(&Request{}, all, rng).Reason, "all_leaving")
 	all = pool(0)
-	all[0].Suspect = true
+	all[0].Ejected = true
 	is.Equal(Default().Choose(&Request{}, all, rng).Reason, "all_suspect")
 	d := Default().Choose(&Request{Avoid: []core.UpstreamID{"u0"}}, pool(0), rng)
 	is.True(!d.OK)
@@ -48,7 +48,7 @@
 func TestPrefixGoesToOneUpstreamUntilItIsLoaded(t *testing.T) {
 	is := is.New(t)
 	rng := core.NewRand(1)
-	home := Default().Choose(&Request{Prefix: 7}, pool(1, 1, 1, 1), rng)
+	home := Default().Choose(&Request{PrefixHash: 7}, pool(1, 1, 1, 1), rng)
 	is.Equal(home.Reason, "prefix")
 	all := pool(1, 1, 1, 1)
 	for i := range all {
@@ -56,12 +56,12 @@
 			all[i].Load = 9
 		}
 	}
-	is.True(Default().Choose(&Request{Prefix: 7}, all, rng).Upstream != home.Upstream)
+	is.True(Default().Choose(&Request{PrefixHash: 7}, all, rng).Upstream != home.Upstream)
 }
 
 func TestSlowStartTakesLess(t *testing.T) {
 	is := is.New(t)
-	cold := Candidate{Load: 1, Batch: 10, Warmth: 0.1}
-	warm := Candidate{Load: 2, Batch: 10, Warmth: 1}
+	cold := Candidate{Load: 1, Batch: 10, SlowStartWeight: 0.1}
+	warm := Candidate{Load: 2, Batch: 10, SlowStartWeight: 1}
 	is.True(Occupancy{}.Score(nil, &warm) > Occupancy{}.Score(nil, &cold))
 }
--- a/internal/core/dispatch/pick/picker_prefix.go
+++ b/internal/core/dispatch/pick/picker_prefix.go
@@ -16,10 +16,10 @@
 // prefixUpstream returns the candidate that all requests with the same prompt
 // start prefer for its prefix cache; false if its load is over the bound.
 func prefixUpstream(r *Request, all []Candidate) (int, bool) {
-	if r.Prefix == 0 || len(all) < 2 {
+	if r.PrefixHash == 0 || len(all) < 2 {
 		return 0, false
 	}
-	name := strconv.FormatUint(r.Prefix, 16)
+	name := strconv.FormatUint(r.PrefixHash, 16)
 	best, top, sum := 0, uint64(0), 0.0
 	for i := range all {
 		sum += all[i].occupancy()
--- a/internal/core/placement/entry.go
+++ b/internal/core/placement/entry.go
@@ -115,7 +115,7 @@
 		m.refuse(r, core.Refuse(core.CodeHostCutOff, retryNoUpstream, "no configuration yet"))
 		return
 	}
-	q := pick.Request{Prefix: r.Prefix, Class: r.Class, Domain: m.settings.Domain, Avoid: r.Avoid}
+	q := pick.Request{PrefixHash: r.Prefix, Class: r.Class, Domain: m.settings.Domain, Avoid: r.Avoid}
 	d := m.chooser.Choose(&q, m.view.candidates(r.Pool, r.Adapter), m.rng)
 	switch {
 	case d.OK:
--- a/internal/core/placement/view.go
+++ b/internal/core/placement/view.go
@@ -146,13 +146,13 @@
 			continue
 		}
 		v.scratch = append(v.scratch, pick.Candidate{
-			Upstream: x.Upstream,
-			Domain:   x.config.Domain,
-			Load:     x.estimatedLoad(),
-			Batch:    x.config.Batch,
-			Warmth:   x.Warmth,
-			Suspect:  v.ejected(x),
-			Leaving:  x.leaving() || v.listedLeaving[x.Upstream],
+			Upstream:        x.Upstream,
+			Domain:          x.config.Domain,
+			Load:            x.estimatedLoad(),
+			Batch:           x.config.Batch,
+			SlowStartWeight: x.Warmth,
+			Ejected:         v.ejected(x),
+			Leaving:         x.leaving() || v.listedLeaving[x.Upstream],
 		})
 	}
 	return v.scratch
