--- a/internal/core/dispatch/health/health.go
+++ b/internal/core/dispatch/health/health.go
@@ -14,11 +14,11 @@
 // Settings are the thresholds and times of a Tracker. Zero fields take their
 // defaults.
 type Settings struct {
-	Failures  int           // failed polls or requests in a row that eject the upstream
-	Successes int           // successful polls in a row that end the ejection
-	Eject     time.Duration // first ejection; doubles with each ejection in a row
-	MaxEject  time.Duration // maximum time of one ejection
-	SlowStart time.Duration // from a restart to full load
+	FailureThreshold int           // failed polls or requests in a row that eject the upstream
+	SuccessThreshold int           // successful polls in a row that end the ejection
+	BaseEjection     time.Duration // first ejection; doubles with each ejection in a row
+	MaxEjection      time.Duration // maximum time of one ejection
+	SlowStart        time.Duration // from a restart to full load
 }
 
 // Defaults of the settings.
@@ -32,17 +32,17 @@
 )
 
 func (s Settings) withDefaults() Settings {
-	if s.Failures <= 0 {
-		s.Failures = defaultFailures
+	if s.FailureThreshold <= 0 {
+		s.FailureThreshold = defaultFailures
 	}
-	if s.Successes <= 0 {
-		s.Successes = defaultSuccesses
+	if s.SuccessThreshold <= 0 {
+		s.SuccessThreshold = defaultSuccesses
 	}
-	if s.Eject <= 0 {
-		s.Eject = defaultEject
+	if s.BaseEjection <= 0 {
+		s.BaseEjection = defaultEject
 	}
-	if s.MaxEject <= 0 {
-		s.MaxEject = defaultMaxEject
+	if s.MaxEjection <= 0 {
+		s.MaxEjection = defaultMaxEject
 	}
 	if s.SlowStart <= 0 {
 		s.SlowStart = defaultSlowStart
@@ -66,9 +66,9 @@
 // NewTracker returns the tracker of a healthy upstream at full load.
 func NewTracker(s Settings) *Tracker { return &Tracker{settings: s.withDefaults()} }
 
-// Polled records the result of a poll. Enough successes in a row end an ejection
+// RecordPoll records the result of a poll. Enough successes in a row end an ejection
 // once its time has passed.
-func (t *Tracker) Polled(now core.Instant, ok bool) {
+func (t *Tracker) RecordPoll(now core.Instant, ok bool) {
 	if !ok {
 		t.recordFailure(now)
 		return
@@ -78,13 +78,13 @@
 		return
 	}
 	t.successes++
-	if t.successes >= t.settings.Successes && !now.Before(t.ejectedUntil) {
+	if t.successes >= t.settings.SuccessThreshold && !now.Before(t.ejectedUntil) {
 		t.clear(now)
 	}
 }
 
-// Served records how a request ended at the upstream.
-func (t *Tracker) Served(now core.Instant, ok bool) {
+// RecordRequest records how a request ended at the upstream.
+func (t *Tracker) RecordRequest(now core.Instant, ok bool) {
 	if !ok {
 		t.recordFailure(now)
 		return
@@ -95,16 +95,16 @@
 	}
 }
 
-// Restarted begins a slow start.
-func (t *Tracker) Restarted(now core.Instant) {
+// StartSlowStart begins a slow start.
+func (t *Tracker) StartSlowStart(now core.Instant) {
 	t.started, t.starting = now, true
 }
 
-// Suspect reports whether the upstream is ejected.
-func (t *Tracker) Suspect() bool { return t.ejected }
+// Ejected reports whether the upstream is ejected.
+func (t *Tracker) Ejected() bool { return t.ejected }
 
-// Warmth returns the fraction of a full load that the upstream may get, in (0, 1].
-func (t *Tracker) Warmth(now core.Instant) float64 {
+// SlowStartWeight returns the fraction of a full load that the upstream may get, in (0, 1].
+func (t *Tracker) SlowStartWeight(now core.Instant) float64 {
 	if !t.starting {
 		return 1
 	}
@@ -119,12 +119,12 @@
 func (t *Tracker) recordFailure(now core.Instant) {
 	t.successes = 0
 	t.failures++
-	if t.ejected || t.failures < t.settings.Failures {
+	if t.ejected || t.failures < t.settings.FailureThreshold {
 		return
 	}
-	ejection := t.settings.Eject << min(t.ejections, 16)
+	ejection := t.settings.BaseEjection << min(t.ejections, 16)
 	t.ejected = true
-	t.ejectedUntil = now.Add(min(ejection, t.settings.MaxEject))
+	t.ejectedUntil = now.Add(min(ejection, t.settings.MaxEjection))
 	t.ejections++
 }
 
@@ -132,5 +132,5 @@
 	t.ejected = false
 	t.failures = 0
 	t.successes = 0
-	t.Restarted(now)
+	t.StartSlowStart(now)
 }
--- a/internal/core/placement/pins.go
+++ b/internal/core/placement/pins.go
@@ -65,7 +65,7 @@
 		m.markUncertain(o, p.adapter, "the engine did not have it loaded")
 	}
 	if !r.End.NotReached || r.End.Crashed {
-		o.health.Served(m.now, !r.End.Crashed)
+		o.health.RecordRequest(m.now, !r.End.Crashed)
 	}
 	m.issueTickets(o)
 	m.publishIfRoom(o)
--- a/internal/core/placement/report.go
+++ b/internal/core/placement/report.go
@@ -22,11 +22,11 @@
 	if !o.reported && r.Sent <= o.ownedSince.Add(m.settings.OrderLinger) {
 		return // an order of a former owner may still arrive
 	}
-	before := o.health.Suspect()
-	o.health.Polled(m.now, r.OK)
-	if before != o.health.Suspect() {
+	before := o.health.Ejected()
+	o.health.RecordPoll(m.now, r.OK)
+	if before != o.health.Ejected() {
 		o.publishNow = true
-		m.logDecision(suspectDecision[o.health.Suspect()], string(o.id))
+		m.logDecision(suspectDecision[o.health.Ejected()], string(o.id))
 	}
 	if !r.OK {
 		m.publish()
@@ -64,7 +64,7 @@
 		return
 	}
 	m.logDecision("upstream.restarted", string(o.id))
-	o.health.Restarted(m.now)
+	o.health.StartSlowStart(m.now)
 	for a, s := range o.slots {
 		if s.state == resident || s.state == uncertain {
 			delete(o.slots, a)
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -111,7 +111,7 @@
 func (m *Machine) residency(o *ownedUpstream) Residency {
 	r := Residency{
 		Upstream: o.id, Fence: o.fence, Seq: o.seq,
-		Load: o.publishedLoad, Suspect: o.health.Suspect(), Leaving: m.isLeaving(o), Warmth: o.health.Warmth(m.now),
+		Load: o.publishedLoad, Suspect: o.health.Ejected(), Leaving: m.isLeaving(o), Warmth: o.health.SlowStartWeight(m.now),
 		Free: o.config.Slots - len(o.slots),
 	}
 	for _, s := range o.slots {
