--- a/internal/core/direct/finish.go
+++ b/internal/core/direct/finish.go
@@ -48,9 +48,9 @@
 func (m *Machine) retryBudget(s table.ServiceID) *retry.Budget {
 	slack := m.settings.RetrySlack * retryBudgetFraction * m.retryFraction()
 	limits := retry.Settings{
-		Share: m.settings.RetryShare * retryBudgetFraction,
-		Floor: slack / 2 / m.settings.RetryWindow.Seconds(),
-		Burst: max(slack/2, 1),
+		Ratio:        m.settings.RetryShare * retryBudgetFraction,
+		MinPerSecond: slack / 2 / m.settings.RetryWindow.Seconds(),
+		Burst:        max(slack/2, 1),
 	}
 	b := m.retries[s]
 	if b == nil {
@@ -241,7 +241,7 @@
 	case e.Kind == EndNotReached:
 		return true // nothing was sent: takes no retry from the budget
 	}
-	if m.retryBudget(r.service.ID).Retry(m.now) {
+	if m.retryBudget(r.service.ID).Withdraw(m.now) {
 		return true
 	}
 	m.emit(Note{Name: "retry", Reason: "budget_spent", ID: e.ID})
@@ -295,7 +295,7 @@
 		return false
 	}
 	usable, _ := m.candidates(r)
-	return len(usable) > 1 && m.retryBudget(r.service.ID).Retry(m.now)
+	return len(usable) > 1 && m.retryBudget(r.service.ID).Withdraw(m.now)
 }
 
 // moveAttempt cancels an attempt; the request is retried when the attempt has ended.
--- a/internal/core/direct/machine_test.go
+++ b/internal/core/direct/machine_test.go
@@ -328,7 +328,7 @@
 	retries := func() int {
 		n := 0
 		for range 40 {
-			if h.m.retryBudget(services).Retry(h.m.now) {
+			if h.m.retryBudget(services).Withdraw(h.m.now) {
 				n++
 			}
 		}
--- a/internal/core/direct/place.go
+++ b/internal/core/direct/place.go
@@ -274,7 +274,7 @@
 	x.OwnRequests++
 	m.countUse(r, x)
 	if r.attempt == 1 {
-		m.retryBudget(r.service.ID).First(m.now)
+		m.retryBudget(r.service.ID).RecordAttempt(m.now)
 	}
 	m.emit(Note{Name: "dispatch", Reason: "least_occupied", ID: r.id(), Upstream: x.ID, Age: m.now.Sub(r.arrivedAt), Detail: "load " + utoa(uint64(x.Load()))})
 	m.emit(Dispatch{
--- a/internal/core/direct/state.go
+++ b/internal/core/direct/state.go
@@ -80,7 +80,7 @@
 		s.Workspaces = append(s.Workspaces, WorkspaceState{ID: id, Level: level, Granted: granted})
 	}
 	for id, b := range m.retries {
-		s.Retries[id] = b.Left(m.now)
+		s.Retries[id] = b.Available(m.now)
 	}
 	return s
 }
--- a/internal/core/dispatch/retry/budget.go
+++ b/internal/core/dispatch/retry/budget.go
@@ -13,9 +13,9 @@
 
 // Settings are the bounds of a budget. Zero fields take their defaults.
 type Settings struct {
-	Share float64 // retries per first attempt, within [0, 1]
-	Floor float64 // retries per second that are always allowed
-	Burst float64 // maximum number of unused retries kept
+	Ratio        float64 // retries per first attempt, within [0, 1]
+	MinPerSecond float64 // retries per second that are always allowed
+	Burst        float64 // maximum number of unused retries kept
 }
 
 // Defaults of the settings.
@@ -35,7 +35,7 @@
 // NewBudget returns a budget with one second's worth of its floor.
 func NewBudget(s Settings) *Budget {
 	s = s.withDefaults()
-	return &Budget{settings: s, balance: s.Floor}
+	return &Budget{settings: s, balance: s.MinPerSecond}
 }
 
 // Adjust changes the settings; unused retries are kept up to the new burst.
@@ -45,11 +45,11 @@
 }
 
 func (s Settings) withDefaults() Settings {
-	if s.Share <= 0 {
-		s.Share = defaultRatio
+	if s.Ratio <= 0 {
+		s.Ratio = defaultRatio
 	}
-	if s.Floor <= 0 {
-		s.Floor = defaultMinPerSecond
+	if s.MinPerSecond <= 0 {
+		s.MinPerSecond = defaultMinPerSecond
 	}
 	if s.Burst <= 0 {
 		s.Burst = defaultBurst
@@ -57,16 +57,16 @@
 	return s
 }
 
-// First records a first attempt.
-func (b *Budget) First(now core.Instant) {
+// RecordAttempt records a first attempt.
+func (b *Budget) RecordAttempt(now core.Instant) {
 	b.accrue(now)
-	b.balance = min(b.balance+b.settings.Share, b.settings.Burst)
+	b.balance = min(b.balance+b.settings.Ratio, b.settings.Burst)
 }
 
-// Retry takes one retry from the budget and reports whether there was one. Call it
+// Withdraw takes one retry from the budget and reports whether there was one. Call it
 // only before the first byte has gone to the caller, and only for idempotent work
 // or if the upstream certainly did not run the request.
-func (b *Budget) Retry(now core.Instant) bool {
+func (b *Budget) Withdraw(now core.Instant) bool {
 	b.accrue(now)
 	if b.balance < 1 {
 		return false
@@ -75,8 +75,8 @@
 	return true
 }
 
-// Left returns how many retries may be made now.
-func (b *Budget) Left(now core.Instant) float64 {
+// Available returns how many retries may be made now.
+func (b *Budget) Available(now core.Instant) float64 {
 	b.accrue(now)
 	return b.balance
 }
@@ -84,5 +84,5 @@
 func (b *Budget) accrue(now core.Instant) {
 	passed := max(now.Sub(b.accruedAt), 0)
 	b.accruedAt = max(b.accruedAt, now)
-	b.balance = min(b.balance+b.settings.Floor*float64(passed)/float64(time.Second), b.settings.Burst)
+	b.balance = min(b.balance+b.settings.MinPerSecond*float64(passed)/float64(time.Second), b.settings.Burst)
 }
--- a/internal/core/dispatch/retry/budget_test.go
+++ b/internal/core/dispatch/retry/budget_test.go
@@ -16,8 +16,8 @@
 	const seconds, perSecond = 100, 50
 	for range seconds {
 		for range perSecond {
-			b.First(now)
-			if b.Retry(now) { // every request fails
+			b.RecordAttempt(now)
+			if b.Withdraw(now) { // every request fails
 				retries++
 			}
 		}
@@ -31,7 +31,7 @@
 func TestIdleHostMayStillRetry(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(Settings{})
-	is.True(b.Retry(0))
-	is.True(!b.Retry(0))
-	is.True(b.Retry(core.Instant(time.Second)))
+	is.True(b.Withdraw(0))
+	is.True(!b.Withdraw(0))
+	is.True(b.Withdraw(core.Instant(time.Second)))
 }
--- a/internal/core/node/dispatch.go
+++ b/internal/core/node/dispatch.go
@@ -107,7 +107,7 @@
 	}
 	n.placement.Dispatched(r.id())
 	if r.attempt == 0 {
-		n.retries.First(n.now)
+		n.retries.RecordAttempt(n.now)
 	}
 	r.attempt++
 	r.stage = stageRunning
--- a/internal/core/node/finish.go
+++ b/internal/core/node/finish.go
@@ -219,7 +219,7 @@
 	if r.firstByteSent || !r.route.Idempotent || r.attempt >= maxAttempts || n.now >= r.deadline {
 		return false
 	}
-	return n.retries.Retry(n.now)
+	return n.retries.Withdraw(n.now)
 }
 
 // refuseExpired refuses the requests whose deadline has passed.
