--- a/internal/gateway/executors.go
+++ b/internal/gateway/executors.go
@@ -36,17 +36,17 @@
 
 // Documents names and decodes the objects that the platform keeps in the store.
 type Documents struct {
-	Configuration string // kind of the object that holds the configuration
-	Replicas      string // kind of the objects that register replicas
-	Versions      string // kind of the objects that announce the adapters' newest versions
-	DecodeTable   func([]byte) (*table.Table, error)
-	DecodeReplica func(id string, value []byte) (replicas.Entry, error)
-	DecodeVersion func([]byte) (core.BaseModel, core.AdapterRef, error)
+	ConfigurationKind string // kind of the object that holds the configuration
+	ReplicasKind      string // kind of the objects that register replicas
+	VersionsKind      string // kind of the objects that announce the adapters' newest versions
+	DecodeTable       func([]byte) (*table.Table, error)
+	DecodeReplica     func(id string, value []byte) (replicas.Entry, error)
+	DecodeVersion     func([]byte) (core.BaseModel, core.AdapterRef, error)
 }
 
-// Carriers are the executors of a gateway: they carry out the machine's effects
+// Executors are the executors of a gateway: they carry out the machine's effects
 // by I/O.
-type Carriers struct {
+type Executors struct {
 	Store     Store
 	Replicas  Replicas
 	Links     Links
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,7 +36,7 @@
 // Gateway owns a machine and the ring of its events.
 type Gateway struct {
 	machine          *direct.Machine
-	carriers         Carriers
+	carriers         Executors
 	clock            Clock
 	registry         metrics.Registry
 	events           *supervise.Ring[direct.Event]
@@ -60,7 +60,7 @@
 }
 
 // New returns a gateway whose workers are not running yet; see Register.
-func New(m *direct.Machine, c Carriers, clock Clock, r metrics.Registry) *Gateway {
+func New(m *direct.Machine, c Executors, clock Clock, r metrics.Registry) *Gateway {
 	g := &Gateway{
 		machine:          m,
 		carriers:         c,
@@ -86,8 +86,8 @@
 	t.Add("leases", g.readLeases)
 }
 
-// Left returns a channel that receives one value once the host may exit.
-func (g *Gateway) Left() <-chan struct{} { return g.mayExit }
+// Done returns a channel that receives one value once the host may exit.
+func (g *Gateway) Done() <-chan struct{} { return g.mayExit }
 
 // Leave starts a graceful shutdown.
 func (g *Gateway) Leave() { g.Tell(direct.Leave{}) }
@@ -114,9 +114,9 @@
 	return <-answer
 }
 
-// FromPeer decodes a payload from another host and queues it for the machine. It is
+// ReceiveFromPeer decodes a payload from another host and queues it for the machine. It is
 // dropped where the ring is full, as it may be on the network.
-func (g *Gateway) FromPeer(from core.HostID, payload []byte) {
+func (g *Gateway) ReceiveFromPeer(from core.HostID, payload []byte) {
 	var m direct.Message
 	if err := cbor.Unmarshal(payload, &m); err != nil {
 		log.WithField("peer", string(from)).WithError(err).Warn("peer message not decoded")
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -50,9 +50,9 @@
 	observe("total_us", s.Total)
 }
 
-// Publish updates the gauges that describe the machine's state. It is called when
+// UpdateMetrics updates the gauges that describe the machine's state. It is called when
 // the metrics page is read, so that a host without a scraper spends nothing on it.
-func (g *Gateway) Publish() {
+func (g *Gateway) UpdateMetrics() {
 	answer := make(chan direct.State, 1)
 	if !g.events.TryPush(direct.Query{Read: func(m *direct.Machine) { answer <- m.State() }}) {
 		return
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -13,7 +13,7 @@
 func TestMetricsOfRemovedObjectsAreDropped(t *testing.T) {
 	is := is.New(t)
 	r := metrics.NewRegistry()
-	g := New(direct.New(direct.Settings{}), Carriers{}, nil, r)
+	g := New(direct.New(direct.Settings{}), Executors{}, nil, r)
 	g.recordServed(direct.Served{Route: "a", Outcome: "ok", FirstByte: time.Millisecond, Total: time.Second})
 	g.recordServed(direct.Served{Route: "b", Outcome: "ok", Total: time.Second})
 	g.recordServed(direct.Served{Outcome: "unknown_route"})
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -65,9 +65,9 @@
 func (g *Gateway) watches() []*watch {
 	d := g.carriers.Documents
 	return []*watch{
-		{gateway: g, kind: d.Configuration, minInterval: minConfigurationInterval, reread: true, onList: forEach(g.configurationChanged), onChange: g.configurationChanged},
-		{gateway: g, kind: d.Replicas, minInterval: minReplicasInterval, urgent: true, onList: g.replicasListed, onChange: g.replicaChanged},
-		{gateway: g, kind: d.Versions, minInterval: minVersionsInterval, reread: true, onList: g.versionsListed, onChange: g.versionChanged},
+		{gateway: g, kind: d.ConfigurationKind, minInterval: minConfigurationInterval, reread: true, onList: forEach(g.configurationChanged), onChange: g.configurationChanged},
+		{gateway: g, kind: d.ReplicasKind, minInterval: minReplicasInterval, urgent: true, onList: g.replicasListed, onChange: g.replicaChanged},
+		{gateway: g, kind: d.VersionsKind, minInterval: minVersionsInterval, reread: true, onList: g.versionsListed, onChange: g.versionChanged},
 		{gateway: g, kind: strings.TrimSuffix(direct.HostsPrefix, "/"), minInterval: minHostsInterval, startAtOnce: true, onList: forEach(g.hostChanged), onChange: g.hostChanged},
 	}
 }
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -27,7 +27,7 @@
 
 // Adapter holds the platform's parts of a relaying host.
 type Adapter struct {
-	Carriers    func(store string, client *upstream.Client) gateway.Carriers
+	Carriers    func(store string, client *upstream.Client) gateway.Executors
 	Dialect     relay.Dialect
 	PathReady   string
 	PathResolve string
@@ -166,7 +166,7 @@
 }
 
 func newRelayLinks(s *settings.Relay, id identity, k *linkCertificate, g *gateway.Gateway, late *lateBoundSender, r metrics.Registry) (*peer.Links, error) {
-	l, err := peer.New(peer.Settings{Self: id.host, Listen: s.Listen.Links, Material: k.material, Seed: id.seed, Registry: r, Idle: linkIdleTimeout}, g.FromPeer)
+	l, err := peer.New(peer.Settings{Self: id.host, Listen: s.Listen.Links, Material: k.material, Seed: id.seed, Registry: r, Idle: linkIdleTimeout}, g.ReceiveFromPeer)
 	if err != nil {
 		return nil, err
 	}
@@ -211,7 +211,7 @@
 	}
 	ended := r.tree.ServeBackground(ctx)
 	select {
-	case <-r.gateway.Left():
+	case <-r.gateway.Done():
 		return nil
 	case err := <-ended:
 		return Error.Wrap(err)
@@ -280,7 +280,7 @@
 }
 
 func (r *Relaying) metrics(ctx *fasthttp.RequestCtx) {
-	r.gateway.Publish()
+	r.gateway.UpdateMetrics()
 	ctx.SetContentType(exposition.ContentType)
 	ctx.SetBody(exposition.Text(r.registry))
 }
