--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -11,9 +11,9 @@
 	"gentiancroft/internal/relay"
 )
 
-// Begin implements relay.Node. A request that finds the event ring full is refused
+// StartRequest implements relay.Node. A request that finds the event ring full is refused
 // at once.
-func (g *Gateway) Begin(a direct.Arrive) relay.Exchange {
+func (g *Gateway) StartRequest(a direct.Arrive) relay.Exchange {
 	x := &exchange{id: a.ID, gateway: g, decisions: make(chan direct.Effect, decisionBuffer)}
 	g.mu.Lock()
 	g.exchanges[a.ID] = x
@@ -64,9 +64,9 @@
 // Decisions implements relay.Exchange.
 func (x *exchange) Decisions() <-chan direct.Effect { return x.decisions }
 
-// Attempt implements relay.Exchange. The context of an attempt that was cancelled
+// StartAttempt implements relay.Exchange. The context of an attempt that was cancelled
 // before is already done.
-func (x *exchange) Attempt(parent context.Context, attempt int) (context.Context, context.CancelFunc) {
+func (x *exchange) StartAttempt(parent context.Context, attempt int) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -77,8 +77,8 @@
 	return ctx, cancel
 }
 
-// Begin implements relay.Exchange.
-func (x *exchange) Begin(attempt int) bool {
+// StartAnswer implements relay.Exchange.
+func (x *exchange) StartAnswer(attempt int) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if attempt <= x.cancelledThrough {
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -14,9 +14,9 @@
 func TestAStartedAttemptIsNotCancelledForALateFirstEvent(t *testing.T) {
 	is := is.New(t)
 	x := &exchange{}
-	attempt, end := x.Attempt(context.Background(), 1)
+	attempt, end := x.StartAttempt(context.Background(), 1)
 	defer end()
-	is.True(x.Begin(1))
+	is.True(x.StartAnswer(1))
 	x.cancelAttempt(direct.Cancel{Attempt: 1, Unbegun: true})
 	is.NoErr(attempt.Err())
 	x.cancelAttempt(direct.Cancel{Attempt: 1}) // its deadline has passed
@@ -26,12 +26,12 @@
 func TestACancelledAttemptDoesNotStart(t *testing.T) {
 	is := is.New(t)
 	x := &exchange{}
-	attempt, end := x.Attempt(context.Background(), 1)
+	attempt, end := x.StartAttempt(context.Background(), 1)
 	defer end()
 	x.cancelAttempt(direct.Cancel{Attempt: 1, Unbegun: true})
 	is.True(attempt.Err() != nil)
-	is.True(!x.Begin(1))
-	_, end = x.Attempt(context.Background(), 2)
+	is.True(!x.StartAnswer(1))
+	_, end = x.StartAttempt(context.Background(), 2)
 	defer end()
-	is.True(x.Begin(2))
+	is.True(x.StartAnswer(2))
 }
--- a/internal/gateway/executors.go
+++ b/internal/gateway/executors.go
@@ -64,7 +64,7 @@
 	if done.Err != nil {
 		log.WithField("upstream", string(o.Replica)).WithError(done.Err).Warn("order without an answer")
 	}
-	g.Tell(direct.OrderDone{OrderDone: done})
+	g.Notify(direct.OrderDone{OrderDone: done})
 }
 
 // readReport reads a replica's report for the machine.
@@ -73,7 +73,7 @@
 	if report.Err != nil {
 		log.WithField("upstream", string(p.Replica)).WithError(report.Err).Warn("report not read")
 	}
-	g.Tell(direct.Reported{Report: report})
+	g.Notify(direct.Reported{Report: report})
 }
 
 // callStore carries out a write of the machine.
@@ -81,7 +81,7 @@
 	result := g.carriers.Store.Do(ctx, c)
 	result.Tag = c.Tag
 	g.reportStoreStatus(result.Status)
-	g.Tell(direct.ObjectDone{Result: result})
+	g.Notify(direct.ObjectDone{Result: result})
 }
 
 // reportStoreStatus counts a call's outcome, reports to the machine whether the
@@ -90,9 +90,9 @@
 	g.count("store.calls." + storeOutcomes[s])
 	reached := s != core.ObjectUnavailable && s != core.ObjectUnknown
 	if reached {
-		g.Tell(direct.StoreReached{})
+		g.Notify(direct.StoreReached{})
 	} else {
-		g.Tell(direct.StoreLost{})
+		g.Notify(direct.StoreLost{})
 	}
 	if g.storeReachable.Swap(reached) != reached {
 		log.WithField("dependency", "store").WithField("reached", reached).Warn("dependency changed")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -90,7 +90,7 @@
 func (g *Gateway) Done() <-chan struct{} { return g.mayExit }
 
 // Leave starts a graceful shutdown.
-func (g *Gateway) Leave() { g.Tell(direct.Leave{}) }
+func (g *Gateway) Leave() { g.Notify(direct.Leave{}) }
 
 // Ready reports whether the host can serve callers.
 func (g *Gateway) Ready() bool { return g.status.Load().ready }
@@ -101,16 +101,16 @@
 // Addresses returns the addresses that are advertised to callers.
 func (g *Gateway) Addresses() []string { return g.status.Load().addresses }
 
-// Tell queues an event for the machine and implements relay.Node. It blocks while
+// Notify queues an event for the machine and implements relay.Node. It blocks while
 // the ring is full, since an event that ends something must not be lost. The
 // machine's own worker must not call it: it would wait for itself.
-func (g *Gateway) Tell(e direct.Event) { g.events.Put(e) }
+func (g *Gateway) Notify(e direct.Event) { g.events.Put(e) }
 
 // Trusted reports whether a certificate's key is that of a registered host. It
 // waits for the machine.
 func (g *Gateway) Trusted(h core.HostID, key string) bool {
 	answer := make(chan bool, 1)
-	g.Tell(direct.Query{Read: func(m *direct.Machine) { answer <- m.Trusted(h, key) }})
+	g.Notify(direct.Query{Read: func(m *direct.Machine) { answer <- m.Trusted(h, key) }})
 	return <-answer
 }
 
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -206,7 +206,7 @@
 		logSkipped(o, err)
 		return
 	}
-	g.Tell(direct.Configured{Table: t, Document: o.Value})
+	g.Notify(direct.Configured{Table: t, Document: o.Value})
 }
 
 // configurationReceived decodes a configuration that another host has read from the
@@ -217,7 +217,7 @@
 		log.WithField("peer", string(from)).WithError(err).Warn("configuration of a peer skipped")
 		return
 	}
-	g.Tell(direct.Configured{Table: t})
+	g.Notify(direct.Configured{Table: t})
 }
 
 func (g *Gateway) replicasListed(all []core.Object) {
@@ -230,12 +230,12 @@
 		}
 		entries = append(entries, e)
 	}
-	g.Tell(direct.ReplicasListed{Entries: entries})
+	g.Notify(direct.ReplicasListed{Entries: entries})
 }
 
 func (g *Gateway) replicaChanged(o core.Object) {
 	if o.Deleted {
-		g.Tell(direct.ReplicaUnlisted{ID: core.UpstreamID(objectName(o))})
+		g.Notify(direct.ReplicaUnlisted{ID: core.UpstreamID(objectName(o))})
 		return
 	}
 	e, err := g.carriers.Documents.DecodeReplica(objectName(o), o.Value)
@@ -243,14 +243,14 @@
 		logSkipped(o, err)
 		return
 	}
-	g.Tell(direct.ReplicaListed{Entry: e})
+	g.Notify(direct.ReplicaListed{Entry: e})
 }
 
 func (g *Gateway) versionsListed(all []core.Object) {
 	for _, o := range all {
 		g.sendVersion(o, true)
 	}
-	g.Tell(direct.VersionsRead{})
+	g.Notify(direct.VersionsRead{})
 }
 
 func (g *Gateway) versionChanged(o core.Object) { g.sendVersion(o, false) }
@@ -264,12 +264,12 @@
 		logSkipped(o, err)
 		return
 	}
-	g.Tell(direct.VersionNamed{Model: model, Adapter: ref, Listed: listed})
+	g.Notify(direct.VersionNamed{Model: model, Adapter: ref, Listed: listed})
 }
 
 func (g *Gateway) hostChanged(o core.Object) {
 	if o.Deleted {
-		g.Tell(direct.HostUnlisted{Name: objectName(o)})
+		g.Notify(direct.HostUnlisted{Name: objectName(o)})
 		return
 	}
 	var r fleet.Registration
@@ -277,7 +277,7 @@
 		logSkipped(o, err)
 		return
 	}
-	g.Tell(direct.HostListed{Host: r})
+	g.Notify(direct.HostListed{Host: r})
 }
 
 // readLeases lists the shards' leases periodically. After the first list, stale
@@ -289,7 +289,7 @@
 		result := g.carriers.Store.Do(ctx, call)
 		g.reportStoreStatus(result.Status)
 		if result.Status == core.ObjectOK || result.Status == core.ObjectNotFound {
-			g.Tell(direct.LeasesListed{Objects: result.Objects})
+			g.Notify(direct.LeasesListed{Objects: result.Objects})
 			first = false
 		}
 		if g.status.Load().reading.Standby {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -16,59 +16,59 @@
 	"gentiancroft/internal/core/direct"
 )
 
-// Declared is what the header of a caller's request declares.
-type Declared struct {
-	RequestID string
-	Key       []byte // valid only while the request is; empty: none
-	Model     core.BaseModel
-	Adapter   core.AdapterID
-	Tokens    core.Tokens   // prompt and maximum output together; 0: not declared
-	Patience  time.Duration // how long the caller waits; 0: not declared
-	LastEvent string        // id of the event after which the stream continues; empty: from the start
+// RequestFields is what the header of a caller's request declares.
+type RequestFields struct {
+	RequestID   string
+	Key         []byte // valid only while the request is; empty: none
+	Model       core.BaseModel
+	Adapter     core.AdapterID
+	Tokens      core.Tokens   // prompt and maximum output together; 0: not declared
+	Timeout     time.Duration // how long the caller waits; 0: not declared
+	LastEventID string        // id of the event after which the stream continues; empty: from the start
 }
 
-// Attempt is what the header of a request to a replica says beside the caller's
+// AttemptFields is what the header of a request to a replica says beside the caller's
 // own fields.
-type Attempt struct {
-	Upstream  core.UpstreamID
-	Workspace core.WorkspaceID
-	Left      time.Duration // until the request's deadline
-	Version   int           // of the adapter; 0: any
-	LastEvent string        // as in Declared
-	Priority  int           // 0 is the most urgent
+type AttemptFields struct {
+	Upstream       core.UpstreamID
+	Workspace      core.WorkspaceID
+	Remaining      time.Duration // until the request's deadline
+	AdapterVersion int           // of the adapter; 0: any
+	LastEventID    string        // as in Declared
+	Priority       int           // 0 is the most urgent
 }
 
-// Answered is what the header of a replica's answer says.
-type Answered struct {
-	Status     int
-	NotRun     bool          // the replica says that it did not run the request
-	Missing    bool          // the same: it lacks the adapter, or is another replica than expected
-	Made       bool          // the replica produced the answer by running the request
-	RetryAfter time.Duration // 0: not given
+// AnswerFields is what the header of a replica's answer says.
+type AnswerFields struct {
+	Status      int
+	NotRun      bool          // the replica says that it did not run the request
+	Misdirected bool          // the same: it lacks the adapter, or is another replica than expected
+	Produced    bool          // the replica produced the answer by running the request
+	RetryAfter  time.Duration // 0: not given
 }
 
 // Dialect reads and writes the header fields of callers and replicas.
 type Dialect interface {
-	// Declared reads a caller's request.
-	Declared(*fasthttp.RequestHeader) Declared
-	// Forward makes the request to a replica from the caller's.
-	Forward(to, from *fasthttp.Request, a Attempt)
-	// Belongs reports whether an answer is to the request with this id.
-	Belongs(h *fasthttp.ResponseHeader, requestID string) bool
-	// Answered reads a replica's answer.
-	Answered(*fasthttp.ResponseHeader) Answered
-	// Return makes the header of the caller's answer from the replica's.
-	Return(to, from *fasthttp.ResponseHeader)
-	// Refused sets the header fields of an answer that this host makes itself.
-	Refused(to *fasthttp.ResponseHeader, requestID string)
+	// ParseRequest reads a caller's request.
+	ParseRequest(*fasthttp.RequestHeader) RequestFields
+	// BuildRequest makes the request to a replica from the caller's.
+	BuildRequest(to, from *fasthttp.Request, a AttemptFields)
+	// MatchesRequest reports whether an answer is to the request with this id.
+	MatchesRequest(h *fasthttp.ResponseHeader, requestID string) bool
+	// ParseAnswer reads a replica's answer.
+	ParseAnswer(*fasthttp.ResponseHeader) AnswerFields
+	// CopyAnswerHeader makes the header of the caller's answer from the replica's.
+	CopyAnswerHeader(to, from *fasthttp.ResponseHeader)
+	// SetRefusalFields sets the header fields of an answer that this host makes itself.
+	SetRefusalFields(to *fasthttp.ResponseHeader, requestID string)
 }
 
 // Node decides what happens to requests.
 type Node interface {
-	// Begin starts a request.
-	Begin(direct.Arrive) Exchange
-	// Tell reports what happened to a request.
-	Tell(direct.Event)
+	// StartRequest starts a request.
+	StartRequest(direct.Arrive) Exchange
+	// Notify reports what happened to a request.
+	Notify(direct.Event)
 	// Leaving reports whether the host is shutting down.
 	Leaving() bool
 }
@@ -78,12 +78,12 @@
 	// Decisions returns the channel of the node's decisions: dispatch to a replica,
 	// refuse, deliver a replica's error answer, or cut off the answer.
 	Decisions() <-chan direct.Effect
-	// Attempt starts an attempt. It returns the attempt's context, which the node can
+	// StartAttempt starts an attempt. It returns the attempt's context, which the node can
 	// cancel, and the function that releases it.
-	Attempt(parent context.Context, attempt int) (context.Context, context.CancelFunc)
-	// Begin marks that the answer of an attempt is about to be forwarded. It returns
+	StartAttempt(parent context.Context, attempt int) (context.Context, context.CancelFunc)
+	// StartAnswer marks that the answer of an attempt is about to be forwarded. It returns
 	// false where the attempt was cancelled before; then nothing may be forwarded.
-	Begin(attempt int) bool
+	StartAnswer(attempt int) bool
 	// Close ends the request.
 	Close()
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -27,34 +27,34 @@
 // fakeDialect is a minimal Dialect.
 type fakeDialect struct{}
 
-func (fakeDialect) Declared(h *fasthttp.RequestHeader) Declared {
-	return Declared{RequestID: string(h.Peek("Id")), Key: h.Peek("Key")}
+func (fakeDialect) ParseRequest(h *fasthttp.RequestHeader) RequestFields {
+	return RequestFields{RequestID: string(h.Peek("Id")), Key: h.Peek("Key")}
 }
 
-func (fakeDialect) Forward(to, from *fasthttp.Request, a Attempt) {
+func (fakeDialect) BuildRequest(to, from *fasthttp.Request, a AttemptFields) {
 	to.Header.SetMethodBytes(from.Header.Method())
 	to.Header.SetRequestURIBytes(from.Header.RequestURI())
 	to.Header.SetHostBytes(from.Header.Host())
 	to.Header.SetBytesV("Id", from.Header.Peek("Id"))
-	to.Header.Set("After", a.LastEvent)
+	to.Header.Set("After", a.LastEventID)
 	to.SetBodyRaw(from.Body())
 }
 
-func (fakeDialect) Belongs(h *fasthttp.ResponseHeader, id string) bool {
+func (fakeDialect) MatchesRequest(h *fasthttp.ResponseHeader, id string) bool {
 	return string(h.Peek("Id")) == id
 }
 
-func (fakeDialect) Answered(h *fasthttp.ResponseHeader) Answered {
-	return Answered{Status: h.StatusCode(), NotRun: len(h.Peek("Not-Run")) > 0, Missing: h.StatusCode() == 421, Made: len(h.Peek("Made")) > 0}
+func (fakeDialect) ParseAnswer(h *fasthttp.ResponseHeader) AnswerFields {
+	return AnswerFields{Status: h.StatusCode(), NotRun: len(h.Peek("Not-Run")) > 0, Misdirected: h.StatusCode() == 421, Produced: len(h.Peek("Made")) > 0}
 }
 
-func (fakeDialect) Return(to, from *fasthttp.ResponseHeader) {
+func (fakeDialect) CopyAnswerHeader(to, from *fasthttp.ResponseHeader) {
 	to.SetStatusCode(from.StatusCode())
 	to.SetContentTypeBytes(from.ContentType())
 	to.SetBytesV("Made", from.Peek("Made"))
 }
 
-func (fakeDialect) Refused(to *fasthttp.ResponseHeader, id string) { to.Set("Id", id) }
+func (fakeDialect) SetRefusalFields(to *fasthttp.ResponseHeader, id string) { to.Set("Id", id) }
 
 // fakeNode is a Node that decides by a script: the n-th function makes the n-th
 // decision.
@@ -74,7 +74,7 @@
 	cancelled int // attempts up to this one may not begin
 }
 
-func (n *fakeNode) Begin(a direct.Arrive) Exchange {
+func (n *fakeNode) StartRequest(a direct.Arrive) Exchange {
 	n.x = &fakeExchange{node: n, arrive: a, decisions: make(chan direct.Effect, 8), cancelled: n.cancelled}
 	n.decide()
 	return n.x
@@ -91,7 +91,7 @@
 	n.x.decisions <- next(n.x.arrive)
 }
 
-func (n *fakeNode) Tell(e direct.Event) {
+func (n *fakeNode) Notify(e direct.Event) {
 	n.events <- e
 	if x, ok := e.(direct.Ended); ok && x.Kind != direct.EndOK {
 		n.decide()
@@ -102,13 +102,13 @@
 
 func (x *fakeExchange) Decisions() <-chan direct.Effect { return x.decisions }
 
-func (x *fakeExchange) Attempt(parent context.Context, _ int) (context.Context, context.CancelFunc) {
+func (x *fakeExchange) StartAttempt(parent context.Context, _ int) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	x.cancel = cancel
 	return ctx, cancel
 }
 
-func (x *fakeExchange) Begin(attempt int) bool { return attempt > x.cancelled }
+func (x *fakeExchange) StartAnswer(attempt int) bool { return attempt > x.cancelled }
 
 func (x *fakeExchange) Close() {}
 
@@ -136,7 +136,7 @@
 		}
 	})
 	limits := DefaultLimits
-	limits.Body = 1 << 20
+	limits.MaxBodyBytes = 1 << 20
 	server := New(h.node, upstream.NewClient(nil, nil), fakeDialect{}, limits, metrics.NewRegistry())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	h.is.NoErr(err)
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -23,20 +23,20 @@
 
 // Limits bound the size of callers' requests and the time that callers may take.
 type Limits struct {
-	Body   int           // bytes
-	Header int           // bytes
-	Read   time.Duration // for a whole request to arrive
-	Idle   time.Duration // between two requests on a connection
-	Stall  time.Duration // for a caller to read what is written to it
+	MaxBodyBytes   int           // bytes
+	MaxHeaderBytes int           // bytes
+	ReadTimeout    time.Duration // for a whole request to arrive
+	IdleTimeout    time.Duration // between two requests on a connection
+	StallTimeout   time.Duration // for a caller to read what is written to it
 }
 
 // DefaultLimits are the limits that apply where the settings give none.
 var DefaultLimits = Limits{
-	Body:   4 << 20,
-	Header: 16 << 10,
-	Read:   5 * time.Second,
-	Idle:   30 * time.Second,
-	Stall:  10 * time.Second,
+	MaxBodyBytes:   4 << 20,
+	MaxHeaderBytes: 16 << 10,
+	ReadTimeout:    5 * time.Second,
+	IdleTimeout:    30 * time.Second,
+	StallTimeout:   10 * time.Second,
 }
 
 // maxConnections is how many callers' connections are open at once.
@@ -60,11 +60,11 @@
 	s.http = &fasthttp.Server{
 		Handler:                      s.serve,
 		ErrorHandler:                 s.handleReadError,
-		MaxRequestBodySize:           l.Body,
-		ReadBufferSize:               l.Header,
+		MaxRequestBodySize:           l.MaxBodyBytes,
+		ReadBufferSize:               l.MaxHeaderBytes,
 		Concurrency:                  maxConnections,
-		ReadTimeout:                  l.Read,
-		IdleTimeout:                  l.Idle,
+		ReadTimeout:                  l.ReadTimeout,
+		IdleTimeout:                  l.IdleTimeout,
 		ReduceMemoryUsage:            true,
 		CloseOnShutdown:              true,
 		NoDefaultServerHeader:        true,
@@ -85,12 +85,12 @@
 
 // Serve accepts connections from l until it is closed.
 func (s *Server) Serve(l net.Listener) error {
-	return s.http.Serve(hangup.Listener{Listener: l, Stall: s.limits.Stall})
+	return s.http.Serve(hangup.Listener{Listener: l, Stall: s.limits.StallTimeout})
 }
 
 // arrival makes the event of a new request. Its id is this host's request number and
 // the caller's request id.
-func (s *Server) arrival(ctx *fasthttp.RequestCtx, d Declared) direct.Arrive {
+func (s *Server) arrival(ctx *fasthttp.RequestCtx, d RequestFields) direct.Arrive {
 	a := direct.Arrive{
 		ID:        core.RequestID(strconv.FormatUint(s.requestCount.Add(1), 10) + " " + d.RequestID),
 		Host:      string(ctx.Request.Header.Host()),
@@ -99,9 +99,9 @@
 		Model:     d.Model,
 		Adapter:   d.Adapter,
 		Tokens:    d.Tokens,
-		Patience:  d.Patience,
+		Patience:  d.Timeout,
 		Spread:    xxhash.Sum64String(d.RequestID),
-		LastEvent: d.LastEvent,
+		LastEvent: d.LastEventID,
 	}
 	if a.HasKey {
 		a.Key = table.HashKey(d.Key)
@@ -128,12 +128,12 @@
 		s.refuse(ctx, "", core.Refuse(core.CodeBadRequest, 0, "the request gives its length twice"))
 		return
 	}
-	declared := s.dialect.Declared(&ctx.Request.Header)
+	declared := s.dialect.ParseRequest(&ctx.Request.Header)
 	t := &task{server: s, requestID: declared.RequestID, started: time.Now(), request: &ctx.Request}
 	arrival := s.arrival(ctx, declared)
 	t.id = arrival.ID
 	t.ctx, t.cancel = context.WithCancel(context.Background())
-	t.exchange = s.node.Begin(arrival)
+	t.exchange = s.node.StartRequest(arrival)
 	t.conn = hangup.Watch(ctx.Conn(), t.hangUp) // after Begin, so that a hang-up is reported after the arrival
 	if s.node.Leaving() {
 		ctx.SetConnectionClose()
@@ -184,7 +184,7 @@
 	ctx.Response.Reset()
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
-	s.dialect.Refused(&ctx.Response.Header, requestID)
+	s.dialect.SetRefusalFields(&ctx.Response.Header, requestID)
 	if r.RetryAfter > 0 {
 		ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 2, 64))
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -27,8 +27,8 @@
 
 // isEventStream reports whether an answer is a successful stream of server-sent
 // events.
-func isEventStream(a *upstream.Answer, answered Answered) bool {
-	ok := answered.Status >= 200 && answered.Status < 300 && answered.Made
+func isEventStream(a *upstream.Answer, answered AnswerFields) bool {
+	ok := answered.Status >= 200 && answered.Status < 300 && answered.Produced
 	return ok && strings.HasPrefix(a.ContentType, "text/event-stream")
 }
 
@@ -59,15 +59,15 @@
 			return false
 		}
 	}
-	if !t.exchange.Begin(d.Attempt) {
+	if !t.exchange.StartAnswer(d.Attempt) {
 		s.lastEvent = d.LastEvent // nothing of this attempt was sent to the caller
 		s.release(direct.Ended{Kind: direct.EndCancelled})
 		return false
 	}
 	t.server.metrics.firstByte.Update(time.Since(t.started).Microseconds())
-	t.server.node.Tell(direct.Begun{ID: t.id, Attempt: d.Attempt, Passed: true})
+	t.server.node.Notify(direct.Begun{ID: t.id, Attempt: d.Attempt, Passed: true})
 	s.passed = true
-	t.server.dialect.Return(&ctx.Response.Header, answer.Header())
+	t.server.dialect.CopyAnswerHeader(&ctx.Response.Header, answer.Header())
 	ctx.SetBodyStream(s, -1)
 	return true
 }
@@ -157,15 +157,15 @@
 		if !ok {
 			return false
 		}
-		attempt, cancel := s.task.exchange.Attempt(s.task.ctx, d.Attempt)
+		attempt, cancel := s.task.exchange.StartAttempt(s.task.ctx, d.Attempt)
 		answer, err := s.task.send(attempt, d)
 		if err != nil {
 			s.task.attemptEnded(d, endOfError(attempt, err))
 			cancel()
 			continue
 		}
-		answered := s.task.server.dialect.Answered(answer.Header())
-		if !isEventStream(answer, answered) || !s.task.exchange.Begin(d.Attempt) {
+		answered := s.task.server.dialect.ParseAnswer(answer.Header())
+		if !isEventStream(answer, answered) || !s.task.exchange.StartAnswer(d.Attempt) {
 			end := endOfAnswer(answered)
 			if end.Kind == direct.EndOK {
 				end = endOfError(attempt, upstream.Broken.New("the answer is not an event stream"))
@@ -175,7 +175,7 @@
 			s.task.attemptEnded(d, end)
 			continue
 		}
-		s.task.server.node.Tell(direct.Begun{ID: d.ID, Attempt: d.Attempt})
+		s.task.server.node.Notify(direct.Begun{ID: d.ID, Attempt: d.Attempt})
 		s.dispatch, s.attempt, s.cancel, s.answer = d, attempt, cancel, answer
 		s.released, s.complete = false, false
 		return true
--- a/internal/relay/task.go
+++ b/internal/relay/task.go
@@ -45,7 +45,7 @@
 func (t *task) hangUp() {
 	t.hangUpOnce.Do(func() {
 		t.server.metrics.hungUp.Inc(1)
-		t.server.node.Tell(direct.Gone{ID: t.id})
+		t.server.node.Notify(direct.Gone{ID: t.id})
 		t.cancel()
 	})
 }
@@ -101,20 +101,20 @@
 func (t *task) send(ctx context.Context, d direct.Dispatch) (*upstream.Answer, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
-	t.server.dialect.Forward(request, t.request, Attempt{
-		Upstream:  d.Upstream,
-		Workspace: d.Workspace,
-		Left:      d.Left,
-		Version:   d.Version,
-		LastEvent: d.LastEvent,
-		Priority:  d.Priority,
+	t.server.dialect.BuildRequest(request, t.request, AttemptFields{
+		Upstream:       d.Upstream,
+		Workspace:      d.Workspace,
+		Remaining:      d.Left,
+		AdapterVersion: d.Version,
+		LastEventID:    d.LastEvent,
+		Priority:       d.Priority,
 	})
 	call := upstream.Call{
 		Upstream: d.Upstream,
 		Address:  d.Address,
 		Prepared: request,
 		Matches: func(h *fasthttp.ResponseHeader) bool {
-			return t.server.dialect.Belongs(h, t.requestID)
+			return t.server.dialect.MatchesRequest(h, t.requestID)
 		},
 	}
 	if d.Once {
@@ -126,14 +126,14 @@
 // runAttempt carries out one attempt. It returns true where the caller's answer has
 // started, so that run makes no further attempts.
 func (t *task) runAttempt(ctx *fasthttp.RequestCtx, d direct.Dispatch) bool {
-	attempt, cancel := t.exchange.Attempt(t.ctx, d.Attempt)
+	attempt, cancel := t.exchange.StartAttempt(t.ctx, d.Attempt)
 	answer, err := t.send(attempt, d)
 	if err != nil {
 		t.attemptEnded(d, endOfError(attempt, err))
 		cancel()
 		return false
 	}
-	answered := t.server.dialect.Answered(answer.Header())
+	answered := t.server.dialect.ParseAnswer(answer.Header())
 	if isEventStream(answer, answered) {
 		return t.beginStream(ctx, d, attempt, cancel, answer)
 	}
@@ -143,7 +143,7 @@
 
 // forwardWhole reads an answer that is not a stream and, where it is a success,
 // forwards it. It returns whether it did.
-func (t *task) forwardWhole(ctx *fasthttp.RequestCtx, d direct.Dispatch, attempt context.Context, answer *upstream.Answer, answered Answered) bool {
+func (t *task) forwardWhole(ctx *fasthttp.RequestCtx, d direct.Dispatch, attempt context.Context, answer *upstream.Answer, answered AnswerFields) bool {
 	defer answer.Close()
 	body, err := upstream.ReadWhole(answer, upstream.MaxAnswer)
 	if err != nil {
@@ -160,7 +160,7 @@
 		return false
 	}
 	t.server.metrics.firstByte.Update(time.Since(t.started).Microseconds())
-	t.server.dialect.Return(&ctx.Response.Header, answer.Header())
+	t.server.dialect.CopyAnswerHeader(&ctx.Response.Header, answer.Header())
 	ctx.SetBody(body)
 	t.attemptEnded(d, end)
 	t.finish()
@@ -168,13 +168,13 @@
 }
 
 // endOfAnswer returns how an attempt with a complete answer ended.
-func endOfAnswer(a Answered) direct.Ended {
+func endOfAnswer(a AnswerFields) direct.Ended {
 	switch {
-	case a.Missing:
+	case a.Misdirected:
 		return direct.Ended{Kind: direct.EndMissing}
 	case a.NotRun:
 		return direct.Ended{Kind: direct.EndNotRun, RetryAfter: a.RetryAfter}
-	case !a.Made:
+	case !a.Produced:
 		return direct.Ended{Kind: direct.EndBroken} // not produced by the replica
 	case a.Status >= 200 && a.Status < 300:
 		return direct.Ended{Kind: direct.EndOK}
@@ -196,7 +196,7 @@
 // attemptEnded reports the end of an attempt to the node.
 func (t *task) attemptEnded(d direct.Dispatch, e direct.Ended) {
 	e.ID, e.Attempt = d.ID, d.Attempt
-	t.server.node.Tell(e)
+	t.server.node.Notify(e)
 }
 
 // deliverFailure forwards the replica's last error answer.
@@ -208,7 +208,7 @@
 		t.server.refuse(ctx, t.requestID, &core.Refusal{Code: core.CodeUpstreamFailed, Message: "the replica failed", Ran: core.RanUnknown})
 		return
 	}
-	t.server.dialect.Return(&ctx.Response.Header, &f.header)
+	t.server.dialect.CopyAnswerHeader(&ctx.Response.Header, &f.header)
 	ctx.SetBody(f.body)
 }
 
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -177,11 +177,11 @@
 func newRelayServer(s *settings.Relay, a Adapter, g *gateway.Gateway, client *upstream.Client, r metrics.Registry) *relay.Server {
 	d := relay.DefaultLimits
 	limits := relay.Limits{
-		Body:   s.Limits.Body.Or(d.Body),
-		Header: s.Limits.Header.Or(d.Header),
-		Read:   s.Limits.Read.Or(d.Read),
-		Idle:   s.Limits.Idle.Or(d.Idle),
-		Stall:  s.Limits.Stall.Or(d.Stall),
+		MaxBodyBytes:   s.Limits.Body.Or(d.MaxBodyBytes),
+		MaxHeaderBytes: s.Limits.Header.Or(d.MaxHeaderBytes),
+		ReadTimeout:    s.Limits.Read.Or(d.ReadTimeout),
+		IdleTimeout:    s.Limits.Idle.Or(d.IdleTimeout),
+		StallTimeout:   s.Limits.Stall.Or(d.StallTimeout),
 	}
 	return relay.New(g, client, a.Dialect, limits, r)
 }
--- a/internal/wiring/reload.go
+++ b/internal/wiring/reload.go
@@ -17,7 +17,7 @@
 	if s.Log != "" {
 		log.SetLevelFromString(s.Log)
 	}
-	r.gateway.Tell(direct.Tuned{
+	r.gateway.Notify(direct.Tuned{
 		RetryShare:   s.Retry.Share,
 		RetrySlack:   s.Retry.Slack,
 		RetryWindow:  s.Retry.Window.Value(),
