--- a/cmd/gentiancroft/relay.go
+++ b/cmd/gentiancroft/relay.go
@@ -73,11 +73,11 @@
 	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // a reader of the log that goes away must not end the host
 	r, err := wiring.NewRelay(s, wiring.Adapter{
-		Carriers:    platform.Carriers,
+		Carriers:    platform.Executors,
 		Dialect:     platform.Headers{},
 		PathReady:   platform.PathReady,
 		PathResolve: platform.PathResolve,
-		Resolved:    platform.Resolved,
+		Resolved:    platform.EncodeAddresses,
 	})
 	if err != nil {
 		return err
