--- a/internal/core/direct/active.go
+++ b/internal/core/direct/active.go
@@ -25,7 +25,7 @@
 	rate := float64(m.arrivalRate())
 	for h, b := range m.gossip.latest {
 		if m.fleet.Reachable(m.now, h) {
-			rate += float64(b.Rate)
+			rate += float64(b.RequestRate)
 		}
 	}
 	required := max(rate*coreSecondsPerRequest*headroomFactor, fleet.MinActiveCapacity)
@@ -42,7 +42,7 @@
 	if m.fleet.Active() {
 		reason = "active"
 	}
-	m.emit(Note{Name: "fleet", Reason: reason, Detail: utoa(uint64(len(m.fleet.Members(m.now)))) + " active hosts reachable"})
+	m.emit(LogDecision{Name: "fleet", Reason: reason, Detail: utoa(uint64(len(m.fleet.Members(m.now)))) + " active hosts reachable"})
 }
 
 // arrivalHalfLife is the half-life of a request in the arrival rate.
--- a/internal/core/direct/active_test.go
+++ b/internal/core/direct/active_test.go
@@ -39,7 +39,7 @@
 
 func (h *host) deliverHeartbeat(from string, b Heartbeat) {
 	b.Host, b.Ready = core.HostID(from+"/1"), true
-	h.step(FromPeer{From: b.Host, Message: Message{Heartbeats: []Heartbeat{b}}})
+	h.step(MessageReceived{From: b.Host, Message: Message{Heartbeats: []Heartbeat{b}}})
 }
 
 // advanceFleet advances the time, with heartbeats from the strong hosts, and
@@ -62,7 +62,7 @@
 func (h *host) recipients(property func(Message) bool) map[string]bool {
 	names := map[string]bool{}
 	for _, e := range h.out {
-		if p, ok := e.(ToPeers); ok && property(p.Message) {
+		if p, ok := e.(SendToPeers); ok && property(p.Message) {
 			for _, r := range p.To {
 				names[r.Name] = true
 			}
@@ -122,13 +122,13 @@
 	h.lease("s0")
 	h.advance(20 * time.Millisecond) // the lease of an earlier process: written anew
 	for _, e := range h.out {
-		if o, ok := e.(Object); ok {
-			h.step(ObjectDone{Result: core.ObjectResult{Tag: o.Call.Tag, Status: core.ObjectOK, Object: core.Object{Version: 2}}})
+		if o, ok := e.(WriteObject); ok {
+			h.step(WriteDone{Result: core.ObjectResult{Tag: o.Call.Tag, Status: core.ObjectOK, Object: core.Object{Version: 2}}})
 		}
 	}
 	h.advance(20 * time.Millisecond) // probes for the replicas' reports
 	x := core.AdapterRef{ID: "x", Version: 1}
-	h.step(Reported{Report: residency.Report{
+	h.step(ReportReceived{Report: residency.Report{
 		Replica: "e1",
 		OK:      true,
 		Started: 1,
@@ -139,7 +139,7 @@
 	h.is.True(h.recipients(hasResidencies)["s1"])
 	h.is.True(!h.recipients(hasResidencies)["w3"])
 	demand := residency.Demand{Replica: "e1", Model: model, Adapter: x}
-	h.step(FromPeer{From: "w3/1", Message: Message{Demands: []residency.Demand{demand}}})
+	h.step(MessageReceived{From: "w3/1", Message: Message{Demands: []residency.Demand{demand}}})
 	h.is.True(h.recipients(hasResidencies)["w3"])
 }
 
@@ -164,12 +164,12 @@
 func TestMoreRequestsMakeMoreHostsActive(t *testing.T) {
 	h := newHostInLargeFleet(t, "w0")
 	for i := range 6 {
-		h.deliverHeartbeat(fmt.Sprintf("s%d", i), Heartbeat{Number: 9, Rate: 200}) // 1,200 a second: as much as six strong hosts carry
+		h.deliverHeartbeat(fmt.Sprintf("s%d", i), Heartbeat{Number: 9, RequestRate: 200}) // 1,200 a second: as much as six strong hosts carry
 	}
 	h.advance(selectInterval)
 	h.is.True(!h.m.fleet.Active())
 	for i := range 6 {
-		h.deliverHeartbeat(fmt.Sprintf("s%d", i), Heartbeat{Number: 10, Rate: 300})
+		h.deliverHeartbeat(fmt.Sprintf("s%d", i), Heartbeat{Number: 10, RequestRate: 300})
 	}
 	h.advance(selectInterval)
 	h.is.True(h.m.fleet.Active())
--- a/internal/core/direct/admit.go
+++ b/internal/core/direct/admit.go
@@ -19,25 +19,25 @@
 
 // handleArrival checks a request against the configuration in force and places it on
 // a replica or refuses it.
-func (m *Machine) handleArrival(e Arrive) {
+func (m *Machine) handleArrival(e RequestArrived) {
 	m.arrivals.Add(m.now, 1, arrivalHalfLife)
 	r, refusal := m.admit(e)
 	if refusal != nil {
-		m.emit(Note{Name: "admission", Reason: string(refusal.Code), ID: e.ID, Detail: refusal.Message + "; " + e.Path + " under version " + utoa(m.configVersion())})
+		m.emit(LogDecision{Name: "admission", Reason: string(refusal.Code), ID: e.ID, Detail: refusal.Message + "; " + e.Path + " under version " + utoa(m.configVersion())})
 		m.emit(Refuse{ID: e.ID, Refusal: refusal})
-		served := Served{Outcome: string(refusal.Code)}
+		served := RequestEnded{Outcome: string(refusal.Code)}
 		if r != nil {
 			served.Route = r.route.Name
 		}
 		m.emit(served)
 		return
 	}
-	m.emit(Note{Name: "admission", Reason: "admitted", ID: e.ID, Detail: r.route.Name, Quiet: true})
+	m.emit(LogDecision{Name: "admission", Reason: "admitted", ID: e.ID, Detail: r.route.Name, MetricsOnly: true})
 	m.requests.add(r)
 	m.place(r)
 }
 
-func (m *Machine) admit(e Arrive) (*request, *core.Refusal) {
+func (m *Machine) admit(e RequestArrived) (*request, *core.Refusal) {
 	if !m.initialized() {
 		return nil, core.Refuse(core.CodeHostCutOff, retryAfterStarting, "this host has no configuration yet")
 	}
@@ -52,7 +52,7 @@
 	if refusal := m.authorize(r); refusal != nil {
 		return nil, refusal
 	}
-	r.service = m.table.Services[route.Target(e.Spread)]
+	r.service = m.table.Services[route.Target(e.TargetHash)]
 	if r.service == nil {
 		return nil, core.Refuse(core.CodeNoUpstream, retryAfterSaturated, "the route leads to no service")
 	}
@@ -70,9 +70,9 @@
 	if m.leavingSince == 0 {
 		return false
 	}
-	after := m.settings.LeaveAfter
+	after := m.settings.RequestRefusalDelay
 	if route.Kind == table.Streaming {
-		after = m.settings.LeaveStreams
+		after = m.settings.StreamRefusalDelay
 	}
 	return m.now.Sub(m.leavingSince) > after
 }
@@ -81,7 +81,7 @@
 // and the route's.
 func (r *request) timeout() time.Duration {
 	const unbounded = 10 * time.Minute
-	d := r.arrival.Patience
+	d := r.arrival.Timeout
 	if d <= 0 {
 		d = unbounded
 	}
--- a/internal/core/direct/bench_test.go
+++ b/internal/core/direct/bench_test.go
@@ -26,7 +26,7 @@
 func benchmarkHost(b *testing.B, hosts int, capacity float64) {
 	m := New(Settings{Self: fleet.Registration{Name: "self", Host: "self/1", Domain: "a", Capacity: capacity}, FirstStart: true})
 	now := core.Instant(0)
-	m.Step(now, Configured{Table: testTable()})
+	m.Step(now, ConfigurationRead{Table: testTable()})
 	m.Step(now, VersionsRead{})
 	var entries []replicas.Entry
 	var loads []Load
@@ -47,7 +47,7 @@
 	sent, bytes, n := 0, 0, uint64(0)
 	count := func(effects []Effect) {
 		for _, e := range effects {
-			if p, ok := e.(ToPeers); ok {
+			if p, ok := e.(SendToPeers); ok {
 				payload, err := cbor.Marshal(p.Message)
 				if err != nil {
 					b.Fatal(err)
@@ -69,14 +69,14 @@
 						continue
 					}
 					heartbeats[i].Number = n
-					count(m.Step(now, FromPeer{From: heartbeats[i].Host, Message: Message{Heartbeats: heartbeats[i : i+1]}}))
+					count(m.Step(now, MessageReceived{From: heartbeats[i].Host, Message: Message{Heartbeats: heartbeats[i : i+1]}}))
 				}
 			}
 			count(m.Step(now, Tick{}))
 			if tick%2 == 0 && m.fleet.Active() {
 				id := core.RequestID(fmt.Sprintf("%d-%d", n, tick))
-				count(m.Step(now, Arrive{ID: id, Host: "h", Path: "/stream/x", Model: model, Adapter: "x", Patience: time.Second}))
-				count(m.Step(now, Ended{ID: id, Attempt: 1, Kind: EndOK}))
+				count(m.Step(now, RequestArrived{ID: id, Host: "h", Path: "/stream/x", Model: model, Adapter: "x", Timeout: time.Second}))
+				count(m.Step(now, AttemptEnded{ID: id, Attempt: 1, Kind: EndOK}))
 			}
 		}
 	}
--- a/internal/core/direct/catalog.go
+++ b/internal/core/direct/catalog.go
@@ -12,7 +12,7 @@
 // reasons, and the meaning of the entries' other fields.
 type Decision struct {
 	Name    string
-	About   string
+	Subject string
 	Detail  string // meaning of Note.Detail
 	Age     string // what Note.Age is the age of; "": it is not set
 	Reasons []Reason
@@ -20,9 +20,9 @@
 
 // Reason is one outcome of a decision.
 type Reason struct {
-	Name    string
-	Meaning string
-	Quiet   bool // counted and not logged
+	Name        string
+	Meaning     string
+	MetricsOnly bool // counted and not logged
 }
 
 // refusalReasons are the codes that a request can be refused with.
@@ -42,69 +42,69 @@
 // Catalog lists every decision that the machine logs.
 func Catalog() []Decision {
 	return []Decision{
-		{Name: "admission", About: "whether a request is admitted under the configuration in force", Detail: "the route; if refused: the cause, the path and the configuration's version",
-			Reasons: append([]Reason{{Name: "admitted", Meaning: "it is placed on a replica", Quiet: true}}, refusalReasons...)},
-		{Name: "wait", About: "a request that no replica can run now", Detail: "the adapter", Reasons: []Reason{
+		{Name: "admission", Subject: "whether a request is admitted under the configuration in force", Detail: "the route; if refused: the cause, the path and the configuration's version",
+			Reasons: append([]Reason{{Name: "admitted", Meaning: "it is placed on a replica", MetricsOnly: true}}, refusalReasons...)},
+		{Name: "wait", Subject: "a request that no replica can run now", Detail: "the adapter", Reasons: []Reason{
 			{Name: "adapter", Meaning: "no replica has its adapter loaded; its load is demanded"}}},
-		{Name: "dispatch", About: "an attempt is sent to `upstream`", Detail: "requests at the replica, of this host and as reported by others", Age: "the request", Reasons: []Reason{
+		{Name: "dispatch", Subject: "an attempt is sent to `upstream`", Detail: "requests at the replica, of this host and as reported by others", Age: "the request", Reasons: []Reason{
 			{Name: "least_occupied", Meaning: "the replica with the lowest weighted utilization among those that can run it"}}},
-		{Name: "attempt", About: "an attempt at `upstream` has ended", Age: "the attempt", Reasons: []Reason{
-			{Name: "ok", Meaning: "a complete success", Quiet: true},
+		{Name: "attempt", Subject: "an attempt at `upstream` has ended", Age: "the attempt", Reasons: []Reason{
+			{Name: "ok", Meaning: "a complete success", MetricsOnly: true},
 			{Name: "not_reached", Meaning: "nothing was sent"},
 			{Name: "not_run", Meaning: "the replica answered that it did not run it"},
 			{Name: "missing", Meaning: "the replica lacks the adapter or version, or another replica answered"},
 			{Name: "error", Meaning: "the replica answered with a failure"},
 			{Name: "broken", Meaning: "sent, but no complete answer came"},
 			{Name: "cancelled", Meaning: "ended by this host"}}},
-		{Name: "retry", About: "whether a request is tried on another replica", Age: "the attempt", Reasons: []Reason{
+		{Name: "retry", Subject: "whether a request is tried on another replica", Age: "the attempt", Reasons: []Reason{
 			{Name: "silent", Meaning: "`upstream` has not answered in time; the request is moved"},
 			{Name: "budget_spent", Meaning: "not retried: the retry budget is exhausted"}}},
-		{Name: "refusal", About: "the final answer of an admitted request", Detail: "why", Age: "the request", Reasons: refusalReasons},
-		{Name: "cancel", About: "a request ends without an answer", Age: "the request", Reasons: []Reason{
+		{Name: "refusal", Subject: "the final answer of an admitted request", Detail: "why", Age: "the request", Reasons: refusalReasons},
+		{Name: "cancel", Subject: "a request ends without an answer", Age: "the request", Reasons: []Reason{
 			{Name: "caller_gone", Meaning: "the caller hung up"}}},
-		{Name: "order", About: "an order to `upstream` has ended", Detail: "the order, and the number of orders accepted before it", Reasons: []Reason{
+		{Name: "order", Subject: "an order to `upstream` has ended", Detail: "the order, and the number of orders accepted before it", Reasons: []Reason{
 			{Name: "accepted", Meaning: "it is being carried out"},
 			{Name: "holds", Meaning: "the replica is already as ordered"},
 			{Name: "conflict", Meaning: "another order came first; the replica's report is requested"},
 			{Name: "elsewhere", Meaning: "another replica has the address"},
 			{Name: "invalid", Meaning: "the replica can't carry it out at all"},
 			{Name: "unknown", Meaning: "no answer: it may still be carried out"}}},
-		{Name: "replica", About: "`upstream` in the platform's list", Detail: "its service", Reasons: []Reason{
+		{Name: "replica", Subject: "`upstream` in the platform's list", Detail: "its service", Reasons: []Reason{
 			{Name: "started", Meaning: "it is new or has restarted"},
 			{Name: "leaving", Meaning: "it is sent no more requests"},
 			{Name: "gone", Meaning: "its entry was removed"}}},
-		{Name: "configuration", About: "a version of the configuration", Detail: "the version", Reasons: []Reason{
+		{Name: "configuration", Subject: "a version of the configuration", Detail: "the version", Reasons: []Reason{
 			{Name: "in_force", Meaning: "it applies from now on"}}},
-		{Name: "settings", About: "settings changed at run time", Reasons: []Reason{
+		{Name: "settings", Subject: "settings changed at run time", Reasons: []Reason{
 			{Name: "in_force", Meaning: "they apply from now on"}}},
-		{Name: "reread", About: "whether documents are read again", Detail: "the host that has newer documents", Reasons: []Reason{
+		{Name: "reread", Subject: "whether documents are read again", Detail: "the host that has newer documents", Reasons: []Reason{
 			{Name: "newer_elsewhere", Meaning: "another host has a newer configuration or adapter version"},
 			{Name: "store_back", Meaning: "the store answers again after an outage"}}},
-		{Name: "fleet", About: "whether this host is active or a standby host", Detail: "reachable active hosts", Reasons: []Reason{
+		{Name: "fleet", Subject: "whether this host is active or a standby host", Detail: "reachable active hosts", Reasons: []Reason{
 			{Name: "active", Meaning: "this host is advertised to callers"},
 			{Name: "standby", Meaning: "stronger hosts serve; this one replaces one that fails"}}},
-		{Name: "shard", About: "which host orders the replicas of a shard", Detail: "shard and owner", Reasons: []Reason{
+		{Name: "shard", Subject: "which host orders the replicas of a shard", Detail: "shard and owner", Reasons: []Reason{
 			{Name: "holder", Meaning: "the owner has changed"}}},
-		{Name: "leave", About: "a graceful shutdown", Detail: "requests left", Reasons: []Reason{
+		{Name: "leave", Subject: "a graceful shutdown", Detail: "requests left", Reasons: []Reason{
 			{Name: "begun", Meaning: "the host is no longer advertised to callers"},
 			{Name: "ended", Meaning: "the process ends"}}},
 	}
 }
 
-// Known reports whether the catalog has the name and reason of n, and agrees with it
+// InCatalog reports whether the catalog has the name and reason of n, and agrees with it
 // on whether it is logged.
-func Known(n Note) bool {
+func InCatalog(n LogDecision) bool {
 	for _, d := range Catalog() {
 		if d.Name != n.Name {
 			continue
 		}
-		return slices.ContainsFunc(d.Reasons, func(r Reason) bool { return r.Name == n.Reason && r.Quiet == n.Quiet })
+		return slices.ContainsFunc(d.Reasons, func(r Reason) bool { return r.Name == n.Reason && r.MetricsOnly == n.MetricsOnly })
 	}
 	return false
 }
 
-// Page returns docs/logs.md: every decision of the catalog, as a table.
-func Page() string {
+// LogsPage returns docs/logs.md: every decision of the catalog, as a table.
+func LogsPage() string {
 	var b strings.Builder
 	b.WriteString("# Log lines of a relaying host\n\n")
 	b.WriteString("JSON lines on standard output. Each has `time`, `level` and `message`; lines with the message `decided` have\n")
@@ -117,10 +117,10 @@
 	for _, d := range Catalog() {
 		for _, r := range d.Reasons {
 			name := "`" + r.Name + "`"
-			if r.Quiet {
+			if r.MetricsOnly {
 				name += " *"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", d.Name, d.About, name, r.Meaning, d.Detail, d.Age)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", d.Name, d.Subject, name, r.Meaning, d.Detail, d.Age)
 		}
 	}
 	return b.String()
--- a/internal/core/direct/catalog_test.go
+++ b/internal/core/direct/catalog_test.go
@@ -14,9 +14,9 @@
 	is := is.New(t)
 	const file = "../../../docs/logs.md"
 	if *update {
-		is.NoErr(os.WriteFile(file, []byte(Page()), 0o644))
+		is.NoErr(os.WriteFile(file, []byte(LogsPage()), 0o644))
 	}
 	b, err := os.ReadFile(file)
 	is.NoErr(err)
-	is.Equal(string(b), Page()) // go test ./internal/core/direct -run TestLogsPageIsCurrent -update
+	is.Equal(string(b), LogsPage()) // go test ./internal/core/direct -run TestLogsPageIsCurrent -update
 }
--- a/internal/core/direct/events.go
+++ b/internal/core/direct/events.go
@@ -24,8 +24,8 @@
 // Event is an input of the machine.
 type Event interface{ isEvent() }
 
-// Arrive is a caller's request, read to its end and within the size limits.
-type Arrive struct {
+// RequestArrived is a caller's request, read to its end and within the size limits.
+type RequestArrived struct {
 	ID          core.RequestID // chosen by this host, unique on it
 	Host        string
 	Path        string // without the query
@@ -34,20 +34,20 @@
 	Model       core.BaseModel // "" for a plain service
 	Adapter     core.AdapterID // "" for the base model itself
 	Tokens      core.Tokens    // declared by the caller; 0: none
-	Patience    time.Duration  // the caller's timeout; 0: none given
+	Timeout     time.Duration  // the caller's timeout; 0: none given
 	Fingerprint uint64         // hash of what a replica would run
-	Spread      uint64         // uniform over all requests: selects one of the route's services by weight
+	TargetHash  uint64         // uniform over all requests: selects one of the route's services by weight
 	LastEvent   string         // the stream resumes after it
 }
 
-// Gone is sent when the caller has hung up.
-type Gone struct{ ID core.RequestID }
+// CallerGone is sent when the caller has hung up.
+type CallerGone struct{ ID core.RequestID }
 
-// Begun is sent when a replica starts to answer an attempt.
-type Begun struct {
-	ID      core.RequestID
-	Attempt int
-	Passed  bool // a part of the answer has been sent to the caller
+// AnswerStarted is sent when a replica starts to answer an attempt.
+type AnswerStarted struct {
+	ID            core.RequestID
+	Attempt       int
+	PartDelivered bool // a part of the answer has been sent to the caller
 }
 
 // EndKind is how an attempt ended.
@@ -55,27 +55,27 @@
 
 // Kinds of the end of an attempt.
 const (
-	EndOK         EndKind = iota + 1 // complete success, passed on or about to be
-	EndNotReached                    // nothing was sent
-	EndNotRun                        // the replica answered that it did not run the request
-	EndMissing                       // the same, because it lacks the adapter or is another replica
-	EndError                         // complete answer with a failure of the replica
-	EndBroken                        // sent, but no complete answer came
-	EndCancelled                     // ended by this host
+	EndOK             EndKind = iota + 1 // complete success, passed on or about to be
+	EndNotReached                        // nothing was sent
+	EndNotRun                            // the replica answered that it did not run the request
+	EndAdapterMissing                    // the same, because it lacks the adapter or is another replica
+	EndError                             // complete answer with a failure of the replica
+	EndBroken                            // sent, but no complete answer came
+	EndCancelled                         // ended by this host
 )
 
-// Ended is sent when an attempt has ended.
-type Ended struct {
-	ID         core.RequestID
-	Attempt    int
-	Kind       EndKind
-	Dropped    bool          // the replica closed the connection before it answered
-	LastEvent  string        // last event that was sent to the caller
-	RetryAfter time.Duration // as given by the replica; 0: none
+// AttemptEnded is sent when an attempt has ended.
+type AttemptEnded struct {
+	ID               core.RequestID
+	Attempt          int
+	Kind             EndKind
+	ConnectionClosed bool          // the replica closed the connection before it answered
+	LastEvent        string        // last event that was sent to the caller
+	RetryAfter       time.Duration // as given by the replica; 0: none
 }
 
-// Configured is a version of the configuration.
-type Configured struct {
+// ConfigurationRead is a version of the configuration.
+type ConfigurationRead struct {
 	Table    *table.Table
 	Document []byte // as in the store; nil where another host sent it
 }
@@ -89,9 +89,9 @@
 // ReplicaUnlisted is sent when an entry has been removed from the list of replicas.
 type ReplicaUnlisted struct{ ID core.UpstreamID }
 
-// VersionNamed is sent when a version of an adapter has been announced as its
+// VersionAnnounced is sent when a version of an adapter has been announced as its
 // newest. It is also sent to other hosts: its field names are keys on the wire.
-type VersionNamed struct {
+type VersionAnnounced struct {
 	Model   core.BaseModel
 	Adapter core.AdapterRef
 	Listed  bool // read from a list: it may have been announced long ago
@@ -110,23 +110,23 @@
 // LeasesListed is the list of the shards' leases.
 type LeasesListed struct{ Objects []core.Object }
 
-// StoreLost is sent when a call to the store has failed or was refused.
-type StoreLost struct{}
+// StoreCallFailed is sent when a call to the store has failed or was refused.
+type StoreCallFailed struct{}
 
-// StoreReached is sent when the store has answered.
-type StoreReached struct{}
+// StoreAnswered is sent when the store has answered.
+type StoreAnswered struct{}
 
-// ObjectDone is the result of a write to the store.
-type ObjectDone struct{ Result core.ObjectResult }
+// WriteDone is the result of a write to the store.
+type WriteDone struct{ Result core.ObjectResult }
 
 // OrderDone is the result of an order to a replica.
 type OrderDone struct{ residency.OrderDone }
 
-// Reported is a replica's report.
-type Reported struct{ residency.Report }
+// ReportReceived is a replica's report.
+type ReportReceived struct{ residency.Report }
 
-// FromPeer is a message from another host.
-type FromPeer struct {
+// MessageReceived is a message from another host.
+type MessageReceived struct {
 	From    core.HostID
 	Message Message
 }
@@ -134,8 +134,8 @@
 // Tick is sent at a regular interval; timeouts are checked at it.
 type Tick struct{}
 
-// Tuned changes settings at run time; zero fields take their defaults.
-type Tuned struct {
+// SettingsChanged changes settings at run time; zero fields take their defaults.
+type SettingsChanged struct {
 	RetryShare   float64
 	RetrySlack   float64
 	RetryWindow  time.Duration
@@ -145,60 +145,60 @@
 // Leave starts a graceful shutdown.
 type Leave struct{}
 
-func (Arrive) isEvent()          {}
-func (Gone) isEvent()            {}
-func (Begun) isEvent()           {}
-func (Ended) isEvent()           {}
-func (Configured) isEvent()      {}
-func (ReplicasListed) isEvent()  {}
-func (ReplicaListed) isEvent()   {}
-func (ReplicaUnlisted) isEvent() {}
-func (VersionNamed) isEvent()    {}
-func (VersionsRead) isEvent()    {}
-func (HostListed) isEvent()      {}
-func (HostUnlisted) isEvent()    {}
-func (LeasesListed) isEvent()    {}
-func (StoreLost) isEvent()       {}
-func (StoreReached) isEvent()    {}
-func (ObjectDone) isEvent()      {}
-func (OrderDone) isEvent()       {}
-func (Reported) isEvent()        {}
-func (FromPeer) isEvent()        {}
-func (Tick) isEvent()            {}
-func (Leave) isEvent()           {}
-func (Tuned) isEvent()           {}
+func (RequestArrived) isEvent()    {}
+func (CallerGone) isEvent()        {}
+func (AnswerStarted) isEvent()     {}
+func (AttemptEnded) isEvent()      {}
+func (ConfigurationRead) isEvent() {}
+func (ReplicasListed) isEvent()    {}
+func (ReplicaListed) isEvent()     {}
+func (ReplicaUnlisted) isEvent()   {}
+func (VersionAnnounced) isEvent()  {}
+func (VersionsRead) isEvent()      {}
+func (HostListed) isEvent()        {}
+func (HostUnlisted) isEvent()      {}
+func (LeasesListed) isEvent()      {}
+func (StoreCallFailed) isEvent()   {}
+func (StoreAnswered) isEvent()     {}
+func (WriteDone) isEvent()         {}
+func (OrderDone) isEvent()         {}
+func (ReportReceived) isEvent()    {}
+func (MessageReceived) isEvent()   {}
+func (Tick) isEvent()              {}
+func (Leave) isEvent()             {}
+func (SettingsChanged) isEvent()   {}
 
 // Message is what hosts send to each other. It may be lost, duplicated or late.
 type Message struct {
-	Heartbeats  []Heartbeat          `cbor:"1,keyasint,omitempty"` // the sender's own first, then those of other hosts
-	Demands     []residency.Demand   `cbor:"2,keyasint,omitempty"`
-	Residencies []replicas.Residency `cbor:"3,keyasint,omitempty"`
-	Uses        []residency.Use      `cbor:"4,keyasint,omitempty"`
-	Replicas    []replicas.Entry     `cbor:"5,keyasint,omitempty"` // new or changed entries of the platform's list
-	Gone        []core.UpstreamID    `cbor:"6,keyasint,omitempty"` // removed entries
-
-	Configuration []byte               `cbor:"7,keyasint,omitempty"`  // as in the store
-	Newer         uint64               `cbor:"8,keyasint,omitempty"`  // version of a configuration that is too long for a message: to be read from the store
-	Versions      []VersionNamed       `cbor:"9,keyasint,omitempty"`  // adapters' newest versions that have changed
-	Hosts         []fleet.Registration `cbor:"10,keyasint,omitempty"` // registrations that have changed
+	Heartbeats      []Heartbeat          `cbor:"1,keyasint,omitempty"` // the sender's own first, then those of other hosts
+	Demands         []residency.Demand   `cbor:"2,keyasint,omitempty"`
+	Residencies     []replicas.Residency `cbor:"3,keyasint,omitempty"`
+	Uses            []residency.Use      `cbor:"4,keyasint,omitempty"`
+	Replicas        []replicas.Entry     `cbor:"5,keyasint,omitempty"` // new or changed entries of the platform's list
+	RemovedReplicas []core.UpstreamID    `cbor:"6,keyasint,omitempty"` // removed entries
+
+	Configuration      []byte               `cbor:"7,keyasint,omitempty"`  // as in the store
+	NewerConfiguration uint64               `cbor:"8,keyasint,omitempty"`  // version of a configuration that is too long for a message: to be read from the store
+	Versions           []VersionAnnounced   `cbor:"9,keyasint,omitempty"`  // adapters' newest versions that have changed
+	Hosts              []fleet.Registration `cbor:"10,keyasint,omitempty"` // registrations that have changed
 }
 
 // Heartbeat is the state that a host sends to other hosts at regular intervals.
 type Heartbeat struct {
-	Host     core.HostID      `cbor:"1,keyasint"`
-	Number   uint64           `cbor:"2,keyasint"` // rises with each heartbeat of the host
-	Ready    bool             `cbor:"3,keyasint,omitempty"`
-	Leaving  bool             `cbor:"4,keyasint,omitempty"`
-	Uptime   time.Duration    `cbor:"5,keyasint,omitempty"`
-	Spent    map[uint32]int64 `cbor:"6,keyasint,omitempty"` // tokens admitted since the start, by core.Short of the workspace
-	Loads    []Load           `cbor:"7,keyasint,omitempty"`
-	Crashes  map[uint64]uint8 `cbor:"8,keyasint,omitempty"`  // replicas crashed, by request fingerprint
-	Config   uint64           `cbor:"9,keyasint,omitempty"`  // version of the configuration in force
-	Versions uint64           `cbor:"10,keyasint,omitempty"` // sum of the adapters' newest versions
-	Watches  bool             `cbor:"11,keyasint,omitempty"` // the host watches the store, and the store answers it
-	List     uint64           `cbor:"12,keyasint,omitempty"` // digest of its lists of replicas and hosts
-	Hears    []uint32         `cbor:"13,keyasint,omitempty"` // ready standby hosts that report to it, in every relaysPerCensus-th relay all reachable ones; by core.Short of the name
-	Rate     float32          `cbor:"14,keyasint,omitempty"` // requests per second that arrive at it
+	Host              core.HostID      `cbor:"1,keyasint"`
+	Number            uint64           `cbor:"2,keyasint"` // rises with each heartbeat of the host
+	Ready             bool             `cbor:"3,keyasint,omitempty"`
+	Leaving           bool             `cbor:"4,keyasint,omitempty"`
+	Uptime            time.Duration    `cbor:"5,keyasint,omitempty"`
+	Spent             map[uint32]int64 `cbor:"6,keyasint,omitempty"` // tokens admitted since the start, by core.Short of the workspace
+	Loads             []Load           `cbor:"7,keyasint,omitempty"`
+	Crashes           map[uint64]uint8 `cbor:"8,keyasint,omitempty"`  // replicas crashed, by request fingerprint
+	ConfigVersion     uint64           `cbor:"9,keyasint,omitempty"`  // version of the configuration in force
+	VersionSum        uint64           `cbor:"10,keyasint,omitempty"` // sum of the adapters' newest versions
+	IsWatcher         bool             `cbor:"11,keyasint,omitempty"` // the host watches the store, and the store answers it
+	ListDigest        uint64           `cbor:"12,keyasint,omitempty"` // digest of its lists of replicas and hosts
+	ReachableStandbys []uint32         `cbor:"13,keyasint,omitempty"` // ready standby hosts that report to it, in every relaysPerCensus-th relay all reachable ones; by core.Short of the name
+	RequestRate       float32          `cbor:"14,keyasint,omitempty"` // requests per second that arrive at it
 }
 
 // Load is how many requests a host has at a replica.
@@ -213,23 +213,23 @@
 
 // Dispatch sends an attempt of a request to a replica.
 type Dispatch struct {
-	ID        core.RequestID
-	Attempt   int
-	Upstream  core.UpstreamID
-	Address   string
-	Workspace core.WorkspaceID
-	Left      time.Duration // until the request's deadline
-	Version   int           // adapter version that the replica must confirm; 0: any
-	LastEvent string        // the stream resumes after it
-	Once      bool          // the request must not run twice
-	Priority  int           // among the requests that wait at the replica; 0 is the most urgent
+	ID              core.RequestID
+	Attempt         int
+	Upstream        core.UpstreamID
+	Address         string
+	Workspace       core.WorkspaceID
+	TimeLeft        time.Duration // until the request's deadline
+	ExpectedVersion int           // adapter version that the replica must confirm; 0: any
+	LastEvent       string        // the stream resumes after it
+	NonRepeatable   bool          // the request must not run twice
+	Priority        int           // among the requests that wait at the replica; 0 is the most urgent
 }
 
 // Cancel ends an attempt at its replica.
 type Cancel struct {
-	ID      core.RequestID
-	Attempt int
-	Unbegun bool // only if its answer has not started yet
+	ID               core.RequestID
+	Attempt          int
+	OnlyIfUnanswered bool // only if its answer has not started yet
 }
 
 // Refuse is the final answer to a request whose caller has received nothing yet.
@@ -238,65 +238,65 @@
 	Refusal *core.Refusal
 }
 
-// Deliver passes the replica's failure answer on to the caller.
-type Deliver struct{ ID core.RequestID }
+// DeliverFailure passes the replica's failure answer on to the caller.
+type DeliverFailure struct{ ID core.RequestID }
 
-// Cut breaks off an answer that can't be completed.
-type Cut struct {
+// AbortAnswer breaks off an answer that can't be completed.
+type AbortAnswer struct {
 	ID      core.RequestID
 	Refusal *core.Refusal
 }
 
-// Order sends a load or unload order to a replica.
-type Order struct{ residency.Order }
+// SendOrder sends a load or unload order to a replica.
+type SendOrder struct{ residency.Order }
 
-// Probe requests a replica's report.
-type Probe struct{ residency.Probe }
+// RequestReport requests a replica's report.
+type RequestReport struct{ residency.Probe }
 
-// Object is a write to the store.
-type Object struct{ Call core.ObjectCall }
+// WriteObject is a write to the store.
+type WriteObject struct{ Call core.ObjectCall }
 
-// ToPeers sends a message to other hosts.
-type ToPeers struct {
+// SendToPeers sends a message to other hosts.
+type SendToPeers struct {
 	To      []fleet.Registration
 	Message Message
 }
 
-// Note is a decision log entry: a decision and what it is based on, for the log and
+// LogDecision is a decision log entry: a decision and what it is based on, for the log and
 // the metrics.
-type Note struct {
-	Name     string // of the decision, as in the catalog
-	Reason   string // as in the catalog
-	ID       core.RequestID
-	Upstream core.UpstreamID
-	Detail   string
-	Age      time.Duration // of the request, or of what the decision is based on
-	Quiet    bool          // counted and not logged
+type LogDecision struct {
+	Name        string // of the decision, as in the catalog
+	Reason      string // as in the catalog
+	ID          core.RequestID
+	Upstream    core.UpstreamID
+	Detail      string
+	Age         time.Duration // of the request, or of what the decision is based on
+	MetricsOnly bool          // counted and not logged
 }
 
-// Served is the end of a request, for the metrics only.
-type Served struct {
+// RequestEnded is the end of a request, for the metrics only.
+type RequestEnded struct {
 	Route     string // "" where no route matched
 	Outcome   string // ok, error, cut, caller_gone or the code of the refusal
 	FirstByte time.Duration
 	Total     time.Duration
 }
 
-// Left is sent when the graceful shutdown is complete and the process may exit.
-type Left struct{}
-
-func (Dispatch) isEffect() {}
-func (Cancel) isEffect()   {}
-func (Refuse) isEffect()   {}
-func (Deliver) isEffect()  {}
-func (Cut) isEffect()      {}
-func (Order) isEffect()    {}
-func (Probe) isEffect()    {}
-func (Object) isEffect()   {}
-func (ToPeers) isEffect()  {}
-func (Note) isEffect()     {}
-func (Left) isEffect()     {}
-func (Served) isEffect()   {}
+// LeaveCompleted is sent when the graceful shutdown is complete and the process may exit.
+type LeaveCompleted struct{}
+
+func (Dispatch) isEffect()       {}
+func (Cancel) isEffect()         {}
+func (Refuse) isEffect()         {}
+func (DeliverFailure) isEffect() {}
+func (AbortAnswer) isEffect()    {}
+func (SendOrder) isEffect()      {}
+func (RequestReport) isEffect()  {}
+func (WriteObject) isEffect()    {}
+func (SendToPeers) isEffect()    {}
+func (LogDecision) isEffect()    {}
+func (LeaveCompleted) isEffect() {}
+func (RequestEnded) isEffect()   {}
 
 // Query reads the machine between two steps. It decides nothing.
 type Query struct {
--- a/internal/core/direct/finish.go
+++ b/internal/core/direct/finish.go
@@ -62,7 +62,7 @@
 	return b
 }
 
-func (m *Machine) handleAnswerStart(e Begun) {
+func (m *Machine) handleAnswerStart(e AnswerStarted) {
 	r := m.requests.byID[e.ID]
 	if r == nil || r.attempt != e.Attempt {
 		return
@@ -72,16 +72,16 @@
 		r.answerStartedAt = m.now
 	}
 	r.moving = false // it started before it could be cancelled
-	r.partDelivered = r.partDelivered || e.Passed
+	r.partDelivered = r.partDelivered || e.PartDelivered
 }
 
 // handleCallerGone ends a request whose caller has hung up.
-func (m *Machine) handleCallerGone(e Gone) {
+func (m *Machine) handleCallerGone(e CallerGone) {
 	r := m.requests.byID[e.ID]
 	if r == nil || r.closed {
 		return
 	}
-	m.emit(Note{Name: "cancel", Reason: "caller_gone", ID: e.ID, Upstream: r.upstream, Age: m.now.Sub(r.arrivedAt)})
+	m.emit(LogDecision{Name: "cancel", Reason: "caller_gone", ID: e.ID, Upstream: r.upstream, Age: m.now.Sub(r.arrivedAt)})
 	r.closed, r.outcome = true, "caller_gone"
 	if r.stage != stageRunning {
 		m.finish(r)
@@ -97,11 +97,11 @@
 	}
 	refusal = correctRan(r, refusal)
 	r.closed, r.outcome = true, string(refusal.Code)
-	m.emit(Note{Name: "refusal", Reason: string(refusal.Code), ID: r.id(), Upstream: r.upstream, Age: m.now.Sub(r.arrivedAt), Detail: refusal.Message})
+	m.emit(LogDecision{Name: "refusal", Reason: string(refusal.Code), ID: r.id(), Upstream: r.upstream, Age: m.now.Sub(r.arrivedAt), Detail: refusal.Message})
 	running := r.stage == stageRunning
 	if r.partDelivered {
 		r.outcome = "cut"
-		m.emit(Cut{ID: r.id(), Refusal: refusal})
+		m.emit(AbortAnswer{ID: r.id(), Refusal: refusal})
 	} else {
 		m.emit(Refuse{ID: r.id(), Refusal: refusal})
 	}
@@ -135,7 +135,7 @@
 	if first == 0 {
 		first = m.now
 	}
-	m.emit(Served{Route: r.route.Name, Outcome: r.outcome, FirstByte: first.Sub(r.arrivedAt), Total: m.now.Sub(r.arrivedAt)})
+	m.emit(RequestEnded{Route: r.route.Name, Outcome: r.outcome, FirstByte: first.Sub(r.arrivedAt), Total: m.now.Sub(r.arrivedAt)})
 	if r.ranState() == core.RanNo {
 		m.refund(r)
 	}
@@ -143,17 +143,17 @@
 
 // handleAttemptEnd decides at the end of an attempt whether the request is complete,
 // retried or refused.
-func (m *Machine) handleAttemptEnd(e Ended) {
+func (m *Machine) handleAttemptEnd(e AttemptEnded) {
 	r := m.requests.byID[e.ID]
 	if r == nil || r.stage != stageRunning || r.attempt != e.Attempt {
 		return
 	}
 	m.releaseAttempt(r, e)
-	m.emit(Note{Name: "attempt", Reason: endReasons[e.Kind], ID: e.ID, Upstream: r.upstream, Age: m.now.Sub(r.stageSince), Quiet: e.Kind == EndOK})
+	m.emit(LogDecision{Name: "attempt", Reason: endReasons[e.Kind], ID: e.ID, Upstream: r.upstream, Age: m.now.Sub(r.stageSince), MetricsOnly: e.Kind == EndOK})
 	if e.LastEvent != "" {
 		r.lastEvent = e.LastEvent
 	}
-	if e.Kind != EndNotReached && e.Kind != EndNotRun && e.Kind != EndMissing {
+	if e.Kind != EndNotReached && e.Kind != EndNotRun && e.Kind != EndAdapterMissing {
 		r.possibleRuns++
 	}
 	r.stage, r.stageSince = stageWaiting, m.now
@@ -169,7 +169,7 @@
 		m.place(r)
 	case e.Kind == EndError:
 		r.closed, r.outcome = true, "error"
-		m.emit(Deliver{ID: e.ID})
+		m.emit(DeliverFailure{ID: e.ID})
 		m.finish(r)
 	default:
 		m.refuseFailed(r, e)
@@ -177,13 +177,13 @@
 }
 
 var endReasons = map[EndKind]string{
-	EndOK:         "ok",
-	EndNotReached: "not_reached",
-	EndNotRun:     "not_run",
-	EndMissing:    "missing",
-	EndError:      "error",
-	EndBroken:     "broken",
-	EndCancelled:  "cancelled",
+	EndOK:             "ok",
+	EndNotReached:     "not_reached",
+	EndNotRun:         "not_run",
+	EndAdapterMissing: "missing",
+	EndError:          "error",
+	EndBroken:         "broken",
+	EndCancelled:      "cancelled",
 }
 
 // Weights of failed attempts in a replica's failure score.
@@ -196,7 +196,7 @@
 
 // releaseAttempt removes an attempt from its replica's load and updates the
 // replica's failure score by its result.
-func (m *Machine) releaseAttempt(r *request, e Ended) {
+func (m *Machine) releaseAttempt(r *request, e AttemptEnded) {
 	x := m.replicas.Get(r.upstream)
 	if x == nil {
 		return
@@ -209,7 +209,7 @@
 		m.recordFailure(x.ID, weightError)
 	case EndNotRun:
 		m.recordFailure(x.ID, weightNotRun)
-	case EndMissing:
+	case EndAdapterMissing:
 		m.replicas.MarkNotLoaded(x.ID, r.arrival.Adapter)
 	case EndBroken, EndNotReached:
 		m.recordFailure(x.ID, weightBroken)
@@ -218,15 +218,15 @@
 			m.recordFailure(x.ID, weightUnresponsive)
 		}
 	}
-	if e.Dropped {
+	if e.ConnectionClosed {
 		m.recordCrash(r.arrival.Fingerprint)
 	}
 }
 
 // shouldRetry decides whether a request is tried on another replica. Invariant: a
 // request that must not be repeated is sent again only if it has certainly not run.
-func (m *Machine) shouldRetry(r *request, e Ended) bool {
-	notRun := e.Kind == EndNotReached || e.Kind == EndNotRun || e.Kind == EndMissing
+func (m *Machine) shouldRetry(r *request, e AttemptEnded) bool {
+	notRun := e.Kind == EndNotReached || e.Kind == EndNotRun || e.Kind == EndAdapterMissing
 	switch {
 	case m.now.Add(minTimeToRetry) >= r.deadline:
 		return false
@@ -244,12 +244,12 @@
 	if m.retryBudget(r.service.ID).Withdraw(m.now) {
 		return true
 	}
-	m.emit(Note{Name: "retry", Reason: "budget_spent", ID: e.ID})
+	m.emit(LogDecision{Name: "retry", Reason: "budget_spent", ID: e.ID})
 	return false
 }
 
 // refuseFailed refuses a request that is not tried again.
-func (m *Machine) refuseFailed(r *request, e Ended) {
+func (m *Machine) refuseFailed(r *request, e AttemptEnded) {
 	refusal := &core.Refusal{Code: core.CodeUpstreamFailed, Message: "the replica did not complete its answer", Ran: r.ranState()}
 	if r.possibleRuns == 0 {
 		refusal = core.Refuse(core.CodeOverloaded, max(e.RetryAfter, retryAfterSaturated), "no replica took the request")
@@ -302,6 +302,6 @@
 // An attempt whose answer starts before the cancellation is not moved.
 func (m *Machine) moveAttempt(r *request) {
 	r.moving = true
-	m.emit(Note{Name: "retry", Reason: "silent", ID: r.id(), Upstream: r.upstream, Age: m.now.Sub(r.stageSince)})
-	m.emit(Cancel{ID: r.id(), Attempt: r.attempt, Unbegun: true})
+	m.emit(LogDecision{Name: "retry", Reason: "silent", ID: r.id(), Upstream: r.upstream, Age: m.now.Sub(r.stageSince)})
+	m.emit(Cancel{ID: r.id(), Attempt: r.attempt, OnlyIfUnanswered: true})
 }
--- a/internal/core/direct/heartbeats.go
+++ b/internal/core/direct/heartbeats.go
@@ -62,7 +62,7 @@
 // relayInterval, a relay to the standby hosts that report to this host.
 func (m *Machine) sendAsActive(own Heartbeat) {
 	peers := m.fleet.ActivePeers()
-	m.due.heartbeat = m.now.Add(m.settings.Heartbeat + time.Duration(len(peers))*heartbeatIntervalPerHost)
+	m.due.heartbeat = m.now.Add(m.settings.HeartbeatInterval + time.Duration(len(peers))*heartbeatIntervalPerHost)
 	m.send(peers, Message{Heartbeats: append([]Heartbeat{own}, m.takeStandbyHeartbeats()...)})
 	if !m.fleet.HasStandbys() || m.now < m.due.relay {
 		return
@@ -71,7 +71,7 @@
 	m.gossip.relayCount++
 	own = own.summary()
 	if m.gossip.relayCount%relaysPerCensus == 0 {
-		own.Hears = m.fleet.ReadyStandbys(m.now)
+		own.ReachableStandbys = m.fleet.ReadyStandbys(m.now)
 	}
 	all := []Heartbeat{own}
 	for _, p := range peers {
@@ -84,7 +84,7 @@
 
 // summary returns the fields of a heartbeat that standby hosts need.
 func (b Heartbeat) summary() Heartbeat {
-	b.Loads, b.Crashes, b.Hears = nil, nil, nil
+	b.Loads, b.Crashes, b.ReachableStandbys = nil, nil, nil
 	return b
 }
 
@@ -99,26 +99,26 @@
 
 func (m *Machine) send(to []fleet.Registration, message Message) {
 	if len(to) > 0 {
-		m.emit(ToPeers{To: to, Message: message})
+		m.emit(SendToPeers{To: to, Message: message})
 	}
 }
 
 func (m *Machine) ownHeartbeat() Heartbeat {
 	return Heartbeat{
-		Host:     m.settings.Self.Host,
-		Number:   m.gossip.heartbeatNumber,
-		Ready:    m.Ready(),
-		Leaving:  m.leavingSince != 0,
-		Uptime:   time.Duration(m.now),
-		Spent:    m.ownSpending(),
-		Loads:    m.ownLoads(),
-		Crashes:  m.ownCrashes(),
-		Config:   m.configVersion(),
-		Versions: m.versionSum,
-		Watches:  m.isWatcher() && m.storeAnswers(),
-		List:     m.listDigest(),
-		Hears:    m.fleet.DirectStandbys(m.now),
-		Rate:     m.arrivalRate(),
+		Host:              m.settings.Self.Host,
+		Number:            m.gossip.heartbeatNumber,
+		Ready:             m.Ready(),
+		Leaving:           m.leavingSince != 0,
+		Uptime:            time.Duration(m.now),
+		Spent:             m.ownSpending(),
+		Loads:             m.ownLoads(),
+		Crashes:           m.ownCrashes(),
+		ConfigVersion:     m.configVersion(),
+		VersionSum:        m.versionSum,
+		IsWatcher:         m.isWatcher() && m.storeAnswers(),
+		ListDigest:        m.listDigest(),
+		ReachableStandbys: m.fleet.DirectStandbys(m.now),
+		RequestRate:       m.arrivalRate(),
 	}
 }
 
@@ -178,7 +178,7 @@
 		return // not registered, as far as this host has read
 	}
 	m.gossip.latest[b.Host] = *b
-	m.fleet.ReceiveStandbyReport(m.now, b.Hears)
+	m.fleet.ReceiveStandbyReport(m.now, b.ReachableStandbys)
 	if m.fleet.Active() && !m.fleet.IsActive(b.Host) && hadWork(&known, b) {
 		m.gossip.busyStandbys = append(m.gossip.busyStandbys, b.Host)
 	}
@@ -218,7 +218,7 @@
 		delete(m.waiters, k.Replica)
 		if len(to) > 0 {
 			fleet.Sort(to)
-			m.emit(ToPeers{To: to, Message: Message{Residencies: []replicas.Residency{k}}})
+			m.emit(SendToPeers{To: to, Message: Message{Residencies: []replicas.Residency{k}}})
 		}
 	}
 	if len(changed) > 0 {
--- a/internal/core/direct/host_test.go
+++ b/internal/core/direct/host_test.go
@@ -72,7 +72,7 @@
 	h := &host{is: is.New(t), m: New(Settings{Self: self, FirstStart: true})}
 	h.now = 10 * time.Second
 	x := core.AdapterRef{ID: "x", Version: 1}
-	h.step(Configured{Table: testTable()})
+	h.step(ConfigurationRead{Table: testTable()})
 	h.step(VersionsRead{})
 	h.step(ReplicasListed{Entries: []replicas.Entry{
 		replica("e1", engines, x), replica("e2", engines, x), replica("s1", services), replica("s2", services),
@@ -84,8 +84,8 @@
 	h.is.Helper()
 	h.out = h.m.Step(core.Instant(h.now), e)
 	for _, effect := range h.out {
-		if n, ok := effect.(Note); ok && !Known(n) {
-			h.is.Equal(n, Note{}) // not in the catalog
+		if n, ok := effect.(LogDecision); ok && !InCatalog(n) {
+			h.is.Equal(n, LogDecision{}) // not in the catalog
 		}
 	}
 }
@@ -97,12 +97,12 @@
 }
 
 // arrive sends a request and returns its id.
-func (h *host) arrive(a Arrive) core.RequestID {
+func (h *host) arrive(a RequestArrived) core.RequestID {
 	h.n++
 	a.ID = core.RequestID(rune('a' + h.n))
 	a.Host = "h"
-	if a.Patience == 0 {
-		a.Patience = 5 * time.Second
+	if a.Timeout == 0 {
+		a.Timeout = 5 * time.Second
 	}
 	h.step(a)
 	return a.ID
@@ -139,7 +139,7 @@
 }
 
 func (h *host) endAttempt(d Dispatch, kind EndKind) {
-	h.step(Ended{ID: d.ID, Attempt: d.Attempt, Kind: kind})
+	h.step(AttemptEnded{ID: d.ID, Attempt: d.Attempt, Kind: kind})
 }
 
 // lease reads leases of all shards whose owner is the host.
@@ -157,7 +157,7 @@
 // adapter x on a replica.
 func (h *host) demanded(replica core.UpstreamID, version int) bool {
 	for _, e := range h.out {
-		p, ok := e.(ToPeers)
+		p, ok := e.(SendToPeers)
 		if !ok {
 			continue
 		}
--- a/internal/core/direct/leaving.go
+++ b/internal/core/direct/leaving.go
@@ -12,7 +12,7 @@
 	m.shards.Leave()
 	m.due.register = m.now
 	m.due.heartbeat = m.now
-	m.emit(Note{Name: "leave", Reason: "begun"})
+	m.emit(LogDecision{Name: "leave", Reason: "begun"})
 	m.tick()
 }
 
@@ -23,11 +23,11 @@
 		return
 	}
 	passed := m.now.Sub(m.leavingSince)
-	idle := len(m.requests.byID) == 0 && passed >= m.settings.LeaveAfter
-	if idle || passed >= m.settings.LeaveBy {
+	idle := len(m.requests.byID) == 0 && passed >= m.settings.RequestRefusalDelay
+	if idle || passed >= m.settings.LeaveTimeout {
 		m.leaveDone = true
-		m.emit(Note{Name: "leave", Reason: "ended", Detail: utoa(uint64(len(m.requests.byID))) + " requests left"})
-		m.emit(Left{})
+		m.emit(LogDecision{Name: "leave", Reason: "ended", Detail: utoa(uint64(len(m.requests.byID))) + " requests left"})
+		m.emit(LeaveCompleted{})
 	}
 }
 
--- a/internal/core/direct/lists.go
+++ b/internal/core/direct/lists.go
@@ -49,11 +49,11 @@
 	fresh := m.replicas.Update(m.now, e)
 	m.residency.UpdateReplica(e)
 	if fresh {
-		m.emit(Note{Name: "replica", Reason: "started", Upstream: e.ID, Detail: string(e.Service)})
+		m.emit(LogDecision{Name: "replica", Reason: "started", Upstream: e.ID, Detail: string(e.Service)})
 	}
 	leaves := e.Leaving && (fresh || !wasLeaving)
 	if leaves {
-		m.emit(Note{Name: "replica", Reason: "leaving", Upstream: e.ID, Detail: string(e.Service)})
+		m.emit(LogDecision{Name: "replica", Reason: "leaving", Upstream: e.ID, Detail: string(e.Service)})
 	}
 	return fresh || leaves || moved
 }
@@ -68,13 +68,13 @@
 	delete(m.failures, id)
 	delete(m.waiters, id)
 	delete(m.unsent, id)
-	m.emit(Note{Name: "replica", Reason: "gone", Upstream: id})
+	m.emit(LogDecision{Name: "replica", Reason: "gone", Upstream: id})
 	return true
 }
 
 // applyVersion applies an adapter's version and reports whether it is newer than the
 // last one.
-func (m *Machine) applyVersion(e VersionNamed) bool {
+func (m *Machine) applyVersion(e VersionAnnounced) bool {
 	if e.Adapter.Version <= m.versions[e.Adapter.ID].version {
 		return false
 	}
--- a/internal/core/direct/machine.go
+++ b/internal/core/direct/machine.go
@@ -103,15 +103,15 @@
 	m.now = max(m.now, now)
 	m.effects = nil
 	switch e := event.(type) {
-	case Arrive:
+	case RequestArrived:
 		m.handleArrival(e)
-	case Gone:
+	case CallerGone:
 		m.handleCallerGone(e)
-	case Begun:
+	case AnswerStarted:
 		m.handleAnswerStart(e)
-	case Ended:
+	case AttemptEnded:
 		m.handleAttemptEnd(e)
-	case Configured:
+	case ConfigurationRead:
 		m.handleConfiguration(e)
 	case ReplicasListed:
 		m.applyReplicaList(e.Entries)
@@ -122,7 +122,7 @@
 		if m.dropIfGone(e.ID) {
 			m.changes.gone = append(m.changes.gone, e.ID)
 		}
-	case VersionNamed:
+	case VersionAnnounced:
 		if m.applyVersion(e) && !e.Listed {
 			m.changes.versions = append(m.changes.versions, e)
 		}
@@ -137,23 +137,23 @@
 	case LeasesListed:
 		m.shards.ApplyList(m.now, e.Objects)
 		m.restoreQuota()
-	case StoreLost:
+	case StoreCallFailed:
 		m.watch.storeLost = true
 		m.replicas.StoreLost(m.now)
-	case StoreReached:
+	case StoreAnswered:
 		m.handleStoreReached()
-	case ObjectDone:
+	case WriteDone:
 		m.writes.complete(e.Result)
 	case OrderDone:
 		m.handleOrderDone(e)
-	case Reported:
+	case ReportReceived:
 		m.residency.ApplyReport(m.now, e.Report)
 		m.sendOrders()
-	case FromPeer:
+	case MessageReceived:
 		m.handlePeerMessage(e)
 	case Tick:
 		m.tick()
-	case Tuned:
+	case SettingsChanged:
 		m.applySettings(e)
 	case Leave:
 		m.startLeaving()
@@ -185,12 +185,12 @@
 }
 
 // applySettings applies changed settings.
-func (m *Machine) applySettings(e Tuned) {
+func (m *Machine) applySettings(e SettingsChanged) {
 	s := &m.settings
 	s.RetryShare, s.RetrySlack, s.RetryWindow, s.VersionGrace = e.RetryShare, e.RetrySlack, e.RetryWindow, e.VersionGrace
 	s.setDefaults()
 	clear(m.retries)
-	m.emit(Note{Name: "settings", Reason: "in_force"})
+	m.emit(LogDecision{Name: "settings", Reason: "in_force"})
 }
 
 // Ready reports whether the host can serve callers.
@@ -211,7 +211,7 @@
 // handleConfiguration applies a configuration. One that was read from the store is
 // sent to the other hosts, except the first: they have already read what a host
 // finds at its start.
-func (m *Machine) handleConfiguration(e Configured) {
+func (m *Machine) handleConfiguration(e ConfigurationRead) {
 	first := m.table == nil
 	if m.applyConfiguration(e.Table) && !first && e.Document != nil {
 		m.sendConfiguration(e)
@@ -232,7 +232,7 @@
 	for id := range t.Workspaces {
 		m.workspaces[core.ShortHash(string(id))] = id
 	}
-	m.emit(Note{Name: "configuration", Reason: "in_force", Detail: "version " + utoa(t.Version)})
+	m.emit(LogDecision{Name: "configuration", Reason: "in_force", Detail: "version " + utoa(t.Version)})
 	m.refuseWithdrawnKeys()
 	return true
 }
@@ -263,7 +263,7 @@
 		if o.Load {
 			what = "load "
 		}
-		m.emit(Note{Name: "order", Reason: e.Outcome.String(), Upstream: o.Replica, Detail: what + o.Adapter.String() + " after " + utoa(o.ExpectedSequence)})
+		m.emit(LogDecision{Name: "order", Reason: e.Outcome.String(), Upstream: o.Replica, Detail: what + o.Adapter.String() + " after " + utoa(o.ExpectedSequence)})
 	}
 	m.residency.ApplyOrderResult(m.now, e.OrderDone)
 	m.sendOrders()
@@ -277,10 +277,10 @@
 	}
 	out := m.residency.Tick(m.now, m.orderFence)
 	for _, o := range out.Orders {
-		m.emit(Order{o})
+		m.emit(SendOrder{o})
 	}
 	for _, p := range out.Probes {
-		m.emit(Probe{p})
+		m.emit(RequestReport{p})
 	}
 	m.sendResidency()
 }
--- a/internal/core/direct/machine_test.go
+++ b/internal/core/direct/machine_test.go
@@ -14,7 +14,7 @@
 	h := newHost(t)
 	h.m = New(Settings{Self: fleet.Registration{Name: "a"}})
 	h.is.True(!h.m.Ready())
-	h.arrive(Arrive{Path: "/read/x"})
+	h.arrive(RequestArrived{Path: "/read/x"})
 	r := h.refusal()
 	h.is.Equal(r.Code, core.CodeHostCutOff)
 	h.is.Equal(r.Ran, core.RanNo)
@@ -22,21 +22,21 @@
 
 func TestKeysAndRoutes(t *testing.T) {
 	h := newHost(t)
-	h.arrive(Arrive{Path: "/nowhere"})
+	h.arrive(RequestArrived{Path: "/nowhere"})
 	h.is.Equal(h.refusal().Code, core.CodeUnknownRoute)
-	h.arrive(Arrive{Path: "/keyed/x"})
+	h.arrive(RequestArrived{Path: "/keyed/x"})
 	h.is.Equal(h.refusal().Code, core.CodeInvalidKey)
-	h.arrive(Arrive{Path: "/keyed/x", HasKey: true, Key: table.HashKey([]byte("other"))})
+	h.arrive(RequestArrived{Path: "/keyed/x", HasKey: true, Key: table.HashKey([]byte("other"))})
 	h.is.Equal(h.refusal().Code, core.CodeInvalidKey)
-	h.arrive(Arrive{Path: "/keyed/x", HasKey: true, Key: table.HashKey([]byte("key"))})
+	h.arrive(RequestArrived{Path: "/keyed/x", HasKey: true, Key: table.HashKey([]byte("key"))})
 	h.is.Equal(h.dispatch().Workspace, core.WorkspaceID("w"))
 }
 
 func TestNonIdempotentRequestIsRetriedOnlyIfItHasNotRun(t *testing.T) {
 	h := newHost(t)
-	h.arrive(Arrive{Path: "/act/x"})
+	h.arrive(RequestArrived{Path: "/act/x"})
 	first := h.dispatch()
-	h.is.True(first.Once)
+	h.is.True(first.NonRepeatable)
 	h.endAttempt(first, EndNotRun)
 	second := h.dispatch()
 	h.is.True(second.Upstream != first.Upstream)
@@ -48,7 +48,7 @@
 
 func TestIdempotentRequestMovesFromAnUnresponsiveReplica(t *testing.T) {
 	h := newHost(t)
-	h.arrive(Arrive{Path: "/read/x"})
+	h.arrive(RequestArrived{Path: "/read/x"})
 	first := h.dispatch()
 	h.advance(100 * time.Millisecond)
 	c, ok := get[Cancel](h)
@@ -62,23 +62,23 @@
 // later break of it must not count as the move.
 func TestStartedAnswerIsNotMoved(t *testing.T) {
 	h := newHost(t)
-	h.arrive(Arrive{Path: "/read/x"})
+	h.arrive(RequestArrived{Path: "/read/x"})
 	first := h.dispatch()
 	h.advance(100 * time.Millisecond)
 	c, ok := get[Cancel](h)
 	h.is.True(ok)
-	h.is.True(c.Unbegun)
-	h.step(Begun{ID: first.ID, Attempt: 1, Passed: true})
+	h.is.True(c.OnlyIfUnanswered)
+	h.step(AnswerStarted{ID: first.ID, Attempt: 1, PartDelivered: true})
 	h.is.True(!h.m.requests.byID[first.ID].moving)
 	h.advance(900 * time.Millisecond) // its deadline
 	c, ok = get[Cancel](h)
 	h.is.True(ok)
-	h.is.True(!c.Unbegun)
+	h.is.True(!c.OnlyIfUnanswered)
 }
 
 func TestDeadlineOfARunningRequestLeavesItsResultUnknown(t *testing.T) {
 	h := newHost(t)
-	h.arrive(Arrive{Path: "/act/x"})
+	h.arrive(RequestArrived{Path: "/act/x"})
 	h.dispatch()
 	h.advance(time.Second)
 	r := h.refusal()
@@ -88,33 +88,33 @@
 
 func TestStreamResumesOnAnotherReplicaAfterItsLastEvent(t *testing.T) {
 	h := newHost(t)
-	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
+	h.arrive(RequestArrived{Path: "/stream/x", Model: model, Adapter: "x"})
 	first := h.dispatch()
-	h.step(Begun{ID: first.ID, Attempt: 1, Passed: true})
-	h.step(Ended{ID: first.ID, Attempt: 1, Kind: EndBroken, LastEvent: "7"})
+	h.step(AnswerStarted{ID: first.ID, Attempt: 1, PartDelivered: true})
+	h.step(AttemptEnded{ID: first.ID, Attempt: 1, Kind: EndBroken, LastEvent: "7"})
 	second := h.dispatch()
 	h.is.Equal(second.LastEvent, "7")
 	h.is.True(second.Upstream != first.Upstream)
 
-	h.arrive(Arrive{Path: "/once-stream/x", Model: model, Adapter: "x"})
+	h.arrive(RequestArrived{Path: "/once-stream/x", Model: model, Adapter: "x"})
 	other := h.dispatch()
-	h.step(Begun{ID: other.ID, Attempt: 1, Passed: true})
-	h.step(Ended{ID: other.ID, Attempt: 1, Kind: EndBroken, LastEvent: "7"})
-	_, cut := get[Cut](h)
+	h.step(AnswerStarted{ID: other.ID, Attempt: 1, PartDelivered: true})
+	h.step(AttemptEnded{ID: other.ID, Attempt: 1, Kind: EndBroken, LastEvent: "7"})
+	_, cut := get[AbortAnswer](h)
 	h.is.True(cut)
 }
 
 func TestRequestThatCrashedThreeReplicasIsRefused(t *testing.T) {
 	h := newHost(t)
 	for range 3 {
-		h.arrive(Arrive{Path: "/act/x", Fingerprint: 9})
+		h.arrive(RequestArrived{Path: "/act/x", Fingerprint: 9})
 		d := h.dispatch()
-		h.step(Ended{ID: d.ID, Attempt: d.Attempt, Kind: EndBroken, Dropped: true})
+		h.step(AttemptEnded{ID: d.ID, Attempt: d.Attempt, Kind: EndBroken, ConnectionClosed: true})
 		h.advance(time.Second)
 	}
-	h.arrive(Arrive{Path: "/act/x", Fingerprint: 9})
+	h.arrive(RequestArrived{Path: "/act/x", Fingerprint: 9})
 	h.is.Equal(h.refusal().Ran, core.RanNo)
-	h.arrive(Arrive{Path: "/act/x", Fingerprint: 10})
+	h.arrive(RequestArrived{Path: "/act/x", Fingerprint: 10})
 	h.dispatch()
 }
 
@@ -122,17 +122,17 @@
 // before for one announced a moment ago, and still used the older one.
 func TestListedVersionHasNoGracePeriod(t *testing.T) {
 	h := newHost(t)
-	h.step(VersionNamed{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}})
-	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
-	h.is.Equal(h.dispatch().Version, 0) // announced a moment ago: the old one may still be used
-	h.step(VersionNamed{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 3}, Listed: true})
-	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
+	h.step(VersionAnnounced{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}})
+	h.arrive(RequestArrived{Path: "/stream/x", Model: model, Adapter: "x"})
+	h.is.Equal(h.dispatch().ExpectedVersion, 0) // announced a moment ago: the old one may still be used
+	h.step(VersionAnnounced{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 3}, Listed: true})
+	h.arrive(RequestArrived{Path: "/stream/x", Model: model, Adapter: "x"})
 	_, sent := get[Dispatch](h)
 	h.is.True(!sent) // version 3 is loaded nowhere
 	newer := replica("e1", engines, core.AdapterRef{ID: "x", Version: 3})
 	newer.Sequence = 1
 	h.step(ReplicaListed{Entry: newer})
-	h.is.Equal(h.dispatch().Version, 3)
+	h.is.Equal(h.dispatch().ExpectedVersion, 3)
 }
 
 // Rule LOST: streams admitted late in a graceful shutdown were still running when
@@ -141,20 +141,20 @@
 	h := newHost(t)
 	h.step(Leave{})
 	h.is.True(!h.m.Ready())
-	stream := Arrive{Path: "/stream/x", Model: model, Adapter: "x"}
+	stream := RequestArrived{Path: "/stream/x", Model: model, Adapter: "x"}
 	h.arrive(stream)
 	d := h.dispatch()
-	h.advance(DefaultLeaveStreams + time.Millisecond)
+	h.advance(DefaultStreamRefusalDelay + time.Millisecond)
 	h.arrive(stream)
 	h.is.Equal(h.refusal().Code, core.CodeHostLeaving)
-	h.arrive(Arrive{Path: "/read/x"})
+	h.arrive(RequestArrived{Path: "/read/x"})
 	h.endAttempt(h.dispatch(), EndOK)
-	h.advance(DefaultLeaveAfter - DefaultLeaveStreams)
-	_, left := get[Left](h)
+	h.advance(DefaultRequestRefusalDelay - DefaultStreamRefusalDelay)
+	_, left := get[LeaveCompleted](h)
 	h.is.True(!left) // a stream is in flight
 	h.endAttempt(d, EndOK)
 	h.advance(time.Millisecond)
-	_, left = get[Left](h)
+	_, left = get[LeaveCompleted](h)
 	h.is.True(left)
 }
 
@@ -164,7 +164,7 @@
 	leaving.Leaving = true
 	h.step(ReplicaListed{Entry: leaving})
 	for range 4 {
-		h.arrive(Arrive{Path: "/act/x"})
+		h.arrive(RequestArrived{Path: "/act/x"})
 		h.is.Equal(h.dispatch().Upstream, core.UpstreamID("s2"))
 	}
 }
@@ -173,7 +173,7 @@
 	h := newHost(t)
 	counts := map[core.UpstreamID]int{}
 	for range 6 {
-		h.arrive(Arrive{Path: "/act/x"})
+		h.arrive(RequestArrived{Path: "/act/x"})
 		counts[h.dispatch().Upstream]++
 	}
 	h.is.Equal(counts["s1"], 3)
@@ -183,22 +183,22 @@
 func TestPeerLoadCountsInTheChoiceOfReplica(t *testing.T) {
 	h := newHost(t)
 	h.step(HostListed{Host: fleet.Registration{Name: "b", Host: "b/1"}})
-	h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true, Loads: []Load{{Replica: core.ShortHash("s1"), Running: 5}}}}}})
+	h.step(MessageReceived{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true, Loads: []Load{{Replica: core.ShortHash("s1"), Running: 5}}}}}})
 	for range 4 {
-		h.arrive(Arrive{Path: "/act/x"})
+		h.arrive(RequestArrived{Path: "/act/x"})
 		h.is.Equal(h.dispatch().Upstream, core.UpstreamID("s2"))
 	}
 	h.advance(fleet.HeartbeatTimeout) // b is no longer reachable: its requests do not count
-	h.arrive(Arrive{Path: "/act/x"})
+	h.arrive(RequestArrived{Path: "/act/x"})
 	h.is.Equal(h.dispatch().Upstream, core.UpstreamID("s1"))
 }
 
 func TestAnUnlistedReplicaIsNotUsed(t *testing.T) {
 	h := newHost(t)
 	h.step(ReplicasListed{Entries: []replicas.Entry{replica("s2", services)}})
-	h.arrive(Arrive{Path: "/act/x"})
+	h.arrive(RequestArrived{Path: "/act/x"})
 	h.is.Equal(h.dispatch().Upstream, core.UpstreamID("s2"))
-	h.arrive(Arrive{Path: "/stream/x", Model: model})
+	h.arrive(RequestArrived{Path: "/stream/x", Model: model})
 	h.is.Equal(h.refusal().Code, core.CodeNoUpstream)
 }
 
@@ -208,11 +208,11 @@
 	h := newHost(t)
 	h.step(LeasesListed{})
 	h.step(HostListed{Host: fleet.Registration{Name: "b", Host: "b/1"}})
-	h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true}}}})
+	h.step(MessageReceived{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true}}}})
 	h.lease("b")
 	h.step(ReplicaListed{Entry: replica("e3", engines)}) // without the adapter
-	h.step(VersionNamed{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}})
-	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
+	h.step(VersionAnnounced{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}})
+	h.arrive(RequestArrived{Path: "/stream/x", Model: model, Adapter: "x"})
 	h.is.True(h.dispatch().Upstream != "e3")
 	h.is.True(h.demanded("e3", 2))
 }
@@ -221,45 +221,45 @@
 // it was never answered.
 func TestDocumentsAreRereadAfterAStoreOutage(t *testing.T) {
 	h := newHost(t)
-	h.step(StoreReached{})
-	before := h.m.Reading().Reread
-	h.step(StoreReached{})
-	h.is.Equal(h.m.Reading().Reread, before)
-	h.step(StoreLost{})
-	h.is.Equal(h.m.Reading().Reread, before)
-	h.step(StoreReached{})
-	h.is.Equal(h.m.Reading().Reread, before+1)
-	h.step(StoreLost{})
-	h.step(StoreReached{}) // again at once: calls may fail one by one
-	h.is.Equal(h.m.Reading().Reread, before+1)
+	h.step(StoreAnswered{})
+	before := h.m.ReadPlan().Reread
+	h.step(StoreAnswered{})
+	h.is.Equal(h.m.ReadPlan().Reread, before)
+	h.step(StoreCallFailed{})
+	h.is.Equal(h.m.ReadPlan().Reread, before)
+	h.step(StoreAnswered{})
+	h.is.Equal(h.m.ReadPlan().Reread, before+1)
+	h.step(StoreCallFailed{})
+	h.step(StoreAnswered{}) // again at once: calls may fail one by one
+	h.is.Equal(h.m.ReadPlan().Reread, before+1)
 	h.advance(rereadInterval) // the reread that was not allowed before
-	h.is.Equal(h.m.Reading().Reread, before+2)
+	h.is.Equal(h.m.ReadPlan().Reread, before+2)
 	h.advance(rereadInterval)
-	h.is.Equal(h.m.Reading().Reread, before+2)
+	h.is.Equal(h.m.ReadPlan().Reread, before+2)
 }
 
 func TestANewerConfigurationElsewhereIsRead(t *testing.T) {
 	h := newHost(t)
 	h.step(HostListed{Host: fleet.Registration{Name: "b", Host: "b/1"}})
-	before := h.m.Reading().Reread
+	before := h.m.ReadPlan().Reread
 	for n := range uint64(3) {
-		h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: n + 1, Ready: true, Config: 2}}}})
+		h.step(MessageReceived{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: n + 1, Ready: true, ConfigVersion: 2}}}})
 		h.advance(newerElsewhereTimeout / 2)
 	}
-	h.is.Equal(h.m.Reading().Reread, before+1)
+	h.is.Equal(h.m.ReadPlan().Reread, before+1)
 }
 
 func TestAWatcherKeepsTheOthersListCurrent(t *testing.T) {
 	h := newHost(t)
-	h.is.True(h.m.Reading().Watch) // alone: it watches the store itself
+	h.is.True(h.m.ReadPlan().Watch) // alone: it watches the store itself
 	var n uint64
 	heartbeat := func(list uint64) {
 		n++
 		var heartbeats []Heartbeat
 		for _, name := range []core.HostID{"b", "c", "d", "e", "f"} {
-			heartbeats = append(heartbeats, Heartbeat{Host: name + "/1", Number: n, Ready: true, Watches: true, List: list})
+			heartbeats = append(heartbeats, Heartbeat{Host: name + "/1", Number: n, Ready: true, IsWatcher: true, ListDigest: list})
 		}
-		h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: heartbeats}})
+		h.step(MessageReceived{From: "b/1", Message: Message{Heartbeats: heartbeats}})
 	}
 	for _, name := range []string{"b", "c", "d", "e", "f"} {
 		h.step(HostListed{Host: fleet.Registration{Name: name, Host: core.HostID(name + "/1")}})
@@ -267,24 +267,24 @@
 	digest := h.m.listDigest()
 	heartbeat(digest)
 	h.is.True(!h.m.isWatcher()) // by its name
-	h.is.True(!h.m.Reading().Watch)
-	h.step(FromPeer{From: "b/1", Message: Message{Gone: []core.UpstreamID{"s1"}}})
+	h.is.True(!h.m.ReadPlan().Watch)
+	h.step(MessageReceived{From: "b/1", Message: Message{RemovedReplicas: []core.UpstreamID{"s1"}}})
 	h.is.True(h.m.replicas.Get("s1") == nil)
 	heartbeat(digest) // now the lists differ
 	h.advance(listDifferTimeout)
 	heartbeat(digest)
-	h.is.True(h.m.Reading().Watch)
+	h.is.True(h.m.ReadPlan().Watch)
 }
 
 func TestSettingsChangeAtRunTime(t *testing.T) {
 	h := newHost(t)
-	h.step(Tuned{VersionGrace: time.Minute})
-	h.step(VersionNamed{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}})
+	h.step(SettingsChanged{VersionGrace: time.Minute})
+	h.step(VersionAnnounced{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}})
 	h.advance(30 * time.Second)
-	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
-	h.is.Equal(h.dispatch().Version, 0) // still within the longer grace period
-	h.step(Tuned{VersionGrace: time.Second})
-	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "x"})
+	h.arrive(RequestArrived{Path: "/stream/x", Model: model, Adapter: "x"})
+	h.is.Equal(h.dispatch().ExpectedVersion, 0) // still within the longer grace period
+	h.step(SettingsChanged{VersionGrace: time.Second})
+	h.arrive(RequestArrived{Path: "/stream/x", Model: model, Adapter: "x"})
 	_, sent := get[Dispatch](h)
 	h.is.True(!sent)
 }
@@ -293,16 +293,16 @@
 // request for an adapter that is loaded nowhere must not wait.
 func TestARequestThatNobodyCanLoadForIsRefusedSoon(t *testing.T) {
 	h := newHost(t)
-	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "absent"})
+	h.arrive(RequestArrived{Path: "/stream/x", Model: model, Adapter: "absent"})
 	h.advance(noOwnerTimeout)
 	r := h.refusal()
 	h.is.Equal(r.Ran, core.RanNo)
 	h.is.True(r.RetryAfter > 0)
 
 	h.step(HostListed{Host: fleet.Registration{Name: "b", Host: "b/1"}})
-	h.step(FromPeer{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true}}}})
+	h.step(MessageReceived{From: "b/1", Message: Message{Heartbeats: []Heartbeat{{Host: "b/1", Number: 1, Ready: true}}}})
 	h.lease("b")
-	h.arrive(Arrive{Path: "/stream/x", Model: model, Adapter: "absent"})
+	h.arrive(RequestArrived{Path: "/stream/x", Model: model, Adapter: "absent"})
 	h.advance(noOwnerTimeout) // a demand was sent: it waits
 	_, refused := get[Refuse](h)
 	h.is.True(!refused)
@@ -312,9 +312,9 @@
 	h := newHost(t)
 	h.is.True(h.m.Ready())
 	h.m = New(Settings{Self: fleet.Registration{Name: "a", Host: "a/1"}})
-	for _, e := range []Event{Configured{Table: testTable()}, ReplicasListed{}, VersionsRead{}} {
+	for _, e := range []Event{ConfigurationRead{Table: testTable()}, ReplicasListed{}, VersionsRead{}} {
 		h.is.True(!h.m.Ready())
-		h.arrive(Arrive{Path: "/read/x"})
+		h.arrive(RequestArrived{Path: "/read/x"})
 		h.is.Equal(h.refusal().Code, core.CodeHostCutOff)
 		h.step(e)
 	}
--- a/internal/core/direct/peers.go
+++ b/internal/core/direct/peers.go
@@ -27,7 +27,7 @@
 	if !ok || !m.fleet.Reachable(m.now, p.Host) {
 		return false
 	}
-	m.emit(ToPeers{To: []fleet.Registration{p}, Message: message})
+	m.emit(SendToPeers{To: []fleet.Registration{p}, Message: message})
 	return true
 }
 
@@ -133,7 +133,7 @@
 }
 
 // handlePeerMessage applies another host's message.
-func (m *Machine) handlePeerMessage(e FromPeer) {
+func (m *Machine) handlePeerMessage(e MessageReceived) {
 	for i := range e.Message.Heartbeats {
 		m.receiveHeartbeat(e.From, &e.Message.Heartbeats[i])
 	}
--- a/internal/core/direct/place.go
+++ b/internal/core/direct/place.go
@@ -65,7 +65,7 @@
 	}
 	if r.stage != stageWaiting {
 		r.stage, r.stageSince = stageWaiting, m.now
-		m.emit(Note{Name: "wait", Reason: "adapter", ID: r.id(), Detail: string(r.arrival.Adapter)})
+		m.emit(LogDecision{Name: "wait", Reason: "adapter", ID: r.id(), Detail: string(r.arrival.Adapter)})
 	}
 	m.demandAdapter(r)
 }
@@ -276,18 +276,18 @@
 	if r.attempt == 1 {
 		m.retryBudget(r.service.ID).RecordAttempt(m.now)
 	}
-	m.emit(Note{Name: "dispatch", Reason: "least_occupied", ID: r.id(), Upstream: x.ID, Age: m.now.Sub(r.arrivedAt), Detail: "load " + utoa(uint64(x.Load()))})
+	m.emit(LogDecision{Name: "dispatch", Reason: "least_occupied", ID: r.id(), Upstream: x.ID, Age: m.now.Sub(r.arrivedAt), Detail: "load " + utoa(uint64(x.Load()))})
 	m.emit(Dispatch{
-		ID:        r.id(),
-		Attempt:   r.attempt,
-		Upstream:  x.ID,
-		Address:   x.Address,
-		Workspace: r.workspaceID(),
-		Left:      r.deadline.Sub(m.now),
-		Version:   m.expectedVersion(r),
-		LastEvent: r.lastEvent,
-		Once:      !r.route.Repeatable(),
-		Priority:  r.route.Priority,
+		ID:              r.id(),
+		Attempt:         r.attempt,
+		Upstream:        x.ID,
+		Address:         x.Address,
+		Workspace:       r.workspaceID(),
+		TimeLeft:        r.deadline.Sub(m.now),
+		ExpectedVersion: m.expectedVersion(r),
+		LastEvent:       r.lastEvent,
+		NonRepeatable:   !r.route.Repeatable(),
+		Priority:        r.route.Priority,
 	})
 }
 
--- a/internal/core/direct/requests.go
+++ b/internal/core/direct/requests.go
@@ -20,7 +20,7 @@
 
 // request is a caller's request and its progress.
 type request struct {
-	arrival    Arrive
+	arrival    RequestArrived
 	route      *table.Route
 	service    *table.Service
 	workspace  *table.Workspace // nil: no workspace is charged
--- a/internal/core/direct/settings.go
+++ b/internal/core/direct/settings.go
@@ -14,31 +14,31 @@
 
 // Settings of a host. Zero fields that have a default take it.
 type Settings struct {
-	Self         fleet.Registration
-	Seed         uint64
-	FirstStart   bool // the whole deployment starts, not only this host
-	Shard        shard.Settings
-	Residency    residency.Settings
-	RetryShare   float64       // retries per first attempt, over the whole fleet
-	RetrySlack   float64       // additional retries in RetryWindow, over the whole fleet
-	RetryWindow  time.Duration // of RetrySlack
-	VersionGrace time.Duration // how long an older version may be used after a newer one was announced
-	Heartbeat    time.Duration // heartbeat interval of an active host, before the addition per receiver
-	LeaveStreams time.Duration // from Leave to the refusal of new streams
-	LeaveAfter   time.Duration // from Leave to the refusal of new requests
-	LeaveBy      time.Duration // from Leave to the end, even with requests in flight
+	Self                fleet.Registration
+	Seed                uint64
+	FirstStart          bool // the whole deployment starts, not only this host
+	Shard               shard.Settings
+	Residency           residency.Settings
+	RetryShare          float64       // retries per first attempt, over the whole fleet
+	RetrySlack          float64       // additional retries in RetryWindow, over the whole fleet
+	RetryWindow         time.Duration // of RetrySlack
+	VersionGrace        time.Duration // how long an older version may be used after a newer one was announced
+	HeartbeatInterval   time.Duration // heartbeat interval of an active host, before the addition per receiver
+	StreamRefusalDelay  time.Duration // from Leave to the refusal of new streams
+	RequestRefusalDelay time.Duration // from Leave to the refusal of new requests
+	LeaveTimeout        time.Duration // from Leave to the end, even with requests in flight
 }
 
 // Defaults of Settings.
 const (
-	DefaultRetryShare   = 0.2
-	DefaultRetrySlack   = 50
-	DefaultRetryWindow  = 10 * time.Second
-	DefaultVersionGrace = 3 * time.Second
-	DefaultHeartbeat    = 100 * time.Millisecond
-	DefaultLeaveStreams = 2800 * time.Millisecond
-	DefaultLeaveAfter   = 5500 * time.Millisecond
-	DefaultLeaveBy      = 7500 * time.Millisecond
+	DefaultRetryShare          = 0.2
+	DefaultRetrySlack          = 50
+	DefaultRetryWindow         = 10 * time.Second
+	DefaultVersionGrace        = 3 * time.Second
+	DefaultHeartbeatInterval   = 100 * time.Millisecond
+	DefaultStreamRefusalDelay  = 2800 * time.Millisecond
+	DefaultRequestRefusalDelay = 5500 * time.Millisecond
+	DefaultLeaveTimeout        = 7500 * time.Millisecond
 )
 
 // discoveryTime is how long the hosts of a new deployment take to find each other.
@@ -51,10 +51,10 @@
 	core.OrDefault(&s.RetrySlack, DefaultRetrySlack)
 	core.OrDefault(&s.RetryWindow, DefaultRetryWindow)
 	core.OrDefault(&s.VersionGrace, DefaultVersionGrace)
-	core.OrDefault(&s.Heartbeat, DefaultHeartbeat)
-	core.OrDefault(&s.LeaveStreams, DefaultLeaveStreams)
-	core.OrDefault(&s.LeaveAfter, DefaultLeaveAfter)
-	core.OrDefault(&s.LeaveBy, DefaultLeaveBy)
+	core.OrDefault(&s.HeartbeatInterval, DefaultHeartbeatInterval)
+	core.OrDefault(&s.StreamRefusalDelay, DefaultStreamRefusalDelay)
+	core.OrDefault(&s.RequestRefusalDelay, DefaultRequestRefusalDelay)
+	core.OrDefault(&s.LeaveTimeout, DefaultLeaveTimeout)
 	s.Shard.Self = core.HostID(s.Self.Name)
 	s.Residency.Self = core.HostID(s.Self.Name)
 	core.OrDefault(&s.Shard.StartDelay, 2*discoveryTime) // after the first heartbeats
--- a/internal/core/direct/state.go
+++ b/internal/core/direct/state.go
@@ -9,28 +9,28 @@
 
 // State is a host's state, for the metrics.
 type State struct {
-	Configuration    uint64        // version in force
-	ConfigurationAge time.Duration // since it came into force
-	StoreAge         time.Duration // since the store last answered; 0: it never did
-	Active           bool          // this host is advertised to callers
-	ActiveHosts      int           // reachable ones, this host included if it is active
-	Part             float64       // fraction of the fleet that is reachable
-	PeerAge          time.Duration // age of the oldest heartbeat among the active hosts
-	Shards           int           // shards that this host owns
-	Waiting          int           // requests that wait for their adapters
-	Replicas         []ReplicaState
-	Workspaces       []WorkspaceState
-	Retries          map[table.ServiceID]float64 // available retries, by service
-	Routes           map[string]bool             // names of the configured routes
+	Configuration      uint64        // version in force
+	ConfigurationAge   time.Duration // since it came into force
+	StoreAge           time.Duration // since the store last answered; 0: it never did
+	Active             bool          // this host is advertised to callers
+	ActiveHosts        int           // reachable ones, this host included if it is active
+	ReachableFraction  float64       // fraction of the fleet that is reachable
+	OldestHeartbeatAge time.Duration // age of the oldest heartbeat among the active hosts
+	Shards             int           // shards that this host owns
+	Waiting            int           // requests that wait for their adapters
+	Replicas           []ReplicaState
+	Workspaces         []WorkspaceState
+	Retries            map[table.ServiceID]float64 // available retries, by service
+	Routes             map[string]bool             // names of the configured routes
 }
 
 // ReplicaState is the state of one replica on this host.
 type ReplicaState struct {
-	ID       core.UpstreamID
-	Mine     int           // requests of this host there
-	Others   int           // requests of other hosts there
-	ToldAge  time.Duration // since its owner last reported its residency; 0: never
-	Failures float64       // decaying failure score
+	ID           core.UpstreamID
+	Own          int           // requests of this host there
+	Others       int           // requests of other hosts there
+	ReportAge    time.Duration // since its owner last reported its residency; 0: never
+	FailureScore float64       // decaying failure score
 }
 
 // WorkspaceState is the state of one workspace's bucket on this host.
@@ -43,12 +43,12 @@
 // State returns the machine's state.
 func (m *Machine) State() State {
 	s := State{
-		Configuration: m.configVersion(),
-		Active:        m.fleet.Active(),
-		ActiveHosts:   len(m.fleet.Members(m.now)),
-		Part:          m.fleet.ReachableFraction(m.now),
-		Retries:       map[table.ServiceID]float64{},
-		Routes:        map[string]bool{},
+		Configuration:     m.configVersion(),
+		Active:            m.fleet.Active(),
+		ActiveHosts:       len(m.fleet.Members(m.now)),
+		ReachableFraction: m.fleet.ReachableFraction(m.now),
+		Retries:           map[table.ServiceID]float64{},
+		Routes:            map[string]bool{},
 	}
 	if m.table != nil {
 		s.ConfigurationAge = m.now.Sub(m.configuredAt)
@@ -60,7 +60,7 @@
 		s.StoreAge = m.now.Sub(m.watch.lastAnswer)
 	}
 	for _, p := range m.fleet.ActivePeers() {
-		s.PeerAge = max(s.PeerAge, m.fleet.HeartbeatAge(m.now, p.Host))
+		s.OldestHeartbeatAge = max(s.OldestHeartbeatAge, m.fleet.HeartbeatAge(m.now, p.Host))
 	}
 	for i := range m.shards.Count() {
 		if _, ok := m.shards.OrderFence(m.now, i); ok {
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, x := range m.replicas.All() {
-		s.Replicas = append(s.Replicas, ReplicaState{ID: x.ID, Mine: x.OwnRequests, Others: x.OtherRequests, ToldAge: x.ReportAge(m.now), Failures: m.failureScore(x.ID)})
+		s.Replicas = append(s.Replicas, ReplicaState{ID: x.ID, Own: x.OwnRequests, Others: x.OtherRequests, ReportAge: x.ReportAge(m.now), FailureScore: m.failureScore(x.ID)})
 	}
 	for id, granted := range m.quota.Admitted() {
 		level, _ := m.quota.Level(m.now, id)
--- a/internal/core/direct/watchers.go
+++ b/internal/core/direct/watchers.go
@@ -36,23 +36,23 @@
 	rereadPending bool                         // a reread is due after rereadInterval
 }
 
-// Reading is how the store is to be read.
-type Reading struct {
+// ReadPlan is how the store is to be read.
+type ReadPlan struct {
 	Watch   bool   // watch the objects, instead of relying on a watcher's messages
 	Reread  uint64 // rises each time that the configuration and versions are to be read again
 	Relist  uint64 // rises each time that all objects are to be listed again
 	Standby bool   // this host is a standby host
-	Alone   bool   // no other active host is reachable: changes show only in this host's own calls
+	NoPeers bool   // no other active host is reachable: changes show only in this host's own calls
 }
 
-// Reading returns how the store is to be read now.
-func (m *Machine) Reading() Reading {
-	return Reading{
+// ReadPlan returns how the store is to be read now.
+func (m *Machine) ReadPlan() ReadPlan {
+	return ReadPlan{
 		Watch:   m.isWatcher() || !m.keptCurrent(),
 		Reread:  m.rereads,
 		Relist:  m.relists,
 		Standby: !m.fleet.Active(),
-		Alone:   len(m.fleet.Members(m.now)) <= 1,
+		NoPeers: len(m.fleet.Members(m.now)) <= 1,
 	}
 }
 
@@ -98,7 +98,7 @@
 			continue
 		}
 		p, ok := m.fleet.ByName(string(name))
-		if ok && m.fleet.Reachable(m.now, p.Host) && m.gossip.latest[p.Host].Watches {
+		if ok && m.fleet.Reachable(m.now, p.Host) && m.gossip.latest[p.Host].IsWatcher {
 			return name
 		}
 	}
@@ -138,7 +138,7 @@
 	m.watch.rereadPending = false
 	m.watch.lastReread = m.now
 	m.rereads++
-	m.emit(Note{Name: "reread", Reason: reason, Detail: detail})
+	m.emit(LogDecision{Name: "reread", Reason: reason, Detail: detail})
 }
 
 // storeAnswers reports whether the store answers this host: its last call was not
@@ -157,12 +157,12 @@
 // compareState compares another host's versions with this host's, and a watcher's
 // list. Newer documents elsewhere are reread after newerElsewhereTimeout.
 func (m *Machine) compareState(b *Heartbeat) {
-	if b.Watches {
+	if b.IsWatcher {
 		m.compareLists(b)
 	} else {
 		delete(m.watch.differSince, b.Host)
 	}
-	if b.Config <= m.configVersion() && b.Versions <= m.versionSum {
+	if b.ConfigVersion <= m.configVersion() && b.VersionSum <= m.versionSum {
 		return
 	}
 	if m.watch.olderSince == 0 {
@@ -176,7 +176,7 @@
 
 // compareLists compares a watcher's list with this host's.
 func (m *Machine) compareLists(b *Heartbeat) {
-	if b.List == m.listDigest() {
+	if b.ListDigest == m.listDigest() {
 		delete(m.watch.differSince, b.Host)
 		return
 	}
@@ -187,12 +187,12 @@
 
 // sendConfiguration sends a configuration that this host has read from the store to
 // all hosts, if this is the first watcher.
-func (m *Machine) sendConfiguration(e Configured) {
+func (m *Machine) sendConfiguration(e ConfigurationRead) {
 	if !m.isFirstWatcher() {
 		return
 	}
 	if len(e.Document) > maxSentConfigBytes {
-		m.sendToAll(Message{Newer: e.Table.Version})
+		m.sendToAll(Message{NewerConfiguration: e.Table.Version})
 		return
 	}
 	m.sendToAll(Message{Configuration: e.Document})
@@ -204,7 +204,7 @@
 	replicas []replicas.Entry
 	gone     []core.UpstreamID
 	hosts    []fleet.Registration
-	versions []VersionNamed
+	versions []VersionAnnounced
 }
 
 // startupTime is how long after its start a host sends no changes: what it finds
@@ -220,11 +220,11 @@
 	if m.now < core.Instant(startupTime) || !m.isWatcher() {
 		return
 	}
-	message := Message{Replicas: c.replicas, Gone: c.gone}
+	message := Message{Replicas: c.replicas, RemovedReplicas: c.gone}
 	if m.isFirstWatcher() {
 		message.Hosts, message.Versions = c.hosts, c.versions
 	}
-	if len(message.Replicas)+len(message.Gone)+len(message.Hosts)+len(message.Versions) > 0 {
+	if len(message.Replicas)+len(message.RemovedReplicas)+len(message.Hosts)+len(message.Versions) > 0 {
 		m.sendToAll(message)
 	}
 }
@@ -235,14 +235,14 @@
 
 // applyDocuments applies the versions and registrations that a watcher has sent. A
 // configuration must be decoded first, and is an event of its own.
-func (m *Machine) applyDocuments(e FromPeer) {
+func (m *Machine) applyDocuments(e MessageReceived) {
 	for _, v := range e.Message.Versions {
 		m.applyVersion(v)
 	}
 	for _, r := range e.Message.Hosts {
 		m.fleet.UpdateRegistration(m.now, r)
 	}
-	if e.Message.Newer > m.configVersion() {
+	if e.Message.NewerConfiguration > m.configVersion() {
 		m.requestReread("newer_elsewhere", string(e.From))
 	}
 }
@@ -253,7 +253,7 @@
 	for _, e := range message.Replicas {
 		m.updateReplica(e)
 	}
-	for _, id := range message.Gone {
+	for _, id := range message.RemovedReplicas {
 		m.replicas.Remove(m.now, id)
 		m.dropIfGone(id)
 	}
--- a/internal/core/direct/watchers_test.go
+++ b/internal/core/direct/watchers_test.go
@@ -22,10 +22,10 @@
 	return watch, other
 }
 
-func newerTable() Configured {
+func newerTable() ConfigurationRead {
 	t := testTable()
 	t.Version = 2
-	return Configured{Table: t, Document: []byte("as the store has it")}
+	return ConfigurationRead{Table: t, Document: []byte("as the store has it")}
 }
 
 func hasConfiguration(m Message) bool { return len(m.Configuration) > 0 }
@@ -36,10 +36,10 @@
 	senders := 0
 	for _, name := range append(watch, other) {
 		h := newHostInLargeFleet(t, name)
-		h.step(StoreReached{})
+		h.step(StoreAnswered{})
 		h.advanceFleet(time.Second)
 		for _, w := range watch {
-			h.deliverHeartbeat(w, Heartbeat{Number: uint64(h.now) + 1, Watches: true})
+			h.deliverHeartbeat(w, Heartbeat{Number: uint64(h.now) + 1, IsWatcher: true})
 		}
 		h.step(newerTable())
 		to := h.recipients(hasConfiguration)
@@ -64,17 +64,17 @@
 
 func TestALongConfigurationIsReadFromTheStore(t *testing.T) {
 	h := newHost(t)
-	h.step(StoreReached{})
+	h.step(StoreAnswered{})
 	h.step(HostListed{Host: fleet.Registration{Name: "b", Host: "b/1"}})
 	e := newerTable()
 	e.Document = make([]byte, maxSentConfigBytes+1)
 	h.step(e)
-	h.is.Equal(len(h.recipients(func(m Message) bool { return m.Newer == 2 })), 1)
+	h.is.Equal(len(h.recipients(func(m Message) bool { return m.NewerConfiguration == 2 })), 1)
 
 	other := newHost(t)
-	before := other.m.Reading().Reread
-	other.step(FromPeer{From: "b/1", Message: Message{Newer: 2}})
-	other.is.Equal(other.m.Reading().Reread, before+1)
+	before := other.m.ReadPlan().Reread
+	other.step(MessageReceived{From: "b/1", Message: Message{NewerConfiguration: 2}})
+	other.is.Equal(other.m.ReadPlan().Reread, before+1)
 }
 
 // Watchers send registrations and versions: a host need not read the store to trust
@@ -83,19 +83,19 @@
 	watch, _ := watchersOf(t)
 	h := newHostInLargeFleet(t, watch[0]) // the only one that the store answers
 	h.advanceFleet(time.Second)
-	h.step(StoreReached{})
+	h.step(StoreAnswered{})
 	restarted := registered("w7")
 	restarted.Host, restarted.Key = "w7/2", "key"
 	h.step(HostListed{Host: restarted})
 	h.advanceFleet(time.Second)
 	h.is.Equal(len(h.recipients(func(m Message) bool { return len(m.Hosts) == 1 && m.Hosts[0] == restarted })), 25)
-	version := VersionNamed{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}}
+	version := VersionAnnounced{Model: model, Adapter: core.AdapterRef{ID: "x", Version: 2}}
 	h.step(version)
 	h.advanceFleet(time.Second)
 	h.is.Equal(len(h.recipients(func(m Message) bool { return len(m.Versions) == 1 })), 25)
 
 	other := newHostInLargeFleet(t, "w0")
-	other.step(FromPeer{From: "s0/1", Message: Message{Hosts: []fleet.Registration{restarted}, Versions: []VersionNamed{version}}})
+	other.step(MessageReceived{From: "s0/1", Message: Message{Hosts: []fleet.Registration{restarted}, Versions: []VersionAnnounced{version}}})
 	other.is.True(other.m.Trusted("w7/2", "key"))
 	other.is.Equal(other.m.versions["x"].version, 2)
 }
@@ -108,17 +108,17 @@
 	digest := h.m.listDigest()
 	heartbeats := func(list uint64) {
 		for _, w := range watch {
-			h.deliverHeartbeat(w, Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: list})
+			h.deliverHeartbeat(w, Heartbeat{Number: uint64(h.now) + 1, IsWatcher: true, ListDigest: list})
 		}
 	}
 	h.advanceFleet(time.Second)
 	heartbeats(digest)
-	h.is.True(!h.m.Reading().Watch)
+	h.is.True(!h.m.ReadPlan().Watch)
 	for range 20 {
 		h.advance(100 * time.Millisecond)
 		heartbeats(digest + 1)
 	}
-	h.is.True(h.m.Reading().Watch)
+	h.is.True(h.m.ReadPlan().Watch)
 }
 
 // Rule DRAIN: a host that had been cut off missed that a replica was leaving. An
@@ -129,25 +129,25 @@
 	digest := h.m.listDigest()
 	for range 20 {
 		h.advanceFleet(100 * time.Millisecond)
-		h.deliverHeartbeat(watch[0], Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: digest})
-		h.deliverHeartbeat(watch[1], Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: digest + 1})
-		h.deliverHeartbeat(watch[2], Heartbeat{Number: uint64(h.now) + 1, Watches: true, List: digest})
+		h.deliverHeartbeat(watch[0], Heartbeat{Number: uint64(h.now) + 1, IsWatcher: true, ListDigest: digest})
+		h.deliverHeartbeat(watch[1], Heartbeat{Number: uint64(h.now) + 1, IsWatcher: true, ListDigest: digest + 1})
+		h.deliverHeartbeat(watch[2], Heartbeat{Number: uint64(h.now) + 1, IsWatcher: true, ListDigest: digest})
 	}
-	h.is.True(h.m.Reading().Watch)
+	h.is.True(h.m.ReadPlan().Watch)
 	h.step(ReplicasListed{Entries: []replicas.Entry{replica("s1", services)}})
-	h.is.True(!h.m.Reading().Watch) // it has read the list itself
+	h.is.True(!h.m.ReadPlan().Watch) // it has read the list itself
 }
 
 // What changes while the store does not answer a host never reaches it, if it also
 // misses the watchers' messages.
 func TestListsAreRereadAfterAStoreOutage(t *testing.T) {
 	h := newHost(t)
-	before := h.m.Reading().Relist
-	h.step(StoreReached{})
-	h.is.Equal(h.m.Reading().Relist, before)
-	h.step(StoreLost{})
-	h.step(StoreReached{})
-	h.is.Equal(h.m.Reading().Relist, before+1)
+	before := h.m.ReadPlan().Relist
+	h.step(StoreAnswered{})
+	h.is.Equal(h.m.ReadPlan().Relist, before)
+	h.step(StoreCallFailed{})
+	h.step(StoreAnswered{})
+	h.is.Equal(h.m.ReadPlan().Relist, before+1)
 }
 
 // Rule CONFIG: the store rejected the calls of all three watchers, and the other
@@ -156,26 +156,26 @@
 	watch, _ := watchersOf(t)
 	h := newHostInLargeFleet(t, watch[0])
 	h.advanceFleet(time.Second)
-	h.step(StoreReached{})
-	h.is.True(h.m.ownHeartbeat().Watches)
-	h.step(StoreLost{})
-	h.is.True(!h.m.ownHeartbeat().Watches)
-	h.step(StoreReached{})
-	h.is.True(h.m.ownHeartbeat().Watches)
+	h.step(StoreAnswered{})
+	h.is.True(h.m.ownHeartbeat().IsWatcher)
+	h.step(StoreCallFailed{})
+	h.is.True(!h.m.ownHeartbeat().IsWatcher)
+	h.step(StoreAnswered{})
+	h.is.True(h.m.ownHeartbeat().IsWatcher)
 	h.advanceFleet(storeAnswerTTL) // its calls hang
-	h.is.True(!h.m.ownHeartbeat().Watches)
+	h.is.True(!h.m.ownHeartbeat().IsWatcher)
 
 	other := newHostInLargeFleet(t, "w0")
 	other.advanceFleet(time.Second)
 	digest := other.m.listDigest()
 	heartbeats := func(watches bool) {
 		for _, w := range watch {
-			other.deliverHeartbeat(w, Heartbeat{Number: uint64(other.now) + 1, Watches: watches, List: digest})
+			other.deliverHeartbeat(w, Heartbeat{Number: uint64(other.now) + 1, IsWatcher: watches, ListDigest: digest})
 		}
 	}
 	heartbeats(true)
-	other.is.True(!other.m.Reading().Watch)
+	other.is.True(!other.m.ReadPlan().Watch)
 	other.now += time.Millisecond
 	heartbeats(false)
-	other.is.True(other.m.Reading().Watch)
+	other.is.True(other.m.ReadPlan().Watch)
 }
--- a/internal/core/direct/writes.go
+++ b/internal/core/direct/writes.go
@@ -24,7 +24,7 @@
 	m.writes.lastTag++
 	c.Tag = m.writes.lastTag
 	m.writes.pending[c.Tag] = done
-	m.emit(Object{Call: c})
+	m.emit(WriteObject{Call: c})
 }
 
 // registerRetryInterval is the time between two attempts to register.
@@ -83,7 +83,7 @@
 			before := m.shards.Owner(c.Shard)
 			m.shards.ApplyWriteResult(m.now, c, r)
 			if after := m.shards.Owner(c.Shard); after != before {
-				m.emit(Note{Name: "shard", Reason: "holder", Detail: utoa(uint64(c.Shard)) + " " + string(after)})
+				m.emit(LogDecision{Name: "shard", Reason: "holder", Detail: utoa(uint64(c.Shard)) + " " + string(after)})
 			}
 		})
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -13,7 +13,7 @@
 
 // StartRequest implements relay.Node. A request that finds the event ring full is refused
 // at once.
-func (g *Gateway) StartRequest(a direct.Arrive) relay.Exchange {
+func (g *Gateway) StartRequest(a direct.RequestArrived) relay.Exchange {
 	x := &exchange{id: a.ID, gateway: g, decisions: make(chan direct.Effect, decisionBuffer)}
 	g.mu.Lock()
 	g.exchanges[a.ID] = x
@@ -93,7 +93,7 @@
 func (x *exchange) cancelAttempt(c direct.Cancel) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if c.Unbegun && x.startedAttempt >= c.Attempt {
+	if c.OnlyIfUnanswered && x.startedAttempt >= c.Attempt {
 		return
 	}
 	x.cancelledThrough = max(x.cancelledThrough, c.Attempt)
--- a/internal/gateway/executors.go
+++ b/internal/gateway/executors.go
@@ -73,7 +73,7 @@
 	if report.Err != nil {
 		log.WithField("upstream", string(p.Replica)).WithError(report.Err).Warn("report not read")
 	}
-	g.Notify(direct.Reported{Report: report})
+	g.Notify(direct.ReportReceived{Report: report})
 }
 
 // callStore carries out a write of the machine.
@@ -81,7 +81,7 @@
 	result := g.carriers.Store.Do(ctx, c)
 	result.Tag = c.Tag
 	g.reportStoreStatus(result.Status)
-	g.Notify(direct.ObjectDone{Result: result})
+	g.Notify(direct.WriteDone{Result: result})
 }
 
 // reportStoreStatus counts a call's outcome, reports to the machine whether the
@@ -90,9 +90,9 @@
 	g.count("store.calls." + storeOutcomes[s])
 	reached := s != core.ObjectUnavailable && s != core.ObjectUnknown
 	if reached {
-		g.Notify(direct.StoreReached{})
+		g.Notify(direct.StoreAnswered{})
 	} else {
-		g.Notify(direct.StoreLost{})
+		g.Notify(direct.StoreCallFailed{})
 	}
 	if g.storeReachable.Swap(reached) != reached {
 		log.WithField("dependency", "store").WithField("reached", reached).Warn("dependency changed")
@@ -109,7 +109,7 @@
 }
 
 // sendToPeers encodes a message once and sends it to each of its receivers.
-func (g *Gateway) sendToPeers(x direct.ToPeers) {
+func (g *Gateway) sendToPeers(x direct.SendToPeers) {
 	payload, err := cbor.Marshal(x.Message)
 	if err != nil {
 		log.WithError(err).Error("peer message not encoded")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,7 +56,7 @@
 	ready     bool
 	leaving   bool
 	addresses []string
-	reading   direct.Reading // how the store is to be read
+	reading   direct.ReadPlan // how the store is to be read
 }
 
 // New returns a gateway whose workers are not running yet; see Register.
@@ -125,7 +125,7 @@
 	if len(m.Configuration) > 0 {
 		g.configurationReceived(from, m.Configuration)
 	}
-	if !g.events.TryPush(direct.FromPeer{From: from, Message: m}) {
+	if !g.events.TryPush(direct.MessageReceived{From: from, Message: m}) {
 		g.count("gateway.peer_messages_dropped")
 	}
 }
@@ -149,7 +149,7 @@
 		g.execute(ctx, effect)
 	}
 	switch e.(type) {
-	case direct.Tick, direct.Leave, direct.Configured, direct.ReplicasListed:
+	case direct.Tick, direct.Leave, direct.ConfigurationRead, direct.ReplicasListed:
 		g.publishStatus()
 	}
 }
@@ -162,7 +162,7 @@
 		ready:     g.machine.Ready(),
 		leaving:   g.machine.Leaving(),
 		addresses: g.machine.Addresses(),
-		reading:   g.machine.Reading(),
+		reading:   g.machine.ReadPlan(),
 	}
 	last := g.status.Swap(next)
 	if last.reading.Reread != next.reading.Reread {
@@ -197,31 +197,31 @@
 		g.sendDecision(x.ID, x)
 	case direct.Refuse:
 		g.sendDecision(x.ID, x)
-	case direct.Deliver:
+	case direct.DeliverFailure:
 		g.sendDecision(x.ID, x)
-	case direct.Cut:
+	case direct.AbortAnswer:
 		g.sendDecision(x.ID, x)
 	case direct.Cancel:
 		g.cancel(x)
-	case direct.Order:
+	case direct.SendOrder:
 		go g.sendOrder(ctx, x.Order)
-	case direct.Probe:
+	case direct.RequestReport:
 		go g.readReport(ctx, x.Probe)
-	case direct.Object:
+	case direct.WriteObject:
 		go g.callStore(ctx, x.Call)
-	case direct.ToPeers:
+	case direct.SendToPeers:
 		g.sendToPeers(x)
-	case direct.Note:
+	case direct.LogDecision:
 		g.logDecision(x)
-	case direct.Served:
+	case direct.RequestEnded:
 		g.recordServed(x)
-	case direct.Left:
+	case direct.LeaveCompleted:
 		g.mayExit <- struct{}{} // sent once, so the buffer of one never blocks
 	}
 }
 
 // logDecision counts a decision and, unless it is for the metrics only, logs it.
-func (g *Gateway) logDecision(n direct.Note) {
+func (g *Gateway) logDecision(n direct.LogDecision) {
 	name := "decision." + n.Name + "." + n.Reason
 	c := g.decisionCounters[name]
 	if c == nil {
@@ -229,7 +229,7 @@
 		g.decisionCounters[name] = c
 	}
 	c.Inc(1)
-	if n.Quiet {
+	if n.MetricsOnly {
 		return
 	}
 	fields := log.Fields{"decision": n.Name, "reason": n.Reason}
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -27,7 +27,7 @@
 
 // recordServed counts a finished request by route and outcome and records its
 // latencies.
-func (g *Gateway) recordServed(s direct.Served) {
+func (g *Gateway) recordServed(s direct.RequestEnded) {
 	const reservoir, decay = 128, 0.015
 	route := s.Route
 	if route == "" {
@@ -70,20 +70,20 @@
 	g.setGauge("configuration.version", int64(s.Configuration))
 	milliseconds("configuration.age_ms", s.ConfigurationAge)
 	milliseconds("store.age_ms", s.StoreAge)
-	milliseconds("fleet.heartbeat_age_ms", s.PeerAge)
+	milliseconds("fleet.heartbeat_age_ms", s.OldestHeartbeatAge)
 	g.setGauge("fleet.active_hosts", int64(s.ActiveHosts))
 	g.setGauge("fleet.active", exposition.Truth(s.Active))
-	metrics.GetOrRegisterGaugeFloat64("fleet.part", g.registry).Update(s.Part)
+	metrics.GetOrRegisterGaugeFloat64("fleet.part", g.registry).Update(s.ReachableFraction)
 	g.setGauge("fleet.shards", int64(s.Shards))
 	g.setGauge("gateway.waiting", int64(s.Waiting))
 	alive := map[string]bool{prefixRoute + unrouted: true}
 	for _, x := range s.Replicas {
 		prefix := prefixUpstream + string(x.ID)
 		alive[prefix] = true
-		g.setGauge(prefix+".in_flight", int64(x.Mine))
+		g.setGauge(prefix+".in_flight", int64(x.Own))
 		g.setGauge(prefix+".in_flight_elsewhere", int64(x.Others))
-		milliseconds(prefix+".told_age_ms", x.ToldAge)
-		metrics.GetOrRegisterGaugeFloat64(prefix+".failures_lately", g.registry).Update(x.Failures)
+		milliseconds(prefix+".told_age_ms", x.ReportAge)
+		metrics.GetOrRegisterGaugeFloat64(prefix+".failures_lately", g.registry).Update(x.FailureScore)
 	}
 	for _, w := range s.Workspaces {
 		prefix := prefixWorkspace + string(w.ID)
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -14,11 +14,11 @@
 	is := is.New(t)
 	r := metrics.NewRegistry()
 	g := New(direct.New(direct.Settings{}), Executors{}, nil, r)
-	g.recordServed(direct.Served{Route: "a", Outcome: "ok", FirstByte: time.Millisecond, Total: time.Second})
-	g.recordServed(direct.Served{Route: "b", Outcome: "ok", Total: time.Second})
-	g.recordServed(direct.Served{Outcome: "unknown_route"})
+	g.recordServed(direct.RequestEnded{Route: "a", Outcome: "ok", FirstByte: time.Millisecond, Total: time.Second})
+	g.recordServed(direct.RequestEnded{Route: "b", Outcome: "ok", Total: time.Second})
+	g.recordServed(direct.RequestEnded{Outcome: "unknown_route"})
 	state := direct.State{
-		Replicas:   []direct.ReplicaState{{ID: "i.1", Mine: 2}},
+		Replicas:   []direct.ReplicaState{{ID: "i.1", Own: 2}},
 		Workspaces: []direct.WorkspaceState{{ID: "w", Level: -3}},
 		Routes:     map[string]bool{"a": true, "b": true},
 	}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -130,7 +130,7 @@
 
 // watchWait returns how long a watch call waits for a change.
 func (w *watch) watchWait() time.Duration {
-	if w.urgent || w.gateway.status.Load().reading.Alone {
+	if w.urgent || w.gateway.status.Load().reading.NoPeers {
 		return shortWatchWait
 	}
 	return longWatchWait
@@ -206,7 +206,7 @@
 		logSkipped(o, err)
 		return
 	}
-	g.Notify(direct.Configured{Table: t, Document: o.Value})
+	g.Notify(direct.ConfigurationRead{Table: t, Document: o.Value})
 }
 
 // configurationReceived decodes a configuration that another host has read from the
@@ -217,7 +217,7 @@
 		log.WithField("peer", string(from)).WithError(err).Warn("configuration of a peer skipped")
 		return
 	}
-	g.Notify(direct.Configured{Table: t})
+	g.Notify(direct.ConfigurationRead{Table: t})
 }
 
 func (g *Gateway) replicasListed(all []core.Object) {
@@ -264,7 +264,7 @@
 		logSkipped(o, err)
 		return
 	}
-	g.Notify(direct.VersionNamed{Model: model, Adapter: ref, Listed: listed})
+	g.Notify(direct.VersionAnnounced{Model: model, Adapter: ref, Listed: listed})
 }
 
 func (g *Gateway) hostChanged(o core.Object) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -66,7 +66,7 @@
 // Node decides what happens to requests.
 type Node interface {
 	// StartRequest starts a request.
-	StartRequest(direct.Arrive) Exchange
+	StartRequest(direct.RequestArrived) Exchange
 	// Notify reports what happened to a request.
 	Notify(direct.Event)
 	// Leaving reports whether the host is shutting down.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -60,7 +60,7 @@
 // decision.
 type fakeNode struct {
 	mu        sync.Mutex
-	script    []func(direct.Arrive) direct.Effect
+	script    []func(direct.RequestArrived) direct.Effect
 	events    chan direct.Event
 	x         *fakeExchange
 	cancelled int // attempts up to this one may not begin
@@ -68,13 +68,13 @@
 
 type fakeExchange struct {
 	node      *fakeNode
-	arrive    direct.Arrive
+	arrive    direct.RequestArrived
 	decisions chan direct.Effect
 	cancel    context.CancelFunc
 	cancelled int // attempts up to this one may not begin
 }
 
-func (n *fakeNode) StartRequest(a direct.Arrive) Exchange {
+func (n *fakeNode) StartRequest(a direct.RequestArrived) Exchange {
 	n.x = &fakeExchange{node: n, arrive: a, decisions: make(chan direct.Effect, 8), cancelled: n.cancelled}
 	n.decide()
 	return n.x
@@ -93,7 +93,7 @@
 
 func (n *fakeNode) Notify(e direct.Event) {
 	n.events <- e
-	if x, ok := e.(direct.Ended); ok && x.Kind != direct.EndOK {
+	if x, ok := e.(direct.AttemptEnded); ok && x.Kind != direct.EndOK {
 		n.decide()
 	}
 }
@@ -122,7 +122,7 @@
 }
 
 // newHarness starts a server and a fake replica that handles each request by answer.
-func newHarness(t *testing.T, answer func(net.Conn, *http.Request), script ...func(direct.Arrive) direct.Effect) *harness {
+func newHarness(t *testing.T, answer func(net.Conn, *http.Request), script ...func(direct.RequestArrived) direct.Effect) *harness {
 	h := &harness{t: t, is: is.New(t), node: &fakeNode{script: script, events: make(chan direct.Event, 64)}}
 	h.replica = h.listen(func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -163,13 +163,13 @@
 }
 
 // dispatch returns a decision to send attempt n to the fake replica.
-func (h *harness) dispatch(n int, after string) func(direct.Arrive) direct.Effect {
-	return func(a direct.Arrive) direct.Effect {
-		return direct.Dispatch{ID: a.ID, Attempt: n, Upstream: "r", Address: h.replica, LastEvent: after, Once: true}
+func (h *harness) dispatch(n int, after string) func(direct.RequestArrived) direct.Effect {
+	return func(a direct.RequestArrived) direct.Effect {
+		return direct.Dispatch{ID: a.ID, Attempt: n, Upstream: "r", Address: h.replica, LastEvent: after, NonRepeatable: true}
 	}
 }
 
-func (h *harness) script(f ...func(direct.Arrive) direct.Effect) { h.node.script = f }
+func (h *harness) script(f ...func(direct.RequestArrived) direct.Effect) { h.node.script = f }
 
 // request sends raw bytes and reads the answer's header.
 func (h *harness) request(raw string) (*http.Response, net.Conn) {
@@ -185,12 +185,12 @@
 }
 
 // ended returns the next end of an attempt that is reported to the node.
-func (h *harness) ended() direct.Ended {
+func (h *harness) ended() direct.AttemptEnded {
 	h.is.Helper()
 	for {
 		select {
 		case e := <-h.node.events:
-			if x, ok := e.(direct.Ended); ok {
+			if x, ok := e.(direct.AttemptEnded); ok {
 				return x
 			}
 		case <-time.After(waitTimeout):
@@ -253,7 +253,7 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n"+madeHeader+"Content-Length: 100\r\n\r\nshort")
 		_ = c.Close()
 	})
-	h.script(h.dispatch(1, ""), func(a direct.Arrive) direct.Effect {
+	h.script(h.dispatch(1, ""), func(a direct.RequestArrived) direct.Effect {
 		return direct.Refuse{ID: a.ID, Refusal: &core.Refusal{Code: core.CodeUpstreamFailed, Ran: core.RanUnknown}}
 	})
 	r, _ := h.request(get("1"))
@@ -263,7 +263,7 @@
 
 func TestAnAnswerWithoutTheReplicasMarkIsBroken(t *testing.T) {
 	h := newHarness(t, func(c net.Conn, r *http.Request) { answer(c, "1", "", "not by the replica") })
-	h.script(h.dispatch(1, ""), func(a direct.Arrive) direct.Effect {
+	h.script(h.dispatch(1, ""), func(a direct.RequestArrived) direct.Effect {
 		return direct.Refuse{ID: a.ID, Refusal: &core.Refusal{Code: core.CodeUpstreamFailed, Ran: core.RanUnknown}}
 	})
 	r, _ := h.request(get("1"))
@@ -274,7 +274,7 @@
 func TestNotRunAndMissingAreReported(t *testing.T) {
 	for head, want := range map[string]direct.EndKind{
 		"HTTP/1.1 503 Busy\r\nNot-Run: 1\r\n":      direct.EndNotRun,
-		"HTTP/1.1 421 Misdirected\r\n":             direct.EndMissing,
+		"HTTP/1.1 421 Misdirected\r\n":             direct.EndAdapterMissing,
 		"HTTP/1.1 500 Failed\r\nMade: 1\r\n":       direct.EndError,
 		"HTTP/1.1 503 Unavailable\r\nMade: 1\r\n":  direct.EndError,
 		"HTTP/1.1 503 Unavailable\r\nOther: 1\r\n": direct.EndBroken,
@@ -282,7 +282,7 @@
 		h := newHarness(t, func(c net.Conn, r *http.Request) {
 			_, _ = io.WriteString(c, head+"Id: 1\r\nContent-Length: 0\r\n\r\n")
 		})
-		h.script(h.dispatch(1, ""), func(a direct.Arrive) direct.Effect {
+		h.script(h.dispatch(1, ""), func(a direct.RequestArrived) direct.Effect {
 			return direct.Refuse{ID: a.ID, Refusal: core.Refuse(core.CodeOverloaded, 250*time.Millisecond, "")}
 		})
 		r, _ := h.request(get("1"))
@@ -297,7 +297,7 @@
 		h := newHarness(t, func(c net.Conn, r *http.Request) {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nId: 1\r\n%sContent-Length: 4\r\n\r\nfail", status, madeHeader)
 		})
-		h.script(h.dispatch(1, ""), func(a direct.Arrive) direct.Effect { return direct.Deliver{ID: a.ID} })
+		h.script(h.dispatch(1, ""), func(a direct.RequestArrived) direct.Effect { return direct.DeliverFailure{ID: a.ID} })
 		r, _ := h.request(get("1"))
 		h.is.Equal(r.StatusCode, want)
 		h.is.Equal(r.Header.Get("Made") != "", status == want)
@@ -333,7 +333,7 @@
 		chunk(c, "id: 1\ndata: a\n\nid: 2\nda")
 		_ = c.Close()
 	})
-	h.script(h.dispatch(1, ""), func(a direct.Arrive) direct.Effect { return direct.Cut{ID: a.ID} })
+	h.script(h.dispatch(1, ""), func(a direct.RequestArrived) direct.Effect { return direct.AbortAnswer{ID: a.ID} })
 	r, _ := h.request(get("1"))
 	got, err := body(r)
 	h.is.True(err != nil)
@@ -403,7 +403,7 @@
 	case <-time.After(waitTimeout):
 		t.Fatal("the connection to the replica was not closed")
 	}
-	_, gone := (<-h.node.events).(direct.Gone)
+	_, gone := (<-h.node.events).(direct.CallerGone)
 	h.is.True(gone)
 	h.is.Equal(h.ended().Kind, direct.EndCancelled)
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -90,18 +90,18 @@
 
 // arrival makes the event of a new request. Its id is this host's request number and
 // the caller's request id.
-func (s *Server) arrival(ctx *fasthttp.RequestCtx, d RequestFields) direct.Arrive {
-	a := direct.Arrive{
-		ID:        core.RequestID(strconv.FormatUint(s.requestCount.Add(1), 10) + " " + d.RequestID),
-		Host:      string(ctx.Request.Header.Host()),
-		Path:      path(ctx.Request.Header.RequestURI()),
-		HasKey:    len(d.Key) > 0,
-		Model:     d.Model,
-		Adapter:   d.Adapter,
-		Tokens:    d.Tokens,
-		Patience:  d.Timeout,
-		Spread:    xxhash.Sum64String(d.RequestID),
-		LastEvent: d.LastEventID,
+func (s *Server) arrival(ctx *fasthttp.RequestCtx, d RequestFields) direct.RequestArrived {
+	a := direct.RequestArrived{
+		ID:         core.RequestID(strconv.FormatUint(s.requestCount.Add(1), 10) + " " + d.RequestID),
+		Host:       string(ctx.Request.Header.Host()),
+		Path:       path(ctx.Request.Header.RequestURI()),
+		HasKey:     len(d.Key) > 0,
+		Model:      d.Model,
+		Adapter:    d.Adapter,
+		Tokens:     d.Tokens,
+		Timeout:    d.Timeout,
+		TargetHash: xxhash.Sum64String(d.RequestID),
+		LastEvent:  d.LastEventID,
 	}
 	if a.HasKey {
 		a.Key = table.HashKey(d.Key)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -61,11 +61,11 @@
 	}
 	if !t.exchange.StartAnswer(d.Attempt) {
 		s.lastEvent = d.LastEvent // nothing of this attempt was sent to the caller
-		s.release(direct.Ended{Kind: direct.EndCancelled})
+		s.release(direct.AttemptEnded{Kind: direct.EndCancelled})
 		return false
 	}
 	t.server.metrics.firstByte.Update(time.Since(t.started).Microseconds())
-	t.server.node.Notify(direct.Begun{ID: t.id, Attempt: d.Attempt, Passed: true})
+	t.server.node.Notify(direct.AnswerStarted{ID: t.id, Attempt: d.Attempt, PartDelivered: true})
 	s.passed = true
 	t.server.dialect.CopyAnswerHeader(&ctx.Response.Header, answer.Header())
 	ctx.SetBodyStream(s, -1)
@@ -73,7 +73,7 @@
 }
 
 // release ends the current attempt, if it has not ended yet, and reports e.
-func (s *stream) release(e direct.Ended) {
+func (s *stream) release(e direct.AttemptEnded) {
 	if s.released {
 		return
 	}
@@ -130,7 +130,7 @@
 func (s *stream) Read(p []byte) (int, error) {
 	for s.readyBytes == 0 {
 		if s.complete {
-			s.release(direct.Ended{Kind: direct.EndOK})
+			s.release(direct.AttemptEnded{Kind: direct.EndOK})
 			return 0, io.EOF
 		}
 		err := s.fill()
@@ -175,7 +175,7 @@
 			s.task.attemptEnded(d, end)
 			continue
 		}
-		s.task.server.node.Notify(direct.Begun{ID: d.ID, Attempt: d.Attempt})
+		s.task.server.node.Notify(direct.AnswerStarted{ID: d.ID, Attempt: d.Attempt})
 		s.dispatch, s.attempt, s.cancel, s.answer = d, attempt, cancel, answer
 		s.released, s.complete = false, false
 		return true
@@ -187,7 +187,7 @@
 func (s *stream) Close() error {
 	if !s.released {
 		s.task.hangUp()
-		s.release(direct.Ended{Kind: direct.EndCancelled})
+		s.release(direct.AttemptEnded{Kind: direct.EndCancelled})
 	}
 	s.task.finish()
 	return nil
--- a/internal/relay/task.go
+++ b/internal/relay/task.go
@@ -45,7 +45,7 @@
 func (t *task) hangUp() {
 	t.hangUpOnce.Do(func() {
 		t.server.metrics.hungUp.Inc(1)
-		t.server.node.Notify(direct.Gone{ID: t.id})
+		t.server.node.Notify(direct.CallerGone{ID: t.id})
 		t.cancel()
 	})
 }
@@ -69,7 +69,7 @@
 			if t.runAttempt(ctx, d) {
 				return
 			}
-		case direct.Deliver:
+		case direct.DeliverFailure:
 			t.deliverFailure(ctx)
 			t.finish()
 			return
@@ -104,8 +104,8 @@
 	t.server.dialect.BuildRequest(request, t.request, AttemptFields{
 		Upstream:       d.Upstream,
 		Workspace:      d.Workspace,
-		Remaining:      d.Left,
-		AdapterVersion: d.Version,
+		Remaining:      d.TimeLeft,
+		AdapterVersion: d.ExpectedVersion,
 		LastEventID:    d.LastEvent,
 		Priority:       d.Priority,
 	})
@@ -117,7 +117,7 @@
 			return t.server.dialect.MatchesRequest(h, t.requestID)
 		},
 	}
-	if d.Once {
+	if d.NonRepeatable {
 		call.Fresh = maxConnIdle
 	}
 	return t.server.client.Do(ctx, call)
@@ -168,33 +168,33 @@
 }
 
 // endOfAnswer returns how an attempt with a complete answer ended.
-func endOfAnswer(a AnswerFields) direct.Ended {
+func endOfAnswer(a AnswerFields) direct.AttemptEnded {
 	switch {
 	case a.Misdirected:
-		return direct.Ended{Kind: direct.EndMissing}
+		return direct.AttemptEnded{Kind: direct.EndAdapterMissing}
 	case a.NotRun:
-		return direct.Ended{Kind: direct.EndNotRun, RetryAfter: a.RetryAfter}
+		return direct.AttemptEnded{Kind: direct.EndNotRun, RetryAfter: a.RetryAfter}
 	case !a.Produced:
-		return direct.Ended{Kind: direct.EndBroken} // not produced by the replica
+		return direct.AttemptEnded{Kind: direct.EndBroken} // not produced by the replica
 	case a.Status >= 200 && a.Status < 300:
-		return direct.Ended{Kind: direct.EndOK}
+		return direct.AttemptEnded{Kind: direct.EndOK}
 	}
-	return direct.Ended{Kind: direct.EndError}
+	return direct.AttemptEnded{Kind: direct.EndError}
 }
 
 // endOfError returns how an attempt without a complete answer ended.
-func endOfError(attempt context.Context, err error) direct.Ended {
+func endOfError(attempt context.Context, err error) direct.AttemptEnded {
 	switch {
 	case attempt.Err() != nil:
-		return direct.Ended{Kind: direct.EndCancelled}
+		return direct.AttemptEnded{Kind: direct.EndCancelled}
 	case upstream.NotReached.Has(err):
-		return direct.Ended{Kind: direct.EndNotReached}
+		return direct.AttemptEnded{Kind: direct.EndNotReached}
 	}
-	return direct.Ended{Kind: direct.EndBroken, Dropped: upstream.Dropped(err)}
+	return direct.AttemptEnded{Kind: direct.EndBroken, ConnectionClosed: upstream.Dropped(err)}
 }
 
 // attemptEnded reports the end of an attempt to the node.
-func (t *task) attemptEnded(d direct.Dispatch, e direct.Ended) {
+func (t *task) attemptEnded(d direct.Dispatch, e direct.AttemptEnded) {
 	e.ID, e.Attempt = d.ID, d.Attempt
 	t.server.node.Notify(e)
 }
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -136,15 +136,15 @@
 
 			Capacity: s.Capacity.Cores(),
 		},
-		Seed:         id.seed,
-		FirstStart:   s.FirstStart,
-		RetryShare:   s.Retry.Share,
-		RetrySlack:   s.Retry.Slack,
-		RetryWindow:  s.Retry.Window.Value(),
-		VersionGrace: versionGrace(s),
-		LeaveStreams: shutdown - streamRefusalLead,
-		LeaveAfter:   shutdown - requestRefusalLead,
-		LeaveBy:      shutdown,
+		Seed:                id.seed,
+		FirstStart:          s.FirstStart,
+		RetryShare:          s.Retry.Share,
+		RetrySlack:          s.Retry.Slack,
+		RetryWindow:         s.Retry.Window.Value(),
+		VersionGrace:        versionGrace(s),
+		StreamRefusalDelay:  shutdown - streamRefusalLead,
+		RequestRefusalDelay: shutdown - requestRefusalLead,
+		LeaveTimeout:        shutdown,
 	})
 }
 
--- a/internal/wiring/reload.go
+++ b/internal/wiring/reload.go
@@ -17,7 +17,7 @@
 	if s.Log != "" {
 		log.SetLevelFromString(s.Log)
 	}
-	r.gateway.Notify(direct.Tuned{
+	r.gateway.Notify(direct.SettingsChanged{
 		RetryShare:   s.Retry.Share,
 		RetrySlack:   s.Retry.Slack,
 		RetryWindow:  s.Retry.Window.Value(),
