--- a/internal/core/node/dispatch.go
+++ b/internal/core/node/dispatch.go
@@ -20,7 +20,7 @@
 func (n *Node) place(r *request) {
 	r.stage = stagePlace
 	r.ticket = nil
-	n.applyPlacementResult(n.placement.Ask(n.now, n.lease, placement.Ask{
+	n.applyPlacementResult(n.placement.Place(n.now, n.lease, placement.PlacementRequest{
 		Request:   r.id(),
 		Pool:      r.route.Pool,
 		Adapter:   r.adapter,
@@ -87,7 +87,7 @@
 // move releases the ticket and requests one on the allowed upstreams; it excludes
 // the other upstreams of the pool.
 func (n *Node) move(r *request, allowed []core.UpstreamID) {
-	n.applyPlacementResult(n.placement.Release(n.now, n.lease, r.id(), placement.End{NotReached: true}))
+	n.applyPlacementResult(n.placement.Release(n.now, n.lease, r.id(), placement.TicketEnd{NotReached: true}))
 	for _, u := range n.snapshot.Pool(r.route.Pool) {
 		if !slices.Contains(allowed, u.ID) && !slices.Contains(r.excluded, u.ID) {
 			r.excluded = append(r.excluded, u.ID)
@@ -99,13 +99,13 @@
 // dispatch starts an attempt if its ticket is still valid, else it releases the
 // claim and renews the ticket.
 func (n *Node) dispatch(r *request) {
-	if !n.placement.Valid(n.now, r.id()) {
+	if !n.placement.TicketValid(n.now, r.id()) {
 		n.releaseClaim(r, suspect.EndNotSent)
 		r.stage = stagePlace
-		n.applyPlacementResult(n.placement.Renew(n.now, n.lease, r.id()))
+		n.applyPlacementResult(n.placement.RenewTicket(n.now, n.lease, r.id()))
 		return
 	}
-	n.placement.Dispatched(r.id())
+	n.placement.RecordDispatch(r.id())
 	if r.attempt == 0 {
 		n.retries.RecordAttempt(n.now)
 	}
@@ -127,7 +127,7 @@
 }
 
 func dispatchReason(t *placement.Ticket) string {
-	if t.Stalled {
+	if t.WaitedForLoad {
 		return "after_load"
 	}
 	return "warm"
--- a/internal/core/node/finish.go
+++ b/internal/core/node/finish.go
@@ -84,7 +84,7 @@
 	case stageRecord:
 		n.applyOnceResult(n.once.Cancel(n.now, r.id()))
 	case stagePlace, stageClaim:
-		n.applyPlacementResult(n.placement.Withdraw(n.now, n.lease, r.id()))
+		n.applyPlacementResult(n.placement.Cancel(n.now, n.lease, r.id()))
 	}
 	n.releaseClaim(r, suspect.EndNotSent)
 	if r.hasRecord {
@@ -113,12 +113,12 @@
 	}
 	n.logDecision("attempt", endReasons[e.Kind], e.ID)
 	n.addUsage(r, e)
-	n.applyPlacementResult(n.placement.Release(n.now, n.lease, e.ID, placement.End{
-		Used:       e.Used,
-		OK:         e.Kind == EndOK,
-		Missing:    e.Kind == EndMissing,
-		Crashed:    e.Crashed,
-		NotReached: e.Kind == EndNotRun,
+	n.applyPlacementResult(n.placement.Release(n.now, n.lease, e.ID, placement.TicketEnd{
+		TokensUsed:     e.Used,
+		OK:             e.Kind == EndOK,
+		AdapterMissing: e.Kind == EndMissing,
+		Crashed:        e.Crashed,
+		NotReached:     e.Kind == EndNotRun,
 	}))
 	n.releaseClaim(r, suspectEnd(e))
 	if e.Crashed {
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -170,7 +170,7 @@
 func (n *Node) poll() {
 	if n.now >= n.due.poll {
 		n.due.poll = n.now.Add(n.settings.PollEvery)
-		for _, id := range n.placement.Polls() {
+		for _, id := range n.placement.OwnedUpstreams() {
 			if u := n.upstream(id); u != nil {
 				n.emit(Poll{Upstream: id, Address: u.Address})
 			}
@@ -209,5 +209,5 @@
 	}
 	slices.Sort(n.listed.leaving)
 	slices.Sort(n.listed.upstreams)
-	n.applyPlacementResult(n.placement.Leaving(n.now, n.lease, n.listed.upstreams))
+	n.applyPlacementResult(n.placement.SetLeavingUpstreams(n.now, n.lease, n.listed.upstreams))
 }
--- a/internal/core/node/outputs.go
+++ b/internal/core/node/outputs.go
@@ -106,7 +106,7 @@
 	for _, p := range r.Publish {
 		n.publishResidency(p)
 	}
-	for _, note := range r.Notes {
+	for _, note := range r.LogEntries {
 		n.emit(Note{Name: note.Name, Detail: note.Reason})
 	}
 	for _, d := range r.Decisions {
--- a/internal/core/node/peer.go
+++ b/internal/core/node/peer.go
@@ -29,7 +29,7 @@
 	case m.Limit != nil:
 		n.applyLimitResult(n.limit.Peer(n.now, n.lease, e.From, *m.Limit))
 	case m.Placement != nil:
-		n.applyPlacementResult(n.placement.Peer(n.now, n.lease, e.From, *m.Placement))
+		n.applyPlacementResult(n.placement.HandleMessage(n.now, n.lease, e.From, *m.Placement))
 	case m.Suspect != nil:
 		n.applySuspectResult(n.suspect.HandleMessage(n.now, n.lease, e.From, *m.Suspect))
 	}
--- a/internal/core/node/propagate.go
+++ b/internal/core/node/propagate.go
@@ -60,7 +60,7 @@
 	case feed.TopicUpstream:
 		var r placement.Residency
 		if cbor.Unmarshal(e.Value, &r) == nil {
-			n.applyPlacementResult(n.placement.Learned(n.now, n.lease, r))
+			n.applyPlacementResult(n.placement.ReceiveResidency(n.now, n.lease, r))
 		}
 	case topicCrashCounts:
 		var s suspect.CrashCount
@@ -176,7 +176,7 @@
 	if s.Kind == core.ShardWorkspace {
 		return n.limit.Departing(n.now, core.WorkspaceID(s.Name))
 	}
-	return n.placement.Departing(n.now, s)
+	return n.placement.HandOff(n.now, s)
 }
 
 func (n *Node) adoptShard(c lease.Change) {
--- a/internal/core/node/vitals.go
+++ b/internal/core/node/vitals.go
@@ -33,7 +33,7 @@
 		Outage:        n.lease.Outage(n.now),
 		CutOff:        n.feed.CutOff(n.now),
 		Configuration: n.configVersion(),
-		Owned:         len(n.placement.Polls()),
+		Owned:         len(n.placement.OwnedUpstreams()),
 	}
 	if asOf, ok := n.feed.Freshness(); ok {
 		v.Fresh = n.now.Sub(asOf)
--- a/internal/core/placement/adversary_test.go
+++ b/internal/core/placement/adversary_test.go
@@ -17,7 +17,7 @@
 	arrivesAt core.Instant // at the engine, once dispatched
 	endsAt    core.Instant // at the engine
 	state     int
-	outcome   End
+	outcome   TicketEnd
 }
 
 const (
@@ -82,7 +82,7 @@
 		case l.state == requestSent && a.now >= l.arrivesAt:
 			a.reachEngine(l, d.Ticket)
 		case l.state == requestRunning && a.now >= l.endsAt:
-			a.endAtEngine(l, End{OK: true})
+			a.endAtEngine(l, TicketEnd{OK: true})
 		case l.state == requestEnded && n.up():
 			l.state = requestReleased
 			a.end(l.host, l.id, l.outcome)
@@ -92,7 +92,7 @@
 
 // endAtEngine ends a request at its engine; its entry host processes that when
 // it is up.
-func (a *adversary) endAtEngine(l *trackedRequest, how End) {
+func (a *adversary) endAtEngine(l *trackedRequest, how TicketEnd) {
 	for _, e := range a.engines {
 		delete(e.running, l.id)
 	}
@@ -101,19 +101,19 @@
 
 func (a *adversary) dispatch(l *trackedRequest) {
 	n := a.nodes[l.host]
-	if !n.Valid(a.clock(l.host), l.id) {
+	if !n.TicketValid(a.clock(l.host), l.id) {
 		delete(a.decisions, l.id)
-		a.do(l.host, n.Renew(a.clock(l.host), a.ownership(l.host), l.id))
+		a.do(l.host, n.RenewTicket(a.clock(l.host), a.ownership(l.host), l.id))
 		return
 	}
-	n.Dispatched(l.id)
+	n.RecordDispatch(l.id)
 	l.state = requestSent
 	l.arrivesAt = a.now.Add(a.randomDelay(defaultMaxOrderDelay - stepTime))
 }
 
 func (a *adversary) reachEngine(l *trackedRequest, t *Ticket) {
 	if !a.arrive(l.id, t) {
-		a.endAtEngine(l, End{Missing: true})
+		a.endAtEngine(l, TicketEnd{AdapterMissing: true})
 		return
 	}
 	l.state = requestRunning
@@ -163,7 +163,7 @@
 	a.engines[id].restart()
 	for _, l := range a.requests {
 		if l.state == requestRunning && a.decisions[l.id].Ticket.Upstream == id {
-			a.endAtEngine(l, End{Crashed: true})
+			a.endAtEngine(l, TicketEnd{Crashed: true})
 		}
 	}
 }
@@ -176,7 +176,7 @@
 	if a.outage || from == to || !a.nodes[from].up() || !a.nodes[to].up() || a.nodes[from].owners[s] != from {
 		return
 	}
-	state := a.nodes[from].Departing(a.clock(from), s)
+	state := a.nodes[from].HandOff(a.clock(from), s)
 	a.assign(s, to)
 	a.refreshView(from)
 	if a.chance(50) {
@@ -233,6 +233,6 @@
 		if !a.startWithin(h, id, 10*time.Second) {
 			a.t.Fatalf("%s was not dispatched within 10 s", id)
 		}
-		a.end(h, id, End{OK: true})
+		a.end(h, id, TicketEnd{OK: true})
 	}
 }
--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -61,11 +61,11 @@
 	m := New(Settings{Self: "h0"}, core.NewRand(1))
 	m.Configure(1, own, snapshot)
 	for i := range sizeUpstreams {
-		r := Residency{Upstream: core.UpstreamID(fmt.Sprintf("u%d", i)), Fence: 1, Seq: 1, Warmth: 1, Free: 1}
+		r := Residency{Upstream: core.UpstreamID(fmt.Sprintf("u%d", i)), Fence: 1, Seq: 1, SlowStartWeight: 1, FreeSlots: 1}
 		for j := range sizeSlots {
-			r.Adapters = append(r.Adapters, Popular{Adapter: ref((i*sizeSlots + j) % sizeAdapters), Score: 1})
+			r.Adapters = append(r.Adapters, AdapterPopularity{Adapter: ref((i*sizeSlots + j) % sizeAdapters), Score: 1})
 		}
-		m.Learned(2, own, r)
+		m.ReceiveResidency(2, own, r)
 	}
 	if m.loader != nil {
 		for i := range sizeAdapters {
@@ -84,8 +84,8 @@
 	for i := 0; b.Loop(); i++ {
 		now := core.Instant(i)
 		pool := fmt.Sprintf("p%d", (i%sizeAdapters/sizeSlots)%4)
-		m.Ask(now, own, Ask{Request: id, Pool: pool, Adapter: ref(i % sizeAdapters), Deadline: now + 1e9})
-		m.Withdraw(now, own, id)
+		m.Place(now, own, PlacementRequest{Request: id, Pool: pool, Adapter: ref(i % sizeAdapters), Deadline: now + 1e9})
+		m.Cancel(now, own, id)
 	}
 	b.ReportMetric(float64(viewBytes)/1e6, "view-MB")
 }
@@ -102,9 +102,9 @@
 	m.Report(now, own, report)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		ask := AskMessage{Request: "r", Seq: uint64(i + 1), Upstream: "u0", Adapter: ref(i % sizeSlots), Remaining: time.Second, Sent: now, Workspace: "w"}
-		m.Peer(now, own, "h1", Message{Ask: &ask})
-		r := m.Peer(now, own, "h1", Message{Release: &ReleaseMessage{Request: "r", Seq: ask.Seq, Upstream: "u0", End: End{OK: true}}})
+		ask := TicketRequestMessage{Request: "r", Seq: uint64(i + 1), Upstream: "u0", Adapter: ref(i % sizeSlots), Remaining: time.Second, Sent: now, Workspace: "w"}
+		m.HandleMessage(now, own, "h1", Message{TicketRequest: &ask})
+		r := m.HandleMessage(now, own, "h1", Message{Release: &ReleaseMessage{Request: "r", Seq: ask.Seq, Upstream: "u0", End: TicketEnd{OK: true}}})
 		if len(r.Sends) != 0 || len(m.owned.byID["u0"].pins) != 0 {
 			b.Fatal("the ticket was not released")
 		}
@@ -118,13 +118,13 @@
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(400 * time.Millisecond)
 		cold := core.AdapterRef{ID: "cold", Version: i}
-		r := m.Peer(now, own, "h1", Message{Want: &WantMessage{Adapter: cold, Pool: "p0", Waiting: 1, Arrived: 1}})
+		r := m.HandleMessage(now, own, "h1", Message{LoadRequest: &LoadRequestMessage{Adapter: cold, Pool: "p0", Waiting: 1, NewArrivals: 1}})
 		for _, s := range r.Sends {
-			if s.Message.Load != nil {
-				m.Peer(now, own, s.To, Message{LoadDone: &LoadDoneMessage{ID: s.Message.Load.ID, Adapter: cold, Upstream: s.Message.Load.Upstream, End: LoadOK}})
+			if s.Message.LoadOrder != nil {
+				m.HandleMessage(now, own, s.To, Message{LoadDone: &LoadDoneMessage{ID: s.Message.LoadOrder.ID, Adapter: cold, Upstream: s.Message.LoadOrder.Upstream, End: LoadOK}})
 			}
 		}
-		m.Peer(now, own, "h1", Message{Want: &WantMessage{Adapter: cold, Pool: "p0"}})
+		m.HandleMessage(now, own, "h1", Message{LoadRequest: &LoadRequestMessage{Adapter: cold, Pool: "p0"}})
 	}
 	b.ReportMetric(float64(viewBytes)/1e6, "view+loader-MB")
 }
--- a/internal/core/placement/entry.go
+++ b/internal/core/placement/entry.go
@@ -28,7 +28,7 @@
 
 // request is one request of this host's callers.
 type request struct {
-	Ask
+	PlacementRequest
 	state         requestState
 	seq           uint64
 	upstream      core.UpstreamID
@@ -90,11 +90,11 @@
 	}
 }
 
-func (m *Machine) ask(a Ask) {
+func (m *Machine) ask(a PlacementRequest) {
 	if old := m.entry.requests[a.Request]; old != nil {
-		m.withdraw(old, End{NotReached: true})
+		m.withdraw(old, TicketEnd{NotReached: true})
 	}
-	r := &request{Ask: a}
+	r := &request{PlacementRequest: a}
 	m.entry.requests[a.Request] = r
 	m.place(r)
 }
@@ -156,10 +156,10 @@
 		r.seq = m.nextSeq()
 	}
 	m.trackOwner(owner)
-	m.send(owner, Message{Ask: &AskMessage{
+	m.send(owner, Message{TicketRequest: &TicketRequestMessage{
 		Request: r.Request, Seq: r.seq, Upstream: r.upstream, Adapter: r.Adapter,
 		Workspace: r.Workspace, Weight: r.Weight, Class: r.Class, Cost: r.Cost,
-		Remaining: r.Deadline.Sub(m.now), Sent: m.now, Running: r.state == hasTicket, Counted: r.waitedForLoad,
+		Remaining: r.Deadline.Sub(m.now), Sent: m.now, Restated: r.state == hasTicket, Counted: r.waitedForLoad,
 	}})
 }
 
@@ -175,43 +175,43 @@
 // receiveTicketReply handles an owner's answer. A ticket that matches no open
 // ticket request is late: it is returned at once, unless the request may be
 // running on it.
-func (m *Machine) receiveTicketReply(from core.HostID, a AnswerMessage) {
+func (m *Machine) receiveTicketReply(from core.HostID, a TicketReplyMessage) {
 	r := m.entry.requests[a.Request]
-	if a.Kind == AnswerUnknown {
+	if a.Kind == ReplyUnknownRequest {
 		if r != nil && r.owner == from && r.state != awaitingLoad {
 			m.sendTicketRequest(r)
 		}
 		return
 	}
 	if r == nil || r.seq != a.Seq || r.state == awaitingLoad {
-		if a.Kind == AnswerTicket && (r == nil || r.state == awaitingLoad || r.upstream != a.Upstream) {
+		if a.Kind == ReplyTicket && (r == nil || r.state == awaitingLoad || r.upstream != a.Upstream) {
 			m.trackOwner(from)
-			m.send(from, Message{Release: &ReleaseMessage{Request: a.Request, Seq: a.Seq, Upstream: a.Upstream, End: End{NotReached: true}}})
+			m.send(from, Message{Release: &ReleaseMessage{Request: a.Request, Seq: a.Seq, Upstream: a.Upstream, End: TicketEnd{NotReached: true}}})
 		}
 		return
 	}
 	m.updateLoad(a)
-	r.confirmed = r.confirmed || a.Kind == AnswerTicket
+	r.confirmed = r.confirmed || a.Kind == ReplyTicket
 	if r.state == hasTicket {
 		return
 	}
 	switch a.Kind {
-	case AnswerTicket:
+	case ReplyTicket:
 		m.acceptTicket(r, a)
-	case AnswerNotOwner:
+	case ReplyNotOwner:
 		r.rejections++ // the sweep retries with the current owner
-	case AnswerNotResident:
+	case ReplyNotLoaded:
 		m.view.markAbsent(r.upstream, r.Adapter)
 		m.placeElsewhere(r, a.Kind)
-	case AnswerLeaving, AnswerElsewhere:
+	case ReplyLeaving, ReplyOtherReplica:
 		m.placeElsewhere(r, a.Kind)
-	case AnswerOverloaded:
+	case ReplyOverloaded:
 		m.uncount(r)
 		m.refuse(r, core.Refuse(core.CodeOverloaded, retryOverloaded, "too many requests wait for "+string(r.upstream)))
 	}
 }
 
-func (m *Machine) updateLoad(a AnswerMessage) {
+func (m *Machine) updateLoad(a TicketReplyMessage) {
 	if x := m.view.upstreams[a.Upstream]; x != nil {
 		x.reportedLoad, x.ownAtReport = a.Load, x.ownRequests
 	}
@@ -219,8 +219,8 @@
 
 // acceptTicket gives a ticket to the caller's request, or requests another if
 // it has already expired.
-func (m *Machine) acceptTicket(r *request, a AnswerMessage) {
-	r.validUntil = a.Sent.Add(a.Valid)
+func (m *Machine) acceptTicket(r *request, a TicketReplyMessage) {
+	r.validUntil = a.Sent.Add(a.TTL)
 	if !m.now.Before(r.validUntil) {
 		m.logDecision("ticket.ended", "the ticket expired before it arrived")
 		m.sendTicketRequest(r)
@@ -230,29 +230,29 @@
 	r.fence = a.Fence
 	x := m.view.upstreams[r.upstream]
 	if x == nil {
-		m.withdraw(r, End{NotReached: true})
+		m.withdraw(r, TicketEnd{NotReached: true})
 		m.place(r)
 		return
 	}
 	m.logDecision("ticket", string(r.upstream))
 	m.result.Decisions = append(m.result.Decisions, Decision{Request: r.Request, Ticket: &Ticket{
-		Upstream: r.upstream,
-		Address:  x.config.Address,
-		Adapter:  r.Adapter,
-		Grant:    core.Grant{Fence: a.Fence, Until: r.validUntil},
-		Stalled:  r.waitedForLoad,
+		Upstream:      r.upstream,
+		Address:       x.config.Address,
+		Adapter:       r.Adapter,
+		Grant:         core.Grant{Fence: a.Fence, Until: r.validUntil},
+		WaitedForLoad: r.waitedForLoad,
 	}})
 }
 
 // placeElsewhere places r again after an owner rejected it.
-func (m *Machine) placeElsewhere(r *request, why AnswerKind) {
+func (m *Machine) placeElsewhere(r *request, why ReplyKind) {
 	m.uncount(r)
 	r.rejections++
 	if r.rejections > maxRejections {
 		m.refuse(r, core.Refuse(core.CodeNoUpstream, retryNoUpstream, "no upstream would take the request"))
 		return
 	}
-	if why == AnswerLeaving {
+	if why == ReplyLeaving {
 		r.Avoid = append(slices.Clone(r.Avoid), r.upstream)
 	}
 	m.place(r)
@@ -271,12 +271,12 @@
 }
 
 // release ends a request at this host and returns its ticket.
-func (m *Machine) release(id core.RequestID, e End) {
+func (m *Machine) release(id core.RequestID, e TicketEnd) {
 	r := m.entry.requests[id]
 	if r == nil {
 		return
 	}
-	if e.Missing {
+	if e.AdapterMissing {
 		m.view.markAbsent(r.upstream, r.Adapter)
 	}
 	m.withdraw(r, e)
@@ -284,7 +284,7 @@
 }
 
 // withdraw cancels r's load request or ticket request, or returns its ticket.
-func (m *Machine) withdraw(r *request, e End) {
+func (m *Machine) withdraw(r *request, e TicketEnd) {
 	if r.state == awaitingLoad {
 		m.cancelLoadRequest(r)
 		return
@@ -335,11 +335,11 @@
 	moved := ok && owner != r.owner
 	switch {
 	case r.state == awaitingTicket && !m.now.Before(r.Deadline):
-		m.withdraw(r, End{NotReached: true})
+		m.withdraw(r, TicketEnd{NotReached: true})
 		m.refuse(r, core.Refuse(core.CodeDeadlineExceeded, retryOverloaded, "no place came free before the deadline"))
-	case r.state == awaitingTicket && (moved || m.now.Sub(r.lastSent) >= m.settings.Repeat):
+	case r.state == awaitingTicket && (moved || m.now.Sub(r.lastSent) >= m.settings.RetryInterval):
 		m.sendTicketRequest(r)
-	case r.state == hasTicket && (moved || !r.confirmed && m.now.Sub(r.lastSent) >= m.settings.Repeat):
+	case r.state == hasTicket && (moved || !r.confirmed && m.now.Sub(r.lastSent) >= m.settings.RetryInterval):
 		m.logDecision("restate", string(r.upstream))
 		m.sendTicketRequest(r)
 	}
@@ -350,7 +350,7 @@
 func (m *Machine) sendOutstandingLists() {
 	due := map[core.HostID][]core.RequestID{}
 	for _, h := range slices.Sorted(maps.Keys(m.entry.owners)) {
-		if p := m.entry.owners[h]; m.now.Sub(p.lastSent) >= m.settings.HoldEvery {
+		if p := m.entry.owners[h]; m.now.Sub(p.lastSent) >= m.settings.OutstandingInterval {
 			due[h] = []core.RequestID{}
 		}
 	}
@@ -392,5 +392,5 @@
 	if p.emptyLeft <= 0 {
 		delete(m.entry.owners, h)
 	}
-	m.send(h, Message{Hold: &HoldMessage{Upto: m.entry.seq, Requests: ids}})
+	m.send(h, Message{Outstanding: &OutstandingMessage{MaxSeq: m.entry.seq, Requests: ids}})
 }
--- a/internal/core/placement/failures_test.go
+++ b/internal/core/placement/failures_test.go
@@ -49,7 +49,7 @@
 	f.crash("h0") // the owner, without a handoff
 	f.run(leaseTTL)
 	f.messageDelays = func(m Message) []time.Duration {
-		if m.Ask != nil && m.Ask.Running {
+		if m.TicketRequest != nil && m.TicketRequest.Restated {
 			return nil // no restatement arrives
 		}
 		return []time.Duration{0}
@@ -60,7 +60,7 @@
 	f.run(20 * time.Second)
 	is.True(!f.hasTicket("r2"))
 	is.Equal(len(f.violations), 0)
-	f.end("h1", "r1", End{OK: true})
+	f.end("h1", "r1", TicketEnd{OK: true})
 	is.True(f.startWithin("h2", "r2", 5*time.Second)) // no slot stays pinned
 }
 
@@ -75,8 +75,8 @@
 	f.run(25 * time.Second)
 	is.True(f.hasTicket("r2")) // the pin is cleared: the ticket of the unresponsive entry host has expired
 	f.nodes["h1"].paused = false
-	is.True(!f.nodes["h1"].Valid(f.clock("h1"), "r1")) // checked immediately before the dispatch
-	f.do("h1", f.nodes["h1"].Renew(f.clock("h1"), f.ownership("h1"), "r1"))
+	is.True(!f.nodes["h1"].TicketValid(f.clock("h1"), "r1")) // checked immediately before the dispatch
+	f.do("h1", f.nodes["h1"].RenewTicket(f.clock("h1"), f.ownership("h1"), "r1"))
 	f.run(time.Second)
 	is.Equal(len(f.violations), 0)
 }
@@ -85,7 +85,7 @@
 	is := is.New(t)
 	f := newReconciledFleet(2, 1, 1)
 	f.runRequest(is, "h1", "r1", ref(1))
-	f.end("h1", "r1", End{OK: true})
+	f.end("h1", "r1", TicketEnd{OK: true})
 	f.run(time.Second)
 	var grants []core.Grant
 	f.orderDelay = func(o core.AdapterOrder) time.Duration {
@@ -104,12 +104,12 @@
 	is := is.New(t)
 	f := newReconciledFleet(2, 1, 1)
 	f.runRequest(is, "h1", "r1", ref(1))
-	f.end("h1", "r1", End{OK: true})
+	f.end("h1", "r1", TicketEnd{OK: true})
 	f.run(time.Second)
 	f.orderDelay = func(o core.AdapterOrder) time.Duration { return defaultMaxOrderDelay - stepTime }
 	f.ask("h1", "r2", ref(2)) // evicts ref(1), with a slow order
 	f.run(100 * time.Millisecond)
-	f.nodes["h0"].Departing(f.clock("h0"), upstreamShard(0)) // its state is lost
+	f.nodes["h0"].HandOff(f.clock("h0"), upstreamShard(0)) // its state is lost
 	f.move(upstreamShard(0), "h1")
 	f.ask("h1", "r3", ref(1))
 	for range 1000 {
@@ -129,7 +129,7 @@
 		}
 		return []time.Duration{0}
 	}
-	f.end("h1", "r1", End{OK: true})
+	f.end("h1", "r1", TicketEnd{OK: true})
 	f.ask("h0", "r2", ref(2))
 	is.True(f.startWithin("h0", "r2", defaultOutstandingInterval+2*time.Second))
 	is.Equal(len(f.violations), 0)
@@ -145,7 +145,7 @@
 	f.ask("h0", "r2", ref(2))
 	f.run(12 * time.Second)
 	is.True(!f.hasTicket("r2")) // the engine still runs r1
-	f.end("h1", "r1", End{})
+	f.end("h1", "r1", TicketEnd{})
 	is.True(f.startWithin("h0", "r2", Settings{}.StuckBound(time.Second)))
 	is.Equal(len(f.violations), 0)
 }
@@ -179,8 +179,8 @@
 	f.ask("h1", "r2", ref(1))
 	f.run(10 * time.Millisecond)
 	is.True(!f.start("h1", "r2")) // the engine refuses a request without its adapter
-	f.end("h1", "r2", End{Missing: true})
-	f.end("h1", "r1", End{Crashed: true})
+	f.end("h1", "r2", TicketEnd{AdapterMissing: true})
+	f.end("h1", "r1", TicketEnd{Crashed: true})
 	f.runRequest(is, "h1", "r3", ref(1))
 	is.Equal(f.engines["u0"].loads, 2)
 }
@@ -200,7 +200,7 @@
 	f.runRequest(is, "h1", "r1", ref(1))
 	u := f.decisions["r1"].Ticket.Upstream
 	for _, h := range f.hosts {
-		f.do(h, f.nodes[h].Leaving(f.clock(h), f.ownership(h), []core.UpstreamID{u}))
+		f.do(h, f.nodes[h].SetLeavingUpstreams(f.clock(h), f.ownership(h), []core.UpstreamID{u}))
 	}
 	f.runRequest(is, "h0", "r2", ref(1))
 	is.True(f.decisions["r2"].Ticket.Upstream != u)
@@ -218,7 +218,7 @@
 	is.True(!f.hasTicket("i"))
 	u := f.decisions["a"].Ticket.Upstream
 	for _, h := range f.hosts {
-		f.do(h, f.nodes[h].Leaving(f.clock(h), f.ownership(h), []core.UpstreamID{u}))
+		f.do(h, f.nodes[h].SetLeavingUpstreams(f.clock(h), f.ownership(h), []core.UpstreamID{u}))
 	}
 	f.run(time.Second)
 	is.True(f.hasTicket("i"))
@@ -229,11 +229,11 @@
 	is := is.New(t)
 	f := newReconciledFleet(2, 1, 1)
 	f.runRequest(is, "h1", "r1", ref(1))
-	f.end("h1", "r1", End{OK: true})
+	f.end("h1", "r1", TicketEnd{OK: true})
 	f.outage = true
 	f.run(2 * leaseTTL)
 	f.runRequest(is, "h1", "r2", ref(1))
-	f.end("h1", "r2", End{OK: true})
+	f.end("h1", "r2", TicketEnd{OK: true})
 	f.ask("h0", "r3", ref(2))
 	f.run(5 * time.Second)
 	is.True(f.engines["u0"].adapters[ref(1)])
@@ -245,7 +245,7 @@
 	is := is.New(t)
 	f := newReconciledFleet(2, 1, 1)
 	f.runRequest(is, "h1", "r1", ref(1))
-	state := f.nodes["h0"].Departing(f.clock("h0"), upstreamShard(0))
+	state := f.nodes["h0"].HandOff(f.clock("h0"), upstreamShard(0))
 	f.move(upstreamShard(0), "h1")
 	f.do("h1", f.nodes["h1"].Adopt(f.clock("h1"), f.ownership("h1"), upstreamShard(0), state))
 	f.ask("h1", "r2", ref(1))
@@ -262,7 +262,7 @@
 	f := newReconciledFleet(2, 1, 3)
 	use := func(id core.RequestID, a core.AdapterRef) {
 		f.runRequest(is, "h0", id, a)
-		f.end("h0", id, End{OK: true})
+		f.end("h0", id, TicketEnd{OK: true})
 	}
 	for i := range 6 {
 		use(core.RequestID(rune('a'+i)), ref(1))
@@ -279,9 +279,9 @@
 	f := newReconciledFleet(2, 1, 1)
 	for i := range 3 {
 		f.runRequest(is, "h1", core.RequestID(rune('a'+i)), ref(i))
-		f.end("h1", core.RequestID(rune('a'+i)), End{OK: true})
+		f.end("h1", core.RequestID(rune('a'+i)), TicketEnd{OK: true})
 	}
-	state := f.nodes["h0"].Departing(f.clock("h0"), LoaderShard)
+	state := f.nodes["h0"].HandOff(f.clock("h0"), LoaderShard)
 	f.move(LoaderShard, "h1")
 	f.do("h1", f.nodes["h1"].Adopt(f.clock("h1"), f.ownership("h1"), LoaderShard, state))
 	is.True(f.nodes["h1"].absentPopularity(ref(0)) > 0.9)
@@ -317,7 +317,7 @@
 	f.run(time.Second)
 	is.Equal(f.loadsInFlight(), defaultMaxInFlightLoads)
 	f.messageDelays = func(m Message) []time.Duration {
-		if m.Loading != nil {
+		if m.LoadReport != nil {
 			return nil // no host reports its loads to the new loader
 		}
 		return []time.Duration{0}
@@ -325,7 +325,7 @@
 	loads := f.pending
 	for i := range 20 { // their callers are gone, so no load requests follow either
 		if slices.ContainsFunc(loads, func(o pendingOrder) bool { return o.Adapter == ref(i) }) {
-			f.do("h1", f.nodes["h1"].Withdraw(f.clock("h1"), f.ownership("h1"), core.RequestID(rune('a'+i))))
+			f.do("h1", f.nodes["h1"].Cancel(f.clock("h1"), f.ownership("h1"), core.RequestID(rune('a'+i))))
 		}
 	}
 	f.move(LoaderShard, "h2")
--- a/internal/core/placement/fleet_test.go
+++ b/internal/core/placement/fleet_test.go
@@ -132,7 +132,7 @@
 		h := core.HostID(fmt.Sprintf("h%d", i))
 		f.hosts = append(f.hosts, h)
 		f.nodes[h] = &node{
-			Machine: New(Settings{Self: h, StoreRate: 100}, core.NewRand(uint64(i))), alive: true,
+			Machine: New(Settings{Self: h, MaxLoadsPerSecond: 100}, core.NewRand(uint64(i))), alive: true,
 			clockOffset: core.Instant(time.Duration(i) * 1000 * time.Hour), owners: map[core.Shard]core.HostID{},
 		}
 	}
@@ -196,7 +196,7 @@
 	for _, p := range r.Publish {
 		for _, to := range f.hosts {
 			if to != h && f.nodes[to].up() {
-				f.do(to, f.nodes[to].Learned(f.clock(to), f.ownership(to), p))
+				f.do(to, f.nodes[to].ReceiveResidency(f.clock(to), f.ownership(to), p))
 			}
 		}
 	}
@@ -214,7 +214,7 @@
 		case f.now < p.at || n.paused:
 			f.network = append(f.network, p)
 		case n.alive:
-			f.do(p.to, n.Peer(f.clock(p.to), f.ownership(p.to), p.from, p.msg))
+			f.do(p.to, n.HandleMessage(f.clock(p.to), f.ownership(p.to), p.from, p.msg))
 		}
 	}
 	orders := f.pending
@@ -262,7 +262,7 @@
 		if !f.nodes[h].up() {
 			continue
 		}
-		for _, u := range f.nodes[h].Polls() {
+		for _, u := range f.nodes[h].OwnedUpstreams() {
 			f.do(h, f.nodes[h].Report(f.clock(h), f.ownership(h), f.engines[u].report(u, f.clock(h))))
 		}
 	}
@@ -342,7 +342,7 @@
 }
 
 func (f *fleet) ask(h core.HostID, id core.RequestID, a core.AdapterRef) {
-	f.do(h, f.nodes[h].Ask(f.clock(h), f.ownership(h), Ask{
+	f.do(h, f.nodes[h].Place(f.clock(h), f.ownership(h), PlacementRequest{
 		Request: id, Pool: "p", Adapter: a, Workspace: "w", Weight: 1, Cost: 100, Deadline: f.clock(h).Add(30 * time.Second),
 	}))
 }
@@ -351,10 +351,10 @@
 // engine has the adapter loaded.
 func (f *fleet) start(h core.HostID, id core.RequestID) bool {
 	d := f.decisions[id]
-	if d.Ticket == nil || !f.nodes[h].Valid(f.clock(h), id) {
+	if d.Ticket == nil || !f.nodes[h].TicketValid(f.clock(h), id) {
 		return false
 	}
-	f.nodes[h].Dispatched(id)
+	f.nodes[h].RecordDispatch(id)
 	return f.arrive(id, d.Ticket)
 }
 
@@ -366,7 +366,7 @@
 	return e.adapters[t.Adapter]
 }
 
-func (f *fleet) end(h core.HostID, id core.RequestID, e End) {
+func (f *fleet) end(h core.HostID, id core.RequestID, e TicketEnd) {
 	for _, x := range f.engines {
 		delete(x.running, id)
 	}
--- a/internal/core/placement/handoff.go
+++ b/internal/core/placement/handoff.go
@@ -36,9 +36,9 @@
 	Silent  time.Duration   `cbor:"5,keyasint"`
 }
 
-// Departing stops acting for a shard and returns its state for the next owner.
+// HandOff stops acting for a shard and returns its state for the next owner.
 // It returns nil for a shard that this host doesn't own.
-func (m *Machine) Departing(now core.Instant, s core.Shard) []byte {
+func (m *Machine) HandOff(now core.Instant, s core.Shard) []byte {
 	if s == LoaderShard {
 		return m.handOffLoader(now)
 	}
@@ -53,7 +53,7 @@
 		if state != resident {
 			state = uncertain // its order may still take effect
 		}
-		h.Slots = append(h.Slots, handoffSlot{a, state, x.formerOwnerRequests, x.popularity(now, m.settings.HalfLife)})
+		h.Slots = append(h.Slots, handoffSlot{a, state, x.formerOwnerRequests, x.popularity(now, m.settings.PopularityHalfLife)})
 	}
 	for _, id := range slices.Sorted(maps.Keys(o.pins)) {
 		p := o.pins[id]
--- a/internal/core/placement/jobs.go
+++ b/internal/core/placement/jobs.go
@@ -9,9 +9,9 @@
 
 // loadJob is one load that the loader ordered.
 type loadJob struct {
-	LoadMessage
+	LoadOrderMessage
 	from    core.HostID
-	evicted Popular
+	evicted AdapterPopularity
 	expires core.Instant // when it is abandoned
 }
 
@@ -25,13 +25,13 @@
 
 // receiveLoad handles a load order of the loader: it loads into a free slot or
 // in place of a victim.
-func (m *Machine) receiveLoad(from core.HostID, l LoadMessage) {
+func (m *Machine) receiveLoad(from core.HostID, l LoadOrderMessage) {
 	o := m.owned.byID[l.Upstream]
 	if o == nil || !m.ownership.Serving(m.now, o.shard) {
 		m.send(from, Message{LoadDone: &LoadDoneMessage{ID: l.ID, Adapter: l.Adapter, Upstream: l.Upstream, End: LoadNotOwner}})
 		return
 	}
-	j := &loadJob{LoadMessage: l, from: from}
+	j := &loadJob{LoadOrderMessage: l, from: from}
 	if s := o.slots[l.Adapter]; s != nil {
 		m.loadPresentAdapter(o, s, j)
 		return
@@ -58,7 +58,7 @@
 		m.endLoadJob(o, j, LoadOK)
 	case loading:
 		if known := o.loadJobs[s.adapter]; known != nil {
-			known.LoadMessage, known.from = j.LoadMessage, j.from
+			known.LoadOrderMessage, known.from = j.LoadOrderMessage, j.from
 		}
 	default:
 		m.endLoadJob(o, j, LoadNoSlot)
@@ -68,9 +68,9 @@
 // evictFor evicts a victim for a load. Only the acting owner may, and only
 // while the order is certain to arrive before its lease ends.
 func (m *Machine) evictFor(o *ownedUpstream, j *loadJob) {
-	v := m.victim(o, j.Most)
+	v := m.victim(o, j.MaxEvictionCost)
 	grant, acting := m.ownership.Acting(m.now, o.shard)
-	last := grant.Until.Add(-m.settings.OrderLinger)
+	last := grant.Until.Add(-m.settings.MaxOrderDelay)
 	if v == nil || !acting || !m.now.Before(last) {
 		m.logDecision("load.no_slot", string(o.id)+": no slot is free and no adapter may be evicted")
 		m.endLoadJob(o, j, LoadNoSlot)
@@ -95,7 +95,7 @@
 }
 
 func (m *Machine) sendOrder(o *ownedUpstream, x *order, g core.Grant) {
-	timeout := m.settings.OrderLinger
+	timeout := m.settings.MaxOrderDelay
 	if x.load {
 		timeout = m.settings.LoadTimeout
 	}
@@ -104,7 +104,7 @@
 	}
 	m.lastOrderID++
 	m.owned.orders[m.lastOrderID] = x
-	x.job.expires = m.now.Add(timeout + m.settings.OrderLinger)
+	x.job.expires = m.now.Add(timeout + m.settings.MaxOrderDelay)
 	m.result.Orders = append(m.result.Orders, core.AdapterOrder{
 		ID: m.lastOrderID, Upstream: o.id, Address: o.config.Address, Load: x.load, Adapter: x.adapter, Grant: g, Timeout: timeout,
 	})
@@ -171,7 +171,7 @@
 		m.logDecision("load.failed", j.Adapter.String()+" on "+string(o.id))
 	}
 	m.send(j.from, Message{LoadDone: &LoadDoneMessage{ID: j.ID, Adapter: j.Adapter, Upstream: o.id, End: end, Evicted: j.evicted}})
-	j.evicted = Popular{}
+	j.evicted = AdapterPopularity{}
 }
 
 // expireLoadJobs abandons load jobs whose result never came.
--- a/internal/core/placement/loader.go
+++ b/internal/core/placement/loader.go
@@ -88,8 +88,8 @@
 	m.loader = &loader{
 		fence:           grant.Fence,
 		lastAccrual:     m.now,
-		assumedInFlight: m.settings.InTransit,
-		assumedUntil:    m.now.Add(m.settings.LoadTimeout + m.settings.OrderLinger),
+		assumedInFlight: m.settings.MaxInFlightLoads,
+		assumedUntil:    m.now.Add(m.settings.LoadTimeout + m.settings.MaxOrderDelay),
 		reported:        map[core.HostID]bool{},
 		inFlight:        map[uint64]*inFlightLoad{},
 		candidates:      map[core.AdapterRef]*loadCandidate{},
@@ -106,39 +106,39 @@
 		return
 	}
 	m.loadsReportedTo = loader
-	msg := LoadingMessage{Adapters: []core.AdapterRef{}}
+	msg := LoadReportMessage{Adapters: []core.AdapterRef{}}
 	for _, x := range m.owned.list {
 		msg.Adapters = append(msg.Adapters, slices.SortedFunc(maps.Keys(x.loadJobs), compareRefs)...)
 	}
-	m.send(loader, Message{Loading: &msg})
+	m.send(loader, Message{LoadReport: &msg})
 }
 
 // sendLoads answers a loader's query for the loads on this host's upstreams.
 func (m *Machine) sendLoads(loader core.HostID) {
-	msg := LoadingMessage{Adapters: []core.AdapterRef{}}
+	msg := LoadReportMessage{Adapters: []core.AdapterRef{}}
 	for _, x := range m.owned.list {
 		msg.Adapters = append(msg.Adapters, slices.SortedFunc(maps.Keys(x.loadJobs), compareRefs)...)
 	}
-	m.send(loader, Message{Loading: &msg})
+	m.send(loader, Message{LoadReport: &msg})
 }
 
 // queryLoads queries the members that have not reported their loads, until all
 // have or the assumed loads have ended.
 func (m *Machine) queryLoads() {
 	l := m.loader
-	if l.assumedInFlight == 0 || m.now.Before(l.lastQuery.Add(m.settings.Repeat)) {
+	if l.assumedInFlight == 0 || m.now.Before(l.lastQuery.Add(m.settings.RetryInterval)) {
 		return
 	}
 	l.lastQuery = m.now
 	for _, h := range m.ownership.Members() {
 		if !l.reported[h.Host] {
-			m.send(h.Host, Message{Loading: &LoadingMessage{Ask: true}})
+			m.send(h.Host, Message{LoadReport: &LoadReportMessage{Query: true}})
 		}
 	}
 }
 
-func (m *Machine) receiveLoading(from core.HostID, msg LoadingMessage) {
-	if msg.Ask {
+func (m *Machine) receiveLoading(from core.HostID, msg LoadReportMessage) {
+	if msg.Query {
 		m.sendLoads(from)
 		return
 	}
@@ -153,18 +153,18 @@
 	}
 }
 
-func (m *Machine) receiveLoadRequest(from core.HostID, msg WantMessage) {
+func (m *Machine) receiveLoadRequest(from core.HostID, msg LoadRequestMessage) {
 	l := m.loader
 	if l == nil {
 		return
 	}
-	l.countRequests(msg.Adapter, msg.Pool, float64(msg.Arrived), m.now, m.settings.HalfLife)
+	l.countRequests(msg.Adapter, msg.Pool, float64(msg.NewArrivals), m.now, m.settings.PopularityHalfLife)
 	c := l.candidates[msg.Adapter]
 	if c == nil && msg.Waiting == 0 {
 		return
 	}
 	if u, ok := m.loadedUpstream(msg); ok {
-		m.send(from, Message{Wanted: &WantedMessage{Adapter: msg.Adapter, Upstream: u}})
+		m.send(from, Message{LoadReply: &LoadReplyMessage{Adapter: msg.Adapter, Upstream: u}})
 		return
 	}
 	if c == nil {
@@ -190,7 +190,7 @@
 // loadedUpstream returns a usable upstream that already has the requested
 // adapter loaded, and false if there is none. The requesting host's view then
 // lags.
-func (m *Machine) loadedUpstream(msg WantMessage) (core.UpstreamID, bool) {
+func (m *Machine) loadedUpstream(msg LoadRequestMessage) (core.UpstreamID, bool) {
 	for _, x := range m.view.loadedOn[msg.Adapter] {
 		usable := x.config.Pool == msg.Pool && !m.view.ejected(x) && !x.leaving() && !m.view.listedLeaving[x.Upstream]
 		if usable && !slices.Contains(msg.Avoid, x.Upstream) {
@@ -268,8 +268,8 @@
 	if !m.ownership.Serving(m.now, LoaderShard) {
 		return
 	}
-	l.accrue(m.now, m.settings.StoreRate)
-	if l.loadsAllowed(m.now, m.settings.InTransit) <= 0 || len(l.candidates) == 0 {
+	l.accrue(m.now, m.settings.MaxLoadsPerSecond)
+	if l.loadsAllowed(m.now, m.settings.MaxInFlightLoads) <= 0 || len(l.candidates) == 0 {
 		return
 	}
 	due := make([]*loadCandidate, 0, len(l.candidates))
@@ -280,7 +280,7 @@
 	}
 	slices.SortFunc(due, func(a, b *loadCandidate) int { return m.compareCandidates(a, b) })
 	for _, c := range due {
-		if l.loadsAllowed(m.now, m.settings.InTransit) <= 0 {
+		if l.loadsAllowed(m.now, m.settings.MaxInFlightLoads) <= 0 {
 			return
 		}
 		m.orderLoad(c)
@@ -330,9 +330,9 @@
 	l.budget--
 	l.lastID++
 	c.loadID = l.lastID
-	l.inFlight[c.loadID] = &inFlightLoad{id: c.loadID, adapter: c.adapter, upstream: u, expires: m.now.Add(m.settings.LoadTimeout + 2*m.settings.OrderLinger)}
-	msg := LoadMessage{ID: c.loadID, Adapter: c.adapter, Upstream: u, Score: score, Most: maxCost}
-	m.send(owner, Message{Load: &msg})
+	l.inFlight[c.loadID] = &inFlightLoad{id: c.loadID, adapter: c.adapter, upstream: u, expires: m.now.Add(m.settings.LoadTimeout + 2*m.settings.MaxOrderDelay)}
+	msg := LoadOrderMessage{ID: c.loadID, Adapter: c.adapter, Upstream: u, Score: score, MaxEvictionCost: maxCost}
+	m.send(owner, Message{LoadOrder: &msg})
 }
 
 // receiveLoadDone ends a load: it informs the waiting hosts, or retries
@@ -365,7 +365,7 @@
 	delete(l.candidates, d.Adapter)
 	m.view.markLoaded(d.Upstream, d.Adapter)
 	for _, h := range slices.Sorted(maps.Keys(c.waitingByHost)) {
-		m.send(h, Message{Wanted: &WantedMessage{Adapter: d.Adapter, Upstream: d.Upstream}})
+		m.send(h, Message{LoadReply: &LoadReplyMessage{Adapter: d.Adapter, Upstream: d.Upstream}})
 	}
 	m.startLoads()
 }
--- a/internal/core/placement/loadrequest.go
+++ b/internal/core/placement/loadrequest.go
@@ -27,7 +27,7 @@
 	if m.entry.placingWaiters || r.rejections > 1 {
 		// The sweep sends it later: hosts whose views differ must not pass the
 		// request back and forth without a pause.
-		lr.lastSent = m.now.Add(loadRequestBackoff - m.settings.Repeat)
+		lr.lastSent = m.now.Add(loadRequestBackoff - m.settings.RetryInterval)
 		return
 	}
 	lr.newArrivals++
@@ -52,7 +52,7 @@
 	if !ok {
 		return
 	}
-	msg := WantMessage{Adapter: lr.adapter, Pool: lr.pool, Waiting: len(lr.waiting), Class: core.Overnight, Arrived: lr.newArrivals}
+	msg := LoadRequestMessage{Adapter: lr.adapter, Pool: lr.pool, Waiting: len(lr.waiting), Class: core.Overnight, NewArrivals: lr.newArrivals}
 	for _, id := range lr.waiting {
 		r := m.entry.requests[id]
 		msg.Class = min(msg.Class, r.Class)
@@ -63,7 +63,7 @@
 		}
 	}
 	lr.newArrivals = 0
-	m.send(loader, Message{Want: &msg})
+	m.send(loader, Message{LoadRequest: &msg})
 }
 
 // sweepLoadRequests repeats load requests; a new loader gets them at once.
@@ -73,14 +73,14 @@
 	m.entry.lastLoader = loader
 	for _, a := range slices.SortedFunc(maps.Keys(m.entry.loadRequests), compareRefs) {
 		lr := m.entry.loadRequests[a]
-		if moved || m.now.Sub(lr.lastSent) >= m.settings.Repeat {
+		if moved || m.now.Sub(lr.lastSent) >= m.settings.RetryInterval {
 			m.sendLoadRequest(lr)
 		}
 	}
 }
 
 // receiveLoadReply handles the loader's answer to a load request.
-func (m *Machine) receiveLoadReply(msg WantedMessage) {
+func (m *Machine) receiveLoadReply(msg LoadReplyMessage) {
 	if msg.Upstream == "" {
 		if lr := m.entry.loadRequests[msg.Adapter]; lr != nil {
 			lr.estimate = msg.Wait
--- a/internal/core/placement/machine.go
+++ b/internal/core/placement/machine.go
@@ -67,44 +67,44 @@
 	})
 }
 
-// Ask places a request on an upstream. The decision comes in this or a later
+// Place places a request on an upstream. The decision comes in this or a later
 // Result. A second call with the same request ID replaces the first.
-func (m *Machine) Ask(now core.Instant, own core.Ownership, a Ask) Result {
+func (m *Machine) Place(now core.Instant, own core.Ownership, a PlacementRequest) Result {
 	return m.step(now, own, func() { m.ask(a) })
 }
 
-// Withdraw ends a request whose caller is gone, with or without a ticket.
-func (m *Machine) Withdraw(now core.Instant, own core.Ownership, id core.RequestID) Result {
-	return m.step(now, own, func() { m.release(id, End{NotReached: true}) })
+// Cancel ends a request whose caller is gone, with or without a ticket.
+func (m *Machine) Cancel(now core.Instant, own core.Ownership, id core.RequestID) Result {
+	return m.step(now, own, func() { m.release(id, TicketEnd{NotReached: true}) })
 }
 
 // Release returns a ticket after its use. It ignores an unknown request.
-func (m *Machine) Release(now core.Instant, own core.Ownership, id core.RequestID, e End) Result {
+func (m *Machine) Release(now core.Instant, own core.Ownership, id core.RequestID, e TicketEnd) Result {
 	return m.step(now, own, func() { m.release(id, e) })
 }
 
-// Valid reports whether a request's ticket may still be used to dispatch. Call
+// TicketValid reports whether a request's ticket may still be used to dispatch. Call
 // it immediately before the dispatch and again after any pause; on false
 // request a new one. Invariant: no request starts on an expired ticket.
-func (m *Machine) Valid(now core.Instant, id core.RequestID) bool {
+func (m *Machine) TicketValid(now core.Instant, id core.RequestID) bool {
 	r := m.entry.requests[id]
 	return r != nil && r.state == hasTicket && now.Before(r.validUntil)
 }
 
-// Renew requests a new ticket for a request whose ticket expired unused.
-func (m *Machine) Renew(now core.Instant, own core.Ownership, id core.RequestID) Result {
+// RenewTicket requests a new ticket for a request whose ticket expired unused.
+func (m *Machine) RenewTicket(now core.Instant, own core.Ownership, id core.RequestID) Result {
 	return m.step(now, own, func() { m.renewTicket(id) })
 }
 
-// Dispatched records that a request was sent to its upstream.
-func (m *Machine) Dispatched(id core.RequestID) {
+// RecordDispatch records that a request was sent to its upstream.
+func (m *Machine) RecordDispatch(id core.RequestID) {
 	if r := m.entry.requests[id]; r != nil {
 		r.running = true
 	}
 }
 
-// Peer handles a message from another host.
-func (m *Machine) Peer(now core.Instant, own core.Ownership, from core.HostID, msg Message) Result {
+// HandleMessage handles a message from another host.
+func (m *Machine) HandleMessage(now core.Instant, own core.Ownership, from core.HostID, msg Message) Result {
 	return m.step(now, own, func() { m.receive(from, msg) })
 }
 
@@ -131,8 +131,8 @@
 	return m.step(now, own, func() { m.orderDone(d) })
 }
 
-// Learned handles a residency that another host published.
-func (m *Machine) Learned(now core.Instant, own core.Ownership, r Residency) Result {
+// ReceiveResidency handles a residency that another host published.
+func (m *Machine) ReceiveResidency(now core.Instant, own core.Ownership, r Residency) Result {
 	return m.step(now, own, func() { m.receiveResidency(r) })
 }
 
@@ -149,17 +149,17 @@
 	})
 }
 
-// Leaving replaces the platform's list of leaving upstreams. The list lags; the
+// SetLeavingUpstreams replaces the platform's list of leaving upstreams. The list lags; the
 // configuration and an upstream's own report count as well.
-func (m *Machine) Leaving(now core.Instant, own core.Ownership, upstreams []core.UpstreamID) Result {
+func (m *Machine) SetLeavingUpstreams(now core.Instant, own core.Ownership, upstreams []core.UpstreamID) Result {
 	return m.step(now, own, func() {
 		m.view.setLeaving(upstreams)
 		m.configureOwned()
 	})
 }
 
-// Polls lists the upstreams that this host has to poll, sorted by ID.
-func (m *Machine) Polls() []core.UpstreamID {
+// OwnedUpstreams lists the upstreams that this host has to poll, sorted by ID.
+func (m *Machine) OwnedUpstreams() []core.UpstreamID {
 	ids := make([]core.UpstreamID, 0, len(m.owned.list))
 	for _, o := range m.owned.list {
 		ids = append(ids, o.id)
@@ -179,31 +179,31 @@
 }
 
 func (m *Machine) logDecision(name, reason string) {
-	m.result.Notes = append(m.result.Notes, Note{Name: name, Reason: reason})
+	m.result.LogEntries = append(m.result.LogEntries, LogEntry{Name: name, Reason: reason})
 }
 
 func (m *Machine) receive(from core.HostID, msg Message) {
 	switch {
-	case msg.Ask != nil:
-		m.receiveTicketRequest(from, *msg.Ask)
-	case msg.Answer != nil:
-		m.receiveTicketReply(from, *msg.Answer)
+	case msg.TicketRequest != nil:
+		m.receiveTicketRequest(from, *msg.TicketRequest)
+	case msg.TicketReply != nil:
+		m.receiveTicketReply(from, *msg.TicketReply)
 	case msg.Release != nil:
 		m.receiveRelease(from, *msg.Release)
-	case msg.Hold != nil:
-		m.receiveOutstandingList(from, *msg.Hold)
-	case msg.Want != nil:
-		m.receiveLoadRequest(from, *msg.Want)
-	case msg.Wanted != nil:
-		m.receiveLoadReply(*msg.Wanted)
-	case msg.Load != nil:
-		m.receiveLoad(from, *msg.Load)
+	case msg.Outstanding != nil:
+		m.receiveOutstandingList(from, *msg.Outstanding)
+	case msg.LoadRequest != nil:
+		m.receiveLoadRequest(from, *msg.LoadRequest)
+	case msg.LoadReply != nil:
+		m.receiveLoadReply(*msg.LoadReply)
+	case msg.LoadOrder != nil:
+		m.receiveLoad(from, *msg.LoadOrder)
 	case msg.LoadDone != nil:
 		m.receiveLoadDone(*msg.LoadDone)
-	case msg.Loading != nil:
-		m.receiveLoading(from, *msg.Loading)
-	case msg.Spread != nil:
-		m.receiveReplicaRequest(*msg.Spread)
+	case msg.LoadReport != nil:
+		m.receiveLoading(from, *msg.LoadReport)
+	case msg.ReplicaRequest != nil:
+		m.receiveReplicaRequest(*msg.ReplicaRequest)
 	}
 }
 
--- a/internal/core/placement/owner.go
+++ b/internal/core/placement/owner.go
@@ -13,7 +13,7 @@
 
 // queuedRequest is a ticket request that waits at the owner.
 type queuedRequest struct {
-	AskMessage
+	TicketRequestMessage
 	from     core.HostID
 	received core.Instant
 }
@@ -100,7 +100,7 @@
 		pins:           map[core.RequestID]*pin{},
 		ticketRequests: map[core.RequestID]*queuedRequest{},
 		loadJobs:       map[core.AdapterRef]*loadJob{},
-		queue:          admission.NewQueue(admission.QueueSettings{MaxItems: m.settings.QueueLimit}),
+		queue:          admission.NewQueue(admission.QueueSettings{MaxItems: m.settings.MaxQueued}),
 		health:         health.NewTracker(health.Settings{}),
 	}
 	if g, ok := m.ownership.Acting(m.now, shard); ok {
@@ -147,52 +147,52 @@
 
 // receiveTicketRequest handles a ticket request or a restatement. Invariant:
 // one pin per request, however often the message arrives.
-func (m *Machine) receiveTicketRequest(from core.HostID, a AskMessage) {
+func (m *Machine) receiveTicketRequest(from core.HostID, a TicketRequestMessage) {
 	o := m.owned.byID[a.Upstream]
 	if o == nil || !m.ownership.Serving(m.now, o.shard) {
-		m.reply(nil, from, &a, AnswerNotOwner)
+		m.reply(nil, from, &a, ReplyNotOwner)
 		return
 	}
 	if p := o.pins[a.Request]; p != nil {
 		if a.Seq < p.seq {
 			return // late message of an earlier attempt
 		}
-		if a.Seq == p.seq || a.Running {
+		if a.Seq == p.seq || a.Restated {
 			p.seq, p.lastConfirmed, p.entryLost = a.Seq, m.now, false
-			m.reply(o, from, &a, AnswerTicket)
+			m.reply(o, from, &a, ReplyTicket)
 			return
 		}
-		m.unpin(o, a.Request, End{NotReached: true})
+		m.unpin(o, a.Request, TicketEnd{NotReached: true})
 	}
-	if a.Running {
+	if a.Restated {
 		m.pin(o, from, &a, queueItem(from, &a, m.now))
-		m.reply(o, from, &a, AnswerTicket)
+		m.reply(o, from, &a, ReplyTicket)
 		return
 	}
 	if q := o.ticketRequests[a.Request]; q != nil {
 		if a.Seq >= q.Seq {
-			q.AskMessage, q.from, q.received = a, from, m.now
+			q.TicketRequestMessage, q.from, q.received = a, from, m.now
 		}
 		return
 	}
 	m.enqueue(o, from, a)
 }
 
-func (m *Machine) enqueue(o *ownedUpstream, from core.HostID, a AskMessage) {
+func (m *Machine) enqueue(o *ownedUpstream, from core.HostID, a TicketRequestMessage) {
 	if m.isLeaving(o) {
-		m.reply(o, from, &a, AnswerLeaving)
+		m.reply(o, from, &a, ReplyLeaving)
 		return
 	}
 	if s := o.slots[a.Adapter]; s != nil && !a.Counted {
-		s.countRequest(m.now, m.settings.HalfLife)
+		s.countRequest(m.now, m.settings.PopularityHalfLife)
 	}
 	if o.reported && !m.residentOrLoading(o, a.Adapter) {
-		m.reply(o, from, &a, AnswerNotResident)
+		m.reply(o, from, &a, ReplyNotLoaded)
 		return
 	}
-	o.ticketRequests[a.Request] = &queuedRequest{AskMessage: a, from: from, received: m.now}
+	o.ticketRequests[a.Request] = &queuedRequest{TicketRequestMessage: a, from: from, received: m.now}
 	for _, shed := range o.queue.Push(m.now, queueItem(from, &a, m.now)) {
-		m.replyQueued(o, shed.Request, AnswerOverloaded)
+		m.replyQueued(o, shed.Request, ReplyOverloaded)
 	}
 	m.issueTickets(o)
 }
@@ -207,32 +207,32 @@
 	return s != nil && (s.state == resident || s.state == loading)
 }
 
-func queueItem(from core.HostID, a *AskMessage, now core.Instant) admission.Item {
+func queueItem(from core.HostID, a *TicketRequestMessage, now core.Instant) admission.Item {
 	return admission.Item{
 		Request: a.Request, Entry: from, Workspace: a.Workspace, Weight: a.Weight,
 		Class: a.Class, Cost: a.Cost, Adapter: a.Adapter, Deadline: now.Add(a.Remaining),
 	}
 }
 
-func (m *Machine) reply(o *ownedUpstream, to core.HostID, a *AskMessage, k AnswerKind) {
-	msg := AnswerMessage{Request: a.Request, Seq: a.Seq, Upstream: a.Upstream, Kind: k, Sent: a.Sent}
+func (m *Machine) reply(o *ownedUpstream, to core.HostID, a *TicketRequestMessage, k ReplyKind) {
+	msg := TicketReplyMessage{Request: a.Request, Seq: a.Seq, Upstream: a.Upstream, Kind: k, Sent: a.Sent}
 	if o != nil {
 		msg.Load = m.currentLoad(o)
 		msg.Fence = o.fence
 	}
-	if k == AnswerTicket {
-		msg.Valid = m.settings.Validity
+	if k == ReplyTicket {
+		msg.TTL = m.settings.TicketTTL
 	}
-	m.send(to, Message{Answer: &msg})
+	m.send(to, Message{TicketReply: &msg})
 }
 
-func (m *Machine) replyQueued(o *ownedUpstream, id core.RequestID, k AnswerKind) {
+func (m *Machine) replyQueued(o *ownedUpstream, id core.RequestID, k ReplyKind) {
 	q := o.ticketRequests[id]
 	if q == nil {
 		return
 	}
 	delete(o.ticketRequests, id)
-	m.reply(o, q.from, &q.AskMessage, k)
+	m.reply(o, q.from, &q.TicketRequestMessage, k)
 }
 
 func (m *Machine) currentLoad(o *ownedUpstream) int { return m.occupiedPlaces(o) + o.queue.Len() }
@@ -279,12 +279,12 @@
 			return
 		}
 		q := o.ticketRequests[it.Request]
-		if m.now.Sub(q.received) >= m.settings.Validity {
+		if m.now.Sub(q.received) >= m.settings.TicketTTL {
 			delete(o.ticketRequests, it.Request)
 			continue
 		}
-		m.pin(o, q.from, &q.AskMessage, it)
-		m.replyQueued(o, it.Request, AnswerTicket)
+		m.pin(o, q.from, &q.TicketRequestMessage, it)
+		m.replyQueued(o, it.Request, ReplyTicket)
 		room--
 	}
 }
@@ -316,7 +316,7 @@
 			delete(o.ticketRequests, it.Request) // its entry host refuses it by its own clock
 		}
 		for _, p := range o.pins {
-			p.entryLost = p.entryLost || m.now.Sub(p.lastConfirmed) >= m.settings.Silence
+			p.entryLost = p.entryLost || m.now.Sub(p.lastConfirmed) >= m.settings.EntryTimeout
 		}
 		m.expireLoadJobs(o)
 		m.issueTickets(o)
@@ -365,8 +365,8 @@
 		o.seq++
 		o.lastPublished, o.publishedLoad = m.now, m.currentLoad(o)
 		r := m.residency(o)
-		o.publishedFull = r.Free <= 0 && len(r.Victims) == 0
-		o.publishedScarce = r.Free+len(r.Victims) < maxPublishedVictims
+		o.publishedFull = r.FreeSlots <= 0 && len(r.EvictionCosts) == 0
+		o.publishedScarce = r.FreeSlots+len(r.EvictionCosts) < maxPublishedVictims
 		m.result.Publish = append(m.result.Publish, r)
 		m.applyResidency(r)
 	}
--- a/internal/core/placement/pins.go
+++ b/internal/core/placement/pins.go
@@ -29,21 +29,21 @@
 	o.slots[s.adapter] = s
 }
 
-func (m *Machine) pin(o *ownedUpstream, from core.HostID, a *AskMessage, it admission.Item) {
+func (m *Machine) pin(o *ownedUpstream, from core.HostID, a *TicketRequestMessage, it admission.Item) {
 	o.pins[a.Request] = &pin{from: from, seq: a.Seq, adapter: a.Adapter, item: it, lastConfirmed: m.now}
 	if s := o.slots[a.Adapter]; s != nil {
 		s.pins++
 	}
 }
 
-func (m *Machine) unpin(o *ownedUpstream, id core.RequestID, e End) {
+func (m *Machine) unpin(o *ownedUpstream, id core.RequestID, e TicketEnd) {
 	p := o.pins[id]
 	delete(o.pins, id)
 	if s := o.slots[p.adapter]; s != nil {
 		s.pins--
 	}
-	if e.Used > 0 || e.NotReached {
-		o.queue.CorrectCharge(p.item.Workspace, p.item.ChargedClass, p.item.Cost, e.Used)
+	if e.TokensUsed > 0 || e.NotReached {
+		o.queue.CorrectCharge(p.item.Workspace, p.item.ChargedClass, p.item.Cost, e.TokensUsed)
 	}
 }
 
@@ -61,7 +61,7 @@
 		return
 	}
 	m.unpin(o, r.Request, r.End)
-	if r.End.Missing {
+	if r.End.AdapterMissing {
 		m.markUncertain(o, p.adapter, "the engine did not have it loaded")
 	}
 	if !r.End.NotReached || r.End.Crashed {
@@ -74,26 +74,26 @@
 
 // receiveOutstandingList compares an entry host's list of outstanding requests
 // with the pins and queued requests that this host has from it.
-func (m *Machine) receiveOutstandingList(from core.HostID, h HoldMessage) {
+func (m *Machine) receiveOutstandingList(from core.HostID, h OutstandingMessage) {
 	known := make(map[core.RequestID]bool, len(h.Requests))
 	for _, o := range m.owned.list {
 		m.reconcileOutstanding(o, from, h, known)
 	}
 	for _, id := range h.Requests {
 		if !known[id] {
-			m.send(from, Message{Answer: &AnswerMessage{Request: id, Kind: AnswerUnknown}})
+			m.send(from, Message{TicketReply: &TicketReplyMessage{Request: id, Kind: ReplyUnknownRequest}})
 		}
 	}
 }
 
-func (m *Machine) reconcileOutstanding(o *ownedUpstream, from core.HostID, h HoldMessage, known map[core.RequestID]bool) {
+func (m *Machine) reconcileOutstanding(o *ownedUpstream, from core.HostID, h OutstandingMessage, known map[core.RequestID]bool) {
 	var ended []core.RequestID
 	for id, p := range o.pins {
 		if p.from != from {
 			continue
 		}
 		known[id] = true
-		if p.seq > h.Upto {
+		if p.seq > h.MaxSeq {
 			continue
 		}
 		if _, listed := slices.BinarySearch(h.Requests, id); listed {
@@ -107,13 +107,13 @@
 			continue
 		}
 		known[id] = true
-		if _, listed := slices.BinarySearch(h.Requests, id); q.Seq <= h.Upto && !listed {
+		if _, listed := slices.BinarySearch(h.Requests, id); q.Seq <= h.MaxSeq && !listed {
 			delete(o.ticketRequests, id)
 			o.queue.Remove(id)
 		}
 	}
 	for _, id := range ended {
-		m.unpin(o, id, End{})
+		m.unpin(o, id, TicketEnd{})
 		m.logDecision("pin.settled", "the release of its ticket was lost")
 	}
 	if len(ended) > 0 {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -27,7 +27,7 @@
 	is.Equal(loads, 1)
 	for i, id := range []core.RequestID{"r0", "r1", "r2"} {
 		is.True(f.start(f.hosts[i], id))
-		is.True(f.decisions[id].Ticket.Stalled)
+		is.True(f.decisions[id].Ticket.WaitedForLoad)
 	}
 	is.Equal(len(f.violations), 0)
 }
@@ -41,7 +41,7 @@
 	f.ask("h2", "r1", ref(1))
 	f.run(10 * time.Millisecond)
 	is.True(f.start("h2", "r1"))
-	is.True(!f.decisions["r1"].Ticket.Stalled)
+	is.True(!f.decisions["r1"].Ticket.WaitedForLoad)
 }
 
 func TestPinnedAdaptersAreNotEvictedAndReleasedOnesAre(t *testing.T) {
@@ -55,7 +55,7 @@
 	f.run(3 * time.Second)
 	_, decided := f.decisions["r1"]
 	is.True(!decided) // the only slot is pinned
-	f.end("h0", "r0", End{OK: true})
+	f.end("h0", "r0", TicketEnd{OK: true})
 	f.run(2 * time.Second)
 	is.True(f.start("h1", "r1"))
 	is.Equal(len(f.violations), 0)
--- a/internal/core/placement/popularity.go
+++ b/internal/core/placement/popularity.go
@@ -39,7 +39,7 @@
 
 // setPopularity stores the popularity reported for an adapter that is not
 // loaded or needs a replica.
-func (l *loader) setPopularity(p Popular, pool string, now core.Instant) {
+func (l *loader) setPopularity(p AdapterPopularity, pool string, now core.Instant) {
 	l.popularity[p.Adapter] = adapterPopularity{score: p.Score, updated: now, lastRequest: now.Add(-p.Idle), pool: pool}
 }
 
@@ -50,17 +50,17 @@
 	if !ok {
 		return 0
 	}
-	return core.Decay(p.score, m.now.Sub(p.updated), m.settings.HalfLife)
+	return core.Decay(p.score, m.now.Sub(p.updated), m.settings.PopularityHalfLife)
 }
 
 // receiveReplicaRequest handles an owner's request for a further replica of an
 // adapter that is too busy for one upstream.
-func (m *Machine) receiveReplicaRequest(s SpreadMessage) {
+func (m *Machine) receiveReplicaRequest(s ReplicaRequestMessage) {
 	l := m.loader
 	if l == nil || l.candidates[s.Adapter] != nil {
 		return
 	}
-	l.setPopularity(Popular{Adapter: s.Adapter, Score: s.Score}, s.Pool, m.now)
+	l.setPopularity(AdapterPopularity{Adapter: s.Adapter, Score: s.Score}, s.Pool, m.now)
 	m.addBackground(s.Adapter, s.Pool)
 }
 
@@ -95,7 +95,7 @@
 	var best core.AdapterRef
 	highest := minPrefetchScore
 	for a, p := range m.loader.popularity {
-		score := min(m.absentPopularity(a), maxIdleScore(m.now.Sub(p.lastRequest), m.settings.HalfLife))
+		score := min(m.absentPopularity(a), maxIdleScore(m.now.Sub(p.lastRequest), m.settings.PopularityHalfLife))
 		better := score > highest || (score == highest && compareRefs(a, best) < 0)
 		if better && len(m.view.loadedOn[a]) == 0 {
 			best, highest = a, score
@@ -118,7 +118,7 @@
 
 // handoffPopularity is the popularity of one adapter in a handoff.
 type handoffPopularity struct {
-	Popular
+	AdapterPopularity
 	Pool string `cbor:"4,keyasint"`
 }
 
@@ -132,8 +132,8 @@
 	}
 	all := make([]handoffPopularity, 0, len(l.popularity))
 	for a, p := range l.popularity {
-		score := core.Decay(p.score, now.Sub(p.updated), m.settings.HalfLife)
-		all = append(all, handoffPopularity{Popular{Adapter: a, Score: score, Idle: now.Sub(p.lastRequest)}, p.pool})
+		score := core.Decay(p.score, now.Sub(p.updated), m.settings.PopularityHalfLife)
+		all = append(all, handoffPopularity{AdapterPopularity{Adapter: a, Score: score, Idle: now.Sub(p.lastRequest)}, p.pool})
 	}
 	slices.SortFunc(all, func(x, y handoffPopularity) int {
 		if c := cmp.Compare(y.Score, x.Score); c != 0 {
@@ -158,7 +158,7 @@
 	}
 	for _, p := range all {
 		if _, known := m.loader.popularity[p.Adapter]; !known {
-			m.loader.setPopularity(p.Popular, p.Pool, m.now)
+			m.loader.setPopularity(p.AdapterPopularity, p.Pool, m.now)
 		}
 	}
 }
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -46,8 +46,8 @@
 	}
 	o.saturatedSince = m.now.Add(replicaInterval - replicaDelay)
 	m.logDecision("replica.wanted", s.adapter.String()+" saturates "+string(o.id))
-	m.send(loader, Message{Spread: &SpreadMessage{
-		Adapter: s.adapter, Pool: o.config.Pool, Score: s.popularity(m.now, m.settings.HalfLife),
+	m.send(loader, Message{ReplicaRequest: &ReplicaRequestMessage{
+		Adapter: s.adapter, Pool: o.config.Pool, Score: s.popularity(m.now, m.settings.PopularityHalfLife),
 	}})
 }
 
@@ -74,7 +74,7 @@
 		for _, id := range slices.Sorted(maps.Keys(o.ticketRequests)) {
 			if o.ticketRequests[id].Adapter == a {
 				o.queue.Remove(id)
-				m.replyQueued(o, id, AnswerElsewhere)
+				m.replyQueued(o, id, ReplyOtherReplica)
 			}
 		}
 	}
--- a/internal/core/placement/report.go
+++ b/internal/core/placement/report.go
@@ -19,7 +19,7 @@
 	if o == nil || r.Sent.Before(o.ownedSince) {
 		return
 	}
-	if !o.reported && r.Sent <= o.ownedSince.Add(m.settings.OrderLinger) {
+	if !o.reported && r.Sent <= o.ownedSince.Add(m.settings.MaxOrderDelay) {
 		return // an order of a former owner may still arrive
 	}
 	before := o.health.Ejected()
@@ -76,7 +76,7 @@
 // applyListed applies a report's entry for a loaded adapter.
 func (m *Machine) applyListed(o *ownedUpstream, r core.UpstreamReport, a core.AdapterRef) {
 	if at, ok := o.removedAt[a]; ok {
-		if r.Sent.Before(at.Add(m.settings.ReportLag)) {
+		if r.Sent.Before(at.Add(m.settings.MaxReportLag)) {
 			return
 		}
 		delete(o.removedAt, a)
@@ -88,7 +88,7 @@
 		s.setState(resident, m.now)
 		o.addSlot(s)
 		o.publishNow = true
-	case s.state == uncertain && r.Sent > s.stateSince.Add(m.settings.OrderLinger+m.settings.ReportLag):
+	case s.state == uncertain && r.Sent > s.stateSince.Add(m.settings.MaxOrderDelay+m.settings.MaxReportLag):
 		s.setState(resident, m.now)
 		o.publishNow = true
 	}
@@ -96,9 +96,9 @@
 
 // applyUnlisted applies an adapter's absence from a report.
 func (m *Machine) applyUnlisted(o *ownedUpstream, r core.UpstreamReport, s *slot) {
-	settled := s.stateSince.Add(m.settings.ReportLag)
+	settled := s.stateSince.Add(m.settings.MaxReportLag)
 	if s.state == uncertain {
-		settled = settled.Add(m.settings.OrderLinger)
+		settled = settled.Add(m.settings.MaxOrderDelay)
 	}
 	if r.Sent.Before(settled) || (s.state != resident && s.state != uncertain) {
 		return
@@ -134,7 +134,7 @@
 		}
 		return
 	}
-	guard := o.ownedSince.Add(m.settings.evictionGuard() + m.settings.ReportLag)
+	guard := o.ownedSince.Add(m.settings.evictionGuard() + m.settings.MaxReportLag)
 	if _, acting := m.ownership.Acting(m.now, o.shard); !acting || r.Sent.Before(guard) {
 		return
 	}
@@ -148,12 +148,12 @@
 // a later report shows nothing running on the adapter. Invariant: no adapter
 // stays pinned for ever (Settings.StuckBound).
 func (m *Machine) clearLostPins(o *ownedUpstream, r core.UpstreamReport, running map[core.AdapterRef]int) {
-	grace := m.settings.evictionGuard() + m.settings.ReportLag
+	grace := m.settings.evictionGuard() + m.settings.MaxReportLag
 	for id, p := range o.pins {
 		if !p.entryLost || r.Sent.Before(p.lastConfirmed.Add(grace)) || running[p.adapter] > 0 {
 			continue
 		}
-		m.unpin(o, id, End{})
+		m.unpin(o, id, TicketEnd{})
 		m.logDecision("pin.cleared", "its entry host is lost and its adapter idle")
 	}
 }
@@ -172,7 +172,7 @@
 func (m *Machine) rejectWaiting(o *ownedUpstream) {
 	for _, id := range slices.Sorted(maps.Keys(o.ticketRequests)) {
 		o.queue.Remove(id)
-		m.replyQueued(o, id, AnswerLeaving)
+		m.replyQueued(o, id, ReplyLeaving)
 	}
 }
 
@@ -182,7 +182,7 @@
 	for _, id := range slices.Sorted(maps.Keys(o.ticketRequests)) {
 		if !m.residentOrLoading(o, o.ticketRequests[id].Adapter) {
 			o.queue.Remove(id)
-			m.replyQueued(o, id, AnswerNotResident)
+			m.replyQueued(o, id, ReplyNotLoaded)
 		}
 	}
 }
--- a/internal/core/placement/result.go
+++ b/internal/core/placement/result.go
@@ -2,8 +2,8 @@
 
 import "gentiancroft/internal/core"
 
-// Ask is a request that needs an upstream.
-type Ask struct {
+// PlacementRequest is a request that needs an upstream.
+type PlacementRequest struct {
 	Request   core.RequestID
 	Pool      string
 	Adapter   core.AdapterRef // zero for a plain service
@@ -20,11 +20,11 @@
 // Ticket is the right to dispatch one request to one upstream. Check
 // that it is still valid immediately before the dispatch.
 type Ticket struct {
-	Upstream core.UpstreamID
-	Address  string // ip:port
-	Adapter  core.AdapterRef
-	Grant    core.Grant // Until is by this host's clock
-	Stalled  bool       // the request waited for a load
+	Upstream      core.UpstreamID
+	Address       string // ip:port
+	Adapter       core.AdapterRef
+	Grant         core.Grant // Until is by this host's clock
+	WaitedForLoad bool       // the request waited for a load
 }
 
 // Decision ends a placement: exactly one of Ticket and Refusal is set.
@@ -34,8 +34,8 @@
 	Refusal *core.Refusal
 }
 
-// Note is a decision log entry, also counted as a metric.
-type Note struct {
+// LogEntry is a decision log entry, also counted as a metric.
+type LogEntry struct {
 	Name   string // the metric's name, without its prefix
 	Reason string
 }
@@ -44,17 +44,17 @@
 // slots, load and health. Of two, that with the higher Fence, then the higher
 // Seq, is newer.
 type Residency struct {
-	Upstream core.UpstreamID   `cbor:"1,keyasint"`
-	Fence    core.Fence        `cbor:"2,keyasint"`
-	Seq      uint64            `cbor:"3,keyasint"`
-	Adapters []Popular         `cbor:"4,keyasint"` // loaded
-	Loading  []core.AdapterRef `cbor:"5,keyasint,omitempty"`
-	Free     int               `cbor:"6,keyasint"`           // empty slots
-	Victims  []float64         `cbor:"7,keyasint,omitempty"` // lowest eviction costs, ascending
-	Load     int               `cbor:"8,keyasint"`           // requests running and waiting
-	Suspect  bool              `cbor:"9,keyasint,omitempty"`
-	Leaving  bool              `cbor:"10,keyasint,omitempty"`
-	Warmth   float64           `cbor:"11,keyasint"` // fraction of a full load it may take, in (0, 1]
+	Upstream        core.UpstreamID     `cbor:"1,keyasint"`
+	Fence           core.Fence          `cbor:"2,keyasint"`
+	Seq             uint64              `cbor:"3,keyasint"`
+	Adapters        []AdapterPopularity `cbor:"4,keyasint"` // loaded
+	Loading         []core.AdapterRef   `cbor:"5,keyasint,omitempty"`
+	FreeSlots       int                 `cbor:"6,keyasint"`           // empty slots
+	EvictionCosts   []float64           `cbor:"7,keyasint,omitempty"` // lowest eviction costs, ascending
+	Load            int                 `cbor:"8,keyasint"`           // requests running and waiting
+	Suspect         bool                `cbor:"9,keyasint,omitempty"`
+	Leaving         bool                `cbor:"10,keyasint,omitempty"`
+	SlowStartWeight float64             `cbor:"11,keyasint"` // fraction of a full load it may take, in (0, 1]
 }
 
 // Newer reports whether r replaces o.
@@ -68,8 +68,8 @@
 // Result is the effects of one event.
 type Result struct {
 	core.Output[Message]
-	Orders    []core.AdapterOrder
-	Decisions []Decision
-	Publish   []Residency
-	Notes     []Note
+	Orders     []core.AdapterOrder
+	Decisions  []Decision
+	Publish    []Residency
+	LogEntries []LogEntry
 }
--- a/internal/core/placement/settings.go
+++ b/internal/core/placement/settings.go
@@ -25,20 +25,20 @@
 // Settings of one host's placement. Zero and negative values are replaced by
 // defaults.
 type Settings struct {
-	Self      core.HostID
-	Domain    core.Domain
-	StoreRate float64 // adapter loads per second that the weight store allows
-	InTransit int     // maximum number of loads under way
+	Self              core.HostID
+	Domain            core.Domain
+	MaxLoadsPerSecond float64 // adapter loads per second that the weight store allows
+	MaxInFlightLoads  int     // maximum number of loads under way
 
-	Validity    time.Duration // of a ticket, from the send time of its request
-	OrderLinger time.Duration // longest time until an order or a dispatch arrives
-	ReportLag   time.Duration // longest time that a report is older than its poll
-	Repeat      time.Duration // retry interval of unanswered messages
-	HoldEvery   time.Duration // interval of lists of outstanding requests to an owner
-	Silence     time.Duration // timeout after which the entry host of a pin counts as lost
-	LoadTimeout time.Duration // of one load order
-	HalfLife    time.Duration // half-life of the popularity
-	QueueLimit  int           // maximum number of requests waiting at one upstream
+	TicketTTL           time.Duration // of a ticket, from the send time of its request
+	MaxOrderDelay       time.Duration // longest time until an order or a dispatch arrives
+	MaxReportLag        time.Duration // longest time that a report is older than its poll
+	RetryInterval       time.Duration // retry interval of unanswered messages
+	OutstandingInterval time.Duration // interval of lists of outstanding requests to an owner
+	EntryTimeout        time.Duration // timeout after which the entry host of a pin counts as lost
+	LoadTimeout         time.Duration // of one load order
+	PopularityHalfLife  time.Duration // half-life of the popularity
+	MaxQueued           int           // maximum number of requests waiting at one upstream
 }
 
 // Defaults of the settings.
@@ -64,29 +64,29 @@
 }
 
 func (s Settings) withDefaults() Settings {
-	s.StoreRate = orDefault(s.StoreRate, defaultStoreRate)
-	s.InTransit = orDefault(s.InTransit, defaultMaxInFlightLoads)
-	s.Validity = orDefault(s.Validity, defaultTicketTTL)
-	s.OrderLinger = orDefault(s.OrderLinger, defaultMaxOrderDelay)
-	s.ReportLag = orDefault(s.ReportLag, defaultMaxReportLag)
-	s.Repeat = orDefault(s.Repeat, defaultRetryInterval)
-	s.HoldEvery = orDefault(s.HoldEvery, defaultOutstandingInterval)
-	s.Silence = orDefault(s.Silence, defaultEntryTimeout)
+	s.MaxLoadsPerSecond = orDefault(s.MaxLoadsPerSecond, defaultStoreRate)
+	s.MaxInFlightLoads = orDefault(s.MaxInFlightLoads, defaultMaxInFlightLoads)
+	s.TicketTTL = orDefault(s.TicketTTL, defaultTicketTTL)
+	s.MaxOrderDelay = orDefault(s.MaxOrderDelay, defaultMaxOrderDelay)
+	s.MaxReportLag = orDefault(s.MaxReportLag, defaultMaxReportLag)
+	s.RetryInterval = orDefault(s.RetryInterval, defaultRetryInterval)
+	s.OutstandingInterval = orDefault(s.OutstandingInterval, defaultOutstandingInterval)
+	s.EntryTimeout = orDefault(s.EntryTimeout, defaultEntryTimeout)
 	s.LoadTimeout = orDefault(s.LoadTimeout, defaultLoadTimeout)
-	s.HalfLife = orDefault(s.HalfLife, defaultHalfLife)
-	s.QueueLimit = orDefault(s.QueueLimit, defaultQueueLimit)
+	s.PopularityHalfLife = orDefault(s.PopularityHalfLife, defaultHalfLife)
+	s.MaxQueued = orDefault(s.MaxQueued, defaultQueueLimit)
 	return s
 }
 
 // evictionGuard is how long a new owner of an upstream evicts nothing: by then
 // every ticket of a former owner has expired or its request has reached the
 // upstream.
-func (s Settings) evictionGuard() time.Duration { return s.Validity + s.OrderLinger }
+func (s Settings) evictionGuard() time.Duration { return s.TicketTTL + s.MaxOrderDelay }
 
 // StuckBound returns the longest time that a pin outlives both the last message
 // of its entry host and the end of its request at the upstream, given a report
 // every pollEvery.
 func (s Settings) StuckBound(pollEvery time.Duration) time.Duration {
 	s = s.withDefaults()
-	return s.Silence + s.evictionGuard() + s.ReportLag + pollEvery
+	return s.EntryTimeout + s.evictionGuard() + s.MaxReportLag + pollEvery
 }
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -45,8 +45,8 @@
 	s.lastRequest = now
 }
 
-func (m *Machine) popularityOf(s *slot) Popular {
-	return Popular{Adapter: s.adapter, Score: s.popularity(m.now, m.settings.HalfLife), Idle: m.now.Sub(s.lastRequest)}
+func (m *Machine) popularityOf(s *slot) AdapterPopularity {
+	return AdapterPopularity{Adapter: s.adapter, Score: s.popularity(m.now, m.settings.PopularityHalfLife), Idle: m.now.Sub(s.lastRequest)}
 }
 
 // replicaDiscount is the factor on an adapter's eviction cost while another
@@ -63,8 +63,8 @@
 // evictionCost returns the adapter's popularity, bounded by maxIdleScore and
 // discounted while another upstream has it loaded too.
 func (m *Machine) evictionCost(o *ownedUpstream, s *slot) float64 {
-	cost := s.popularity(m.now, m.settings.HalfLife)
-	cost = min(cost, maxIdleScore(m.now.Sub(s.lastRequest), m.settings.HalfLife))
+	cost := s.popularity(m.now, m.settings.PopularityHalfLife)
+	cost = min(cost, maxIdleScore(m.now.Sub(s.lastRequest), m.settings.PopularityHalfLife))
 	if len(m.view.loadedOn[s.adapter]) > 1 {
 		cost *= replicaDiscount
 	}
@@ -111,8 +111,8 @@
 func (m *Machine) residency(o *ownedUpstream) Residency {
 	r := Residency{
 		Upstream: o.id, Fence: o.fence, Seq: o.seq,
-		Load: o.publishedLoad, Suspect: o.health.Ejected(), Leaving: m.isLeaving(o), Warmth: o.health.SlowStartWeight(m.now),
-		Free: o.config.Slots - len(o.slots),
+		Load: o.publishedLoad, Suspect: o.health.Ejected(), Leaving: m.isLeaving(o), SlowStartWeight: o.health.SlowStartWeight(m.now),
+		FreeSlots: o.config.Slots - len(o.slots),
 	}
 	for _, s := range o.slots {
 		switch s.state {
@@ -122,12 +122,12 @@
 			r.Loading = append(r.Loading, s.adapter)
 		}
 		if m.evictable(o, s) {
-			r.Victims = append(r.Victims, m.evictionCost(o, s))
+			r.EvictionCosts = append(r.EvictionCosts, m.evictionCost(o, s))
 		}
 	}
-	slices.SortFunc(r.Adapters, func(a, b Popular) int { return compareRefs(a.Adapter, b.Adapter) })
+	slices.SortFunc(r.Adapters, func(a, b AdapterPopularity) int { return compareRefs(a.Adapter, b.Adapter) })
 	slices.SortFunc(r.Loading, compareRefs)
-	slices.Sort(r.Victims)
-	r.Victims = slices.Clip(r.Victims[:min(len(r.Victims), maxPublishedVictims)])
+	slices.Sort(r.EvictionCosts)
+	r.EvictionCosts = slices.Clip(r.EvictionCosts[:min(len(r.EvictionCosts), maxPublishedVictims)])
 	return r
 }
--- a/internal/core/placement/target.go
+++ b/internal/core/placement/target.go
@@ -61,14 +61,14 @@
 			taken++
 		}
 	}
-	if taken < x.Free {
+	if taken < x.FreeSlots {
 		return 0, true
 	}
-	i := taken - max(x.Free, 0)
-	if i >= len(x.Victims) || (maxCost >= 0 && x.Victims[i] > maxCost) {
+	i := taken - max(x.FreeSlots, 0)
+	if i >= len(x.EvictionCosts) || (maxCost >= 0 && x.EvictionCosts[i] > maxCost) {
 		return 0, false
 	}
-	return x.Victims[i], true
+	return x.EvictionCosts[i], true
 }
 
 func (m *Machine) domainHasAdapter(a core.AdapterRef, d core.Domain) bool {
--- a/internal/core/placement/view.go
+++ b/internal/core/placement/view.go
@@ -53,7 +53,7 @@
 		u := &s.Document.Upstreams[i]
 		x := old[u.ID]
 		if x == nil {
-			x = &upstreamView{Residency: Residency{Upstream: u.ID, Warmth: 1}}
+			x = &upstreamView{Residency: Residency{Upstream: u.ID, SlowStartWeight: 1}}
 		}
 		x.config = u
 		v.upstreams[u.ID] = x
@@ -68,7 +68,7 @@
 
 // apply replaces an upstream's residency if r is newer and returns the adapters
 // it adds and removes.
-func (v *view) apply(r Residency) (added []core.AdapterRef, removed []Popular) {
+func (v *view) apply(r Residency) (added []core.AdapterRef, removed []AdapterPopularity) {
 	x := v.upstreams[r.Upstream]
 	if x == nil || !r.Newer(x.Residency) {
 		return nil, nil
@@ -79,7 +79,7 @@
 	x.reportedLoad, x.ownAtReport = r.Load, x.ownRequests
 	for _, a := range r.Adapters {
 		v.loadedOn[a.Adapter] = append(v.loadedOn[a.Adapter], x)
-		if !slices.ContainsFunc(before, func(p Popular) bool { return p.Adapter == a.Adapter }) {
+		if !slices.ContainsFunc(before, func(p AdapterPopularity) bool { return p.Adapter == a.Adapter }) {
 			added = append(added, a.Adapter)
 		}
 	}
@@ -111,7 +111,7 @@
 func (v *view) markAbsent(u core.UpstreamID, a core.AdapterRef) {
 	if x := v.upstreams[u]; x != nil {
 		v.dropAdapter(a, x)
-		x.Adapters = slices.DeleteFunc(slices.Clone(x.Adapters), func(p Popular) bool { return p.Adapter == a })
+		x.Adapters = slices.DeleteFunc(slices.Clone(x.Adapters), func(p AdapterPopularity) bool { return p.Adapter == a })
 	}
 }
 
@@ -123,7 +123,7 @@
 		return
 	}
 	v.loadedOn[a] = append(v.loadedOn[a], x)
-	x.Adapters = append(slices.Clone(x.Adapters), Popular{Adapter: a})
+	x.Adapters = append(slices.Clone(x.Adapters), AdapterPopularity{Adapter: a})
 }
 
 func (v *view) setLeaving(upstreams []core.UpstreamID) {
@@ -150,7 +150,7 @@
 			Domain:          x.config.Domain,
 			Load:            x.estimatedLoad(),
 			Batch:           x.config.Batch,
-			SlowStartWeight: x.Warmth,
+			SlowStartWeight: x.SlowStartWeight,
 			Ejected:         v.ejected(x),
 			Leaving:         x.leaving() || v.listedLeaving[x.Upstream],
 		})
--- a/internal/measure/adapters/placed.go
+++ b/internal/measure/adapters/placed.go
@@ -93,7 +93,7 @@
 	}
 	snapshot := config.NewSnapshot(1, document(d, slots))
 	for i := range d.hosts {
-		s := placement.Settings{Self: p.ids[i], Domain: core.Domain(strconv.Itoa(i % d.domains)), StoreRate: d.storeRate}
+		s := placement.Settings{Self: p.ids[i], Domain: core.Domain(strconv.Itoa(i % d.domains)), MaxLoadsPerSecond: d.storeRate}
 		m := placement.New(s, core.NewRand(seed+uint64(i)))
 		p.machines = append(p.machines, m)
 		p.do(i, m.Configure(p.now(), p.own(i), snapshot))
@@ -123,7 +123,7 @@
 }
 
 func (p *placed) poll(i int) {
-	for _, u := range p.machines[i].Polls() {
+	for _, u := range p.machines[i].OwnedUpstreams() {
 		sent := p.now()
 		r := p.report(u, sent)
 		p.clock.after(2*linkTime, func() { p.do(i, p.machines[i].Report(p.now(), p.own(i), r)) })
@@ -162,7 +162,7 @@
 
 func (p *placed) ask(host int, id core.RequestID) {
 	c := p.calls[id]
-	p.do(host, p.machines[host].Ask(p.now(), p.own(host), placement.Ask{
+	p.do(host, p.machines[host].Place(p.now(), p.own(host), placement.PlacementRequest{
 		Request: id, Pool: "engines", Adapter: refOf(c.adapter), Workspace: c.workspace, Weight: 1,
 		Cost: core.Tokens(meanTokens), Deadline: core.Instant(c.at + patience + time.Hour),
 	}))
@@ -172,7 +172,7 @@
 func (p *placed) do(host int, r placement.Result) {
 	for _, s := range r.Sends {
 		to := slices.Index(p.ids, s.To)
-		p.clock.after(linkTime, func() { p.do(to, p.machines[to].Peer(p.now(), p.own(to), p.ids[host], s.Message)) })
+		p.clock.after(linkTime, func() { p.do(to, p.machines[to].HandleMessage(p.now(), p.own(to), p.ids[host], s.Message)) })
 	}
 	for _, o := range r.Orders {
 		p.order(host, o)
@@ -182,7 +182,7 @@
 		p.clock.after(feedTime, func() {
 			for i := range p.machines {
 				if i != host {
-					p.do(i, p.machines[i].Learned(p.now(), p.own(i), res))
+					p.do(i, p.machines[i].ReceiveResidency(p.now(), p.own(i), res))
 				}
 			}
 		})
@@ -241,24 +241,24 @@
 	}
 	stall := p.clock.now - c.at
 	e := p.engine(d.Ticket.Upstream)
-	p.machines[host].Dispatched(d.Request)
+	p.machines[host].RecordDispatch(d.Request)
 	p.clock.after(linkTime, func() {
 		ok := e.start(c.adapter, c.tokens, func(ok bool) {
 			if !ok {
 				p.score.cut++
 			}
-			p.end(host, d.Request, placement.End{OK: ok, Crashed: !ok, Used: core.Tokens(c.tokens)})
+			p.end(host, d.Request, placement.TicketEnd{OK: ok, Crashed: !ok, TokensUsed: core.Tokens(c.tokens)})
 		})
 		if !ok { // the engine has restarted: not run, so asked again
-			p.do(host, p.machines[host].Release(p.now(), p.own(host), d.Request, placement.End{Missing: true}))
+			p.do(host, p.machines[host].Release(p.now(), p.own(host), d.Request, placement.TicketEnd{AdapterMissing: true}))
 			p.ask(host, d.Request)
 			return
 		}
-		p.score.served(c, p.clock.now, d.Ticket.Stalled, stall)
+		p.score.served(c, p.clock.now, d.Ticket.WaitedForLoad, stall)
 	})
 }
 
-func (p *placed) end(host int, id core.RequestID, e placement.End) {
+func (p *placed) end(host int, id core.RequestID, e placement.TicketEnd) {
 	p.clock.after(linkTime, func() {
 		p.do(host, p.machines[host].Release(p.now(), p.own(host), id, e))
 	})
