--- a/internal/core/feed/faults_test.go
+++ b/internal/core/feed/faults_test.go
@@ -184,7 +184,7 @@
 	is.Equal(ok, false)
 	f.Link = nil
 	f.Run(feed.DefaultRepair + 10*time.Second)
-	is.Equal(isolated.Lease.Lost(), false) // it wrote its own heartbeats meanwhile
+	is.Equal(isolated.Lease.IdentityLost(), false) // it wrote its own heartbeats meanwhile
 	_, ok = isolated.Feed.Get(k)
 	is.True(ok)
 }
--- a/internal/core/lease/calls.go
+++ b/internal/core/lease/calls.go
@@ -66,8 +66,8 @@
 		f.failures, f.retryAt = 0, now
 		return k, true
 	}
-	wait := s.BackoffMin << min(f.failures, 6)
-	wait = min(wait, s.BackoffMax)
+	wait := s.MinBackoff << min(f.failures, 6)
+	wait = min(wait, s.MaxBackoff)
 	f.failures++
 	f.retryAt = now.Add(time.Duration(rng.Jitter(int64(wait))))
 	return k, true
--- a/internal/core/lease/change.go
+++ b/internal/core/lease/change.go
@@ -48,12 +48,12 @@
 	case m.leaving:
 		next.markLeaving(m.Self())
 	default:
-		next.join(m.settings.Self, m.settings.BatchSize)
+		next.join(m.settings.Self, m.settings.MaxBatchSize)
 	}
 	for _, id := range m.poller.removable(m, now) {
 		next.remove(id)
 	}
-	next.trimLog(m.settings.Log)
+	next.trimLog(m.settings.MaxLogChanges)
 	value, err := EncodeHead(next)
 	if err != nil {
 		return
@@ -86,7 +86,7 @@
 // delayRetry delays the next call of a kind by a random time, so that hosts
 // whose updates conflicted do not conflict again.
 func (m *Machine) delayRetry(now core.Instant, k callKind) {
-	wait := m.rng.Jitter(int64(m.settings.BackoffMin) / 4)
+	wait := m.rng.Jitter(int64(m.settings.MinBackoff) / 4)
 	m.calls.byKind[k].retryAt = now.Add(time.Duration(wait))
 }
 
@@ -188,12 +188,12 @@
 		hostsByDomain[e.Domain] = append(hostsByDomain[e.Domain], e.Host)
 	}
 	m.member.rank = rank(batchHosts, m.Self(), m.ownBatchKey)
-	m.poller.assigned = m.settings.PollsItself || len(m.head.Members) <= m.settings.SmallFleet
-	m.poller.assigned = m.poller.assigned || rank(domainHosts, m.Self(), BeatsPrefix) < m.settings.Pollers
+	m.poller.assigned = m.settings.AlwaysPolls || len(m.head.Members) <= m.settings.MaxSmallFleet
+	m.poller.assigned = m.poller.assigned || rank(domainHosts, m.Self(), HeartbeatsPrefix) < m.settings.PollersPerDomain
 	m.poller.pollers = m.poller.pollers[:0]
 	for _, d := range domains {
 		const kindRank = 0xff
-		m.poller.pollers = append(m.poller.pollers, core.RendezvousN(hostsByDomain[d], kindRank, BeatsPrefix, m.settings.Pollers)...)
+		m.poller.pollers = append(m.poller.pollers, core.RendezvousN(hostsByDomain[d], kindRank, HeartbeatsPrefix, m.settings.PollersPerDomain)...)
 	}
 	m.poller.syncMembers(&m.head, now)
 }
--- a/internal/core/lease/faults_test.go
+++ b/internal/core/lease/faults_test.go
@@ -168,7 +168,7 @@
 	is := is.New(t)
 	f := membership.NewFleet(7)
 	f.Shards = shards(30)
-	f.Tune = func(s *lease.Settings) { s.Margin = time.Nanosecond; s.DriftPPM = 150_000 }
+	f.Tune = func(s *lease.Settings) { s.FenceMargin = time.Nanosecond; s.MaxDriftPPM = 150_000 }
 	var hosts []*membership.Host
 	for i := range 4 {
 		h := f.Add(membership.Places(3)[i%3])
@@ -180,7 +180,7 @@
 	f.Run(20 * time.Second)
 	f.Resume(hosts[0])
 	f.Run(10 * time.Second)
-	is.True(hosts[0].Lease.Lost())
+	is.True(hosts[0].Lease.IdentityLost())
 	recovered(t, f, 30)
 }
 
@@ -259,13 +259,13 @@
 		pending := results
 		results = nil
 		for _, r := range pending {
-			do(machines[0].Object(now, r))
-			machines[1].Object(now, r)
+			do(machines[0].HandleObject(now, r))
+			machines[1].HandleObject(now, r)
 		}
 		do(machines[0].Tick(now))
 		machines[1].Tick(now)
 	}
-	is.True(machines[0].Holding(now) && machines[1].Holding(now))
+	is.True(machines[0].HasLease(now) && machines[1].HasLease(now))
 	for end := now.Add(8 * time.Second); now < end; now = now.Add(100 * time.Millisecond) {
 		for i, m := range machines {
 			results = nil
@@ -273,10 +273,10 @@
 			for len(results) > 0 {
 				r := results[0]
 				results = results[1:]
-				do(m.Object(now.Add(time.Duration(i)), r))
+				do(m.HandleObject(now.Add(time.Duration(i)), r))
 			}
 		}
 	}
-	is.True(machines[0].Lost() || machines[1].Lost())
-	is.True(!(machines[0].Holding(now) && machines[1].Holding(now)))
+	is.True(machines[0].IdentityLost() || machines[1].IdentityLost())
+	is.True(!(machines[0].HasLease(now) && machines[1].HasLease(now)))
 }
--- a/internal/core/lease/handover.go
+++ b/internal/core/lease/handover.go
@@ -33,17 +33,17 @@
 // view on. entitled says whether this host could act on it until now.
 func (m *Machine) startHandoff(s *shard, view uint64, entitled bool) {
 	if s.owner == "" {
-		m.shards.changes = append(m.shards.changes, Change{Shard: s.id, Kind: Lost, View: view})
+		m.shards.changes = append(m.shards.changes, RightChange{Shard: s.id, Kind: RightLost, View: view})
 		return
 	}
 	m.handoffs.outgoing = append(m.handoffs.outgoing, &handoff{shard: s.id, to: s.owner, view: view, senderStopped: entitled})
-	m.shards.changes = append(m.shards.changes, Change{Shard: s.id, Kind: Departing, Host: s.owner, View: view})
+	m.shards.changes = append(m.shards.changes, RightChange{Shard: s.id, Kind: HandoffNeeded, Host: s.owner, View: view})
 }
 
-// HandOver sends the state of a departing shard to its next owner. The caller
+// HandOff sends the state of a departing shard to its next owner. The caller
 // must have stopped acting on the shard, including operations that were already
 // in progress.
-func (m *Machine) HandOver(now core.Instant, id core.Shard, state []byte) Output {
+func (m *Machine) HandOff(now core.Instant, id core.Shard, state []byte) Output {
 	for _, d := range m.handoffs.outgoing {
 		if d.shard == id && !d.stateReady {
 			d.stateReady, d.state, d.nextSend = true, state, now
@@ -52,9 +52,9 @@
 	return m.finish(now)
 }
 
-// Departures returns the number of shards whose next owner has not yet
+// PendingHandoffs returns the number of shards whose next owner has not yet
 // acknowledged them.
-func (m *Machine) Departures() int { return len(m.handoffs.outgoing) }
+func (m *Machine) PendingHandoffs() int { return len(m.handoffs.outgoing) }
 
 // sendHandoffs sends the states of departing shards and resends those that are
 // not acknowledged. A handoff is dropped after maxHandoffSends attempts.
@@ -67,7 +67,7 @@
 			if _, in := m.head.find(d.to); !in {
 				m.redirect(d)
 			}
-			m.out.Send(d.to, Message{HandOver: &HandOver{Shard: d.shard, View: d.view, Custody: d.senderStopped, State: d.state}})
+			m.out.Send(d.to, Message{Handoff: &Handoff{Shard: d.shard, View: d.view, SenderStopped: d.senderStopped, State: d.state}})
 		}
 		if d.sends < maxHandoffSends {
 			keep = append(keep, d)
@@ -98,18 +98,18 @@
 
 // receiveHandOver accepts a shard's state. A repeat is acknowledged but not
 // applied, so state is never credited twice.
-func (m *Machine) receiveHandOver(now core.Instant, from core.HostID, h HandOver) {
+func (m *Machine) receiveHandOver(now core.Instant, from core.HostID, h Handoff) {
 	s := m.shards.index[h.Shard]
 	if s == nil || m.number == 0 {
 		return // not ready yet: the sender retries
 	}
-	m.out.Send(from, Message{Received: &Received{Shard: h.Shard, View: h.View}})
+	m.out.Send(from, Message{HandoffAck: &HandoffAck{Shard: h.Shard, View: h.View}})
 	if h.View <= s.receivedView {
 		return
 	}
 	s.receivedView = h.View
-	m.shards.changes = append(m.shards.changes, Change{Shard: h.Shard, Kind: State, Host: from, View: h.View, State: h.State})
-	if h.Custody {
+	m.shards.changes = append(m.shards.changes, RightChange{Shard: h.Shard, Kind: StateReceived, Host: from, View: h.View, State: h.State})
+	if h.SenderStopped {
 		s.claimView = h.View
 	}
 	m.noteNewerView(now, h.View, 0)
--- a/internal/core/lease/head.go
+++ b/internal/core/lease/head.go
@@ -15,8 +15,8 @@
 
 // Keys in the object API.
 const (
-	HeadKey     = "members/head"
-	BeatsPrefix = "members/beats/"
+	HeadKey          = "members/head"
+	HeartbeatsPrefix = "members/beats/"
 )
 
 // Head is the current membership, with the latest changes that led to it.
@@ -39,9 +39,9 @@
 
 // Kinds of membership change.
 const (
-	Joined  MemberChangeKind = iota + 1
-	Marked                   // as leaving: the host owns no shards from this version on
-	Removed                  // its lease has expired or it has released its membership
+	Joined        MemberChangeKind = iota + 1
+	MarkedLeaving                  // as leaving: the host owns no shards from this version on
+	Removed                        // its lease has expired or it has released its membership
 )
 
 // MemberChange is one member's change in one version of the head.
@@ -116,7 +116,7 @@
 func (h *Head) markLeaving(id core.HostID) {
 	if i, ok := h.find(id); ok && !h.Members[i].Leaving {
 		h.Members[i].Leaving = true
-		h.Log = append(h.Log, MemberChange{Version: h.Version, Kind: Marked, Host: id})
+		h.Log = append(h.Log, MemberChange{Version: h.Version, Kind: MarkedLeaving, Host: id})
 	}
 }
 
@@ -144,23 +144,23 @@
 
 // batchKey returns the key of a batch's heartbeat object.
 func batchKey(d core.Domain, batch int) string {
-	return BeatsPrefix + string(d) + "/" + strconv.Itoa(batch)
+	return HeartbeatsPrefix + string(d) + "/" + strconv.Itoa(batch)
 }
 
 // key returns the key of the heartbeat object that holds this member's
 // heartbeat.
 func (e *Entry) key() string { return batchKey(e.Domain, e.Batch) }
 
-// Beat is the stored object with the heartbeats of one batch.
-type Beat struct {
-	Leader  core.HostID `cbor:"1,keyasint"`
-	Head    uint64      `cbor:"2,keyasint"` // newest head that a leader of the batch has used; one with an older head must not write
-	Token   uint64      `cbor:"3,keyasint"` // random number of the leader's last write; a fencing host leaves it unchanged
-	Entries []Pulse     `cbor:"4,keyasint"` // sorted by number
+// HeartbeatBatch is the stored object with the heartbeats of one batch.
+type HeartbeatBatch struct {
+	Leader         core.HostID       `cbor:"1,keyasint"`
+	MaxHeadVersion uint64            `cbor:"2,keyasint"` // newest head that a leader of the batch has used; one with an older head must not write
+	WriteToken     uint64            `cbor:"3,keyasint"` // random number of the leader's last write; a fencing host leaves it unchanged
+	Entries        []HeartbeatRecord `cbor:"4,keyasint"` // sorted by number
 }
 
-// Pulse is the stored heartbeat of one member.
-type Pulse struct {
+// HeartbeatRecord is the stored heartbeat of one member.
+type HeartbeatRecord struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Seq    uint64
@@ -168,20 +168,20 @@
 	Fenced bool   // permanent: no later heartbeat of this member counts
 }
 
-// EncodeBeat returns the stored form of a batch.
-func EncodeBeat(b Beat) ([]byte, error) { return cbor.Marshal(b) }
+// EncodeHeartbeatBatch returns the stored form of a batch.
+func EncodeHeartbeatBatch(b HeartbeatBatch) ([]byte, error) { return cbor.Marshal(b) }
 
-// DecodeBeat decodes the stored form of a batch.
-func DecodeBeat(b []byte) (Beat, error) {
-	var v Beat
+// DecodeHeartbeatBatch decodes the stored form of a batch.
+func DecodeHeartbeatBatch(b []byte) (HeartbeatBatch, error) {
+	var v HeartbeatBatch
 	err := cbor.Unmarshal(b, &v)
 	return v, Error.Wrap(err)
 }
 
 // find returns the index of a member's heartbeat, or where it would be inserted
 // and false.
-func (b *Beat) find(number uint64) (int, bool) {
-	return slices.BinarySearchFunc(b.Entries, number, func(p Pulse, n uint64) int {
+func (b *HeartbeatBatch) find(number uint64) (int, bool) {
+	return slices.BinarySearchFunc(b.Entries, number, func(p HeartbeatRecord, n uint64) int {
 		if p.Number < n {
 			return -1
 		}
@@ -193,15 +193,15 @@
 }
 
 // record returns a member's heartbeat, or an empty one.
-func (b *Beat) record(number uint64) Pulse {
+func (b *HeartbeatBatch) record(number uint64) HeartbeatRecord {
 	if i, ok := b.find(number); ok {
 		return b.Entries[i]
 	}
-	return Pulse{Number: number}
+	return HeartbeatRecord{Number: number}
 }
 
 // set adds or replaces a member's heartbeat.
-func (b *Beat) set(p Pulse) {
+func (b *HeartbeatBatch) set(p HeartbeatRecord) {
 	i, ok := b.find(p.Number)
 	if ok {
 		b.Entries[i] = p
--- a/internal/core/lease/leader.go
+++ b/internal/core/lease/leader.go
@@ -20,10 +20,10 @@
 	unresolved    bool // the result of a write is unknown: read the object before anything else
 	ownOnly       bool // the write in flight changes only this host's heartbeat, not the leader
 	objectVersion uint64
-	stored        Beat // as last read or written
+	stored        HeartbeatBatch // as last read or written
 	inbox         map[uint64]Heartbeat
 	members       []Entry
-	pending       Beat
+	pending       HeartbeatBatch
 	included      []Heartbeat
 	recentTokens  [maxRecentTokens]uint64
 	writes        int
@@ -70,7 +70,7 @@
 	}
 	const kindRank = 0xff
 	if next := core.RendezvousN(candidates, kindRank, m.ownBatchKey, 1); len(next) == 1 && next[0] != m.Self() {
-		m.out.Send(next[0], Message{Leading: &Leading{Leader: m.Self(), Next: next[0]}})
+		m.out.Send(next[0], Message{LeaderChange: &LeaderChange{Leader: m.Self(), Next: next[0]}})
 	}
 }
 
@@ -81,7 +81,7 @@
 	l := &m.leadership
 	if !l.leading {
 		if m.member.leader != "" && m.member.leader != m.Self() && m.member.leader != from {
-			m.out.Send(from, Message{Leading: &Leading{Leader: m.member.leader}})
+			m.out.Send(from, Message{LeaderChange: &LeaderChange{Leader: m.member.leader}})
 		}
 		return
 	}
@@ -91,7 +91,7 @@
 		return
 	}
 	if m.calls.failing {
-		m.out.Send(from, Message{Ack: &Ack{Down: true, Settled: m.lowestApplied, Head: m.head.Version}})
+		m.out.Send(from, Message{Ack: &Ack{StoreDown: true, LowestAppliedView: m.lowestApplied, LeaderView: m.head.Version}})
 	}
 	if hb.Seq <= l.inbox[hb.Number].Seq {
 		return
@@ -105,9 +105,9 @@
 // composeBatch returns the next value of the batch's object and the heartbeats
 // that it includes. It leaves out removed members, and fences those whose
 // leases have expired.
-func (m *Machine) composeBatch(now core.Instant, b Beat) (Beat, []Heartbeat) {
+func (m *Machine) composeBatch(now core.Instant, b HeartbeatBatch) (HeartbeatBatch, []Heartbeat) {
 	l := &m.leadership
-	next := Beat{Leader: m.Self(), Head: m.head.Version}
+	next := HeartbeatBatch{Leader: m.Self(), MaxHeadVersion: m.head.Version}
 	var included []Heartbeat
 	for i := range l.members {
 		e := &l.members[i]
@@ -118,7 +118,7 @@
 		case received && hb.Seq > p.Seq:
 			p.Seq, p.Ack = hb.Seq, max(p.Ack, hb.View)
 			included = append(included, hb)
-		case m.leaseExpired(now, e) && m.Holding(now):
+		case m.leaseExpired(now, e) && m.HasLease(now):
 			p.Fenced = true
 		}
 		if p.Seq > 0 || p.Fenced {
@@ -132,10 +132,10 @@
 // head is older than one that a leader of the batch has used must read the
 // newer head first: otherwise it could write heartbeats for a member that has
 // been removed.
-func (m *Machine) writeBatch(now core.Instant, b Beat, objectVersion uint64) {
+func (m *Machine) writeBatch(now core.Instant, b HeartbeatBatch, objectVersion uint64) {
 	l := &m.leadership
-	if b.Head > m.head.Version {
-		m.noteNewerView(now, b.Head, 0)
+	if b.MaxHeadVersion > m.head.Version {
+		m.noteNewerView(now, b.MaxHeadVersion, 0)
 		return
 	}
 	l.inbox[m.number] = m.newHeartbeat(now) // the own lease counts from just before this write
@@ -145,15 +145,15 @@
 }
 
 // writeOwnHeartbeat writes only this host's heartbeat and keeps the leader.
-func (m *Machine) writeOwnHeartbeat(now core.Instant, b Beat, objectVersion uint64) {
+func (m *Machine) writeOwnHeartbeat(now core.Instant, b HeartbeatBatch, objectVersion uint64) {
 	l := &m.leadership
 	hb := m.newHeartbeat(now)
 	l.pending = b
 	l.pending.Entries = slices.Clone(b.Entries)
-	l.pending.set(Pulse{Number: m.number, Seq: hb.Seq, Ack: hb.View})
+	l.pending.set(HeartbeatRecord{Number: m.number, Seq: hb.Seq, Ack: hb.View})
 	l.included = []Heartbeat{hb}
 	l.ownOnly = true
-	value, err := EncodeBeat(l.pending)
+	value, err := EncodeHeartbeatBatch(l.pending)
 	if err == nil {
 		m.call(now, callBatchWrite, core.ObjectCall{Op: core.ObjectUpdate, Key: m.ownBatchKey, Value: value, IfVersion: objectVersion})
 	}
@@ -163,11 +163,11 @@
 func (m *Machine) issueBatchWrite(now core.Instant, objectVersion uint64) {
 	l := &m.leadership
 	const hashMultiplier = 0x9e3779b97f4a7c15
-	l.pending.Token = m.rng.Uint64() ^ uint64(now)*hashMultiplier
-	l.recentTokens[l.writes%maxRecentTokens] = l.pending.Token
+	l.pending.WriteToken = m.rng.Uint64() ^ uint64(now)*hashMultiplier
+	l.recentTokens[l.writes%maxRecentTokens] = l.pending.WriteToken
 	l.writes++
-	l.writtenAt, l.nextWrite = now, now.Add(m.settings.Renew)
-	value, err := EncodeBeat(l.pending)
+	l.writtenAt, l.nextWrite = now, now.Add(m.settings.RenewInterval)
+	value, err := EncodeHeartbeatBatch(l.pending)
 	if err != nil {
 		return
 	}
@@ -181,7 +181,7 @@
 // takeOver writes the batch with this host as leader; the conditional update
 // fails if another host took over first. A leaving host takes over only if the
 // whole batch leaves.
-func (m *Machine) takeOver(now core.Instant, b Beat, objectVersion uint64) {
+func (m *Machine) takeOver(now core.Instant, b HeartbeatBatch, objectVersion uint64) {
 	if m.leaving && !m.allLeaving() {
 		return
 	}
@@ -217,7 +217,7 @@
 
 // writeConfirmed handles a write that has taken effect: it extends the own lease
 // and acknowledges the heartbeats that the write included.
-func (m *Machine) writeConfirmed(now core.Instant, b Beat, objectVersion uint64) {
+func (m *Machine) writeConfirmed(now core.Instant, b HeartbeatBatch, objectVersion uint64) {
 	l := &m.leadership
 	newLeader := !l.leading
 	l.leading, l.unresolved = true, false
@@ -233,14 +233,14 @@
 			continue
 		}
 		if to, ok := m.batchHost(hb.Number); ok {
-			m.out.Send(to, Message{Ack: &Ack{Seq: hb.Seq, Nonce: hb.Nonce, Settled: m.lowestApplied, Head: m.head.Version}})
+			m.out.Send(to, Message{Ack: &Ack{Seq: hb.Seq, Nonce: hb.Nonce, LowestAppliedView: m.lowestApplied, LeaderView: m.head.Version}})
 		}
 	}
 	l.included = nil
 	if newLeader {
 		for i := range l.members {
 			if l.members[i].Host != m.Self() {
-				m.out.Send(l.members[i].Host, Message{Leading: &Leading{Leader: m.Self()}})
+				m.out.Send(l.members[i].Host, Message{LeaderChange: &LeaderChange{Leader: m.Self()}})
 			}
 		}
 	}
@@ -258,15 +258,15 @@
 
 // resolveWrite settles a write with an unknown result by what the object holds
 // now.
-func (m *Machine) resolveWrite(now core.Instant, b Beat, objectVersion uint64) {
+func (m *Machine) resolveWrite(now core.Instant, b HeartbeatBatch, objectVersion uint64) {
 	l := &m.leadership
 	l.unresolved = false
 	switch {
 	case b.record(m.number).Fenced:
 		m.loseIdentity()
-	case b.Leader == m.Self() && b.Token == l.pending.Token:
+	case b.Leader == m.Self() && b.WriteToken == l.pending.WriteToken:
 		m.writeConfirmed(now, b, objectVersion)
-	case b.Leader == m.Self() && slices.Contains(l.recentTokens[:], b.Token):
+	case b.Leader == m.Self() && slices.Contains(l.recentTokens[:], b.WriteToken):
 		// An earlier write of this host; members may have been fenced since.
 		l.leading = true
 		l.stored, l.objectVersion, m.member.objectVersion = b, objectVersion, objectVersion
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -77,17 +77,17 @@
 	is := is.New(t)
 	f, hosts := start(3, 6, 40)
 	h := hosts[1]
-	h.Given = func(c lease.Change) []byte { return []byte(c.Shard.Name) }
+	h.Given = func(c lease.RightChange) []byte { return []byte(c.Shard.Name) }
 	clear(f.Trace.Longest)
 	for _, o := range hosts {
 		o.Took = nil
 	}
 	f.Do(h, h.Lease.Leave)
 	f.Run(2 * time.Second)
-	is.Equal(h.Lease.Departures(), 0)
+	is.Equal(h.Lease.PendingHandoffs(), 0)
 	f.Do(h, h.Lease.Release)
 	f.Run(2 * time.Second)
-	is.True(h.Lease.Left())
+	is.True(h.Lease.Released())
 	f.Run(8 * time.Second)
 	noViolations(t, f)
 	is.Equal(f.Trace.Acted(f.Now), 40)
--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -63,33 +63,33 @@
 	return m.finish(now)
 }
 
-// Object handles the result of an object call.
-func (m *Machine) Object(now core.Instant, r core.ObjectResult) Output {
+// HandleObject handles the result of an object call.
+func (m *Machine) HandleObject(now core.Instant, r core.ObjectResult) Output {
 	m.result(now, r)
 	return m.finish(now)
 }
 
-// Peer handles a message from another host. Messages may be late, duplicated or
+// HandleMessage handles a message from another host. Messages may be late, duplicated or
 // out of order.
-func (m *Machine) Peer(now core.Instant, from core.HostID, msg Message) Output {
+func (m *Machine) HandleMessage(now core.Instant, from core.HostID, msg Message) Output {
 	switch {
 	case msg.Heartbeat != nil:
 		m.receiveHeartbeat(now, from, *msg.Heartbeat)
 	case msg.Ack != nil:
 		m.receiveAck(now, from, *msg.Ack)
-	case msg.Leading != nil:
-		m.receiveLeading(now, from, *msg.Leading)
-	case msg.HandOver != nil:
-		m.receiveHandOver(now, from, *msg.HandOver)
-	case msg.Received != nil:
-		m.handoffs.acknowledge(msg.Received.Shard, msg.Received.View)
+	case msg.LeaderChange != nil:
+		m.receiveLeading(now, from, *msg.LeaderChange)
+	case msg.Handoff != nil:
+		m.receiveHandOver(now, from, *msg.Handoff)
+	case msg.HandoffAck != nil:
+		m.handoffs.acknowledge(msg.HandoffAck.Shard, msg.HandoffAck.View)
 	}
 	return m.finish(now)
 }
 
-// Learn applies a head and a lowest applied view received through the feed.
+// ApplyHead applies a head and a lowest applied view received through the feed.
 // Older ones change nothing.
-func (m *Machine) Learn(now core.Instant, head []byte, lowestApplied uint64) Output {
+func (m *Machine) ApplyHead(now core.Instant, head []byte, lowestApplied uint64) Output {
 	if h, err := DecodeHead(head); err == nil && h.Version > m.head.Version {
 		m.adopt(now, h, head, 0)
 	}
@@ -173,9 +173,9 @@
 // View returns the version of the membership that this host acts under.
 func (m *Machine) View() uint64 { return m.head.Version }
 
-// Settled returns the lowest applied view: no live host acts under an older
+// LowestAppliedView returns the lowest applied view: no live host acts under an older
 // one.
-func (m *Machine) Settled() uint64 { return m.lowestApplied }
+func (m *Machine) LowestAppliedView() uint64 { return m.lowestApplied }
 
 // Head returns the stored form of the current membership, for the feed.
 func (m *Machine) Head() []byte { return m.headBytes }
@@ -183,31 +183,31 @@
 // Joined reports whether this host is a member.
 func (m *Machine) Joined() bool { return m.number != 0 && !m.released && !m.identityLost }
 
-// Left reports whether the store has confirmed that this host is no longer a
+// Released reports whether the store has confirmed that this host is no longer a
 // member, after Release.
-func (m *Machine) Left() bool { return m.released }
+func (m *Machine) Released() bool { return m.released }
 
-// Lost reports whether this identity has been fenced or is used by another
+// IdentityLost reports whether this identity has been fenced or is used by another
 // process too. It can never act again; the process must join under a new one.
-func (m *Machine) Lost() bool { return m.identityLost }
+func (m *Machine) IdentityLost() bool { return m.identityLost }
 
-// Polls reports whether this host reads the heartbeats of all batches.
-func (m *Machine) Polls() bool { return m.poller.polls }
+// IsPoller reports whether this host reads the heartbeats of all batches.
+func (m *Machine) IsPoller() bool { return m.poller.polls }
 
-// Leads reports whether this host writes its batch's heartbeats.
-func (m *Machine) Leads() bool { return m.leadership.leading }
+// IsBatchLeader reports whether this host writes its batch's heartbeats.
+func (m *Machine) IsBatchLeader() bool { return m.leadership.leading }
 
-// Holding reports whether this host's lease is valid at now.
-func (m *Machine) Holding(now core.Instant) bool {
+// HasLease reports whether this host's lease is valid at now.
+func (m *Machine) HasLease(now core.Instant) bool {
 	return m.Joined() && !m.releasing && m.member.leased && now < m.leaseEnd()
 }
 
 // leaseEnd returns when the lease expires unless it is renewed.
 func (m *Machine) leaseEnd() core.Instant { return m.member.leaseStart.Add(m.settings.Term) }
 
-// Outage reports whether the store doesn't answer this host, or didn't answer
+// StoreOutage reports whether the store doesn't answer this host, or didn't answer
 // its batch leader in the last few seconds.
-func (m *Machine) Outage(now core.Instant) bool {
+func (m *Machine) StoreOutage(now core.Instant) bool {
 	const maxAge = 3 * time.Second
 	return m.calls.failing || (m.member.storeDown && now.Sub(m.member.storeDownAt) < maxAge)
 }
--- a/internal/core/lease/member.go
+++ b/internal/core/lease/member.go
@@ -25,7 +25,7 @@
 
 	objectVersion  uint64 // store version of the batch's object as last read
 	unchangedSince core.Instant
-	stored         Beat
+	stored         HeartbeatBatch
 	hasRead        bool // objectVersion and stored have been read
 	objectAbsent   bool // the batch's object doesn't exist
 	takeOverNow    bool // the leader has asked this host to take over at once
@@ -61,7 +61,7 @@
 // now.
 func (m *Machine) newHeartbeat(now core.Instant) Heartbeat {
 	m.member.seq++
-	m.member.nextHeartbeat = now.Add(m.settings.Renew)
+	m.member.nextHeartbeat = now.Add(m.settings.RenewInterval)
 	const hashMultiplier = 0x9e3779b97f4a7c15
 	nonce := m.rng.Uint64() ^ uint64(now)*hashMultiplier
 	m.member.sent[m.member.seq%maxUnacknowledged] = sentHeartbeat{seq: m.member.seq, nonce: nonce, at: now}
@@ -75,7 +75,7 @@
 	if m.member.takeOverNow || m.member.leader == "" || m.leadership.unresolved {
 		return true
 	}
-	timeout := m.settings.Renew*3/2 + time.Duration(m.member.rank)*m.settings.Stagger
+	timeout := m.settings.RenewInterval*3/2 + time.Duration(m.member.rank)*m.settings.Stagger
 	return now.Sub(m.member.lastAck) > min(timeout, m.settings.Term/2)
 }
 
@@ -99,27 +99,27 @@
 
 // receiveAck handles the leader's answer to a heartbeat.
 func (m *Machine) receiveAck(now core.Instant, from core.HostID, a Ack) {
-	m.raiseLowestApplied(a.Settled)
+	m.raiseLowestApplied(a.LowestAppliedView)
 	const feedDelay = 3 * time.Second // the feed usually delivers the head sooner
-	m.noteNewerView(now, a.Head, feedDelay+time.Duration(m.rng.Int64N(int64(feedDelay))))
+	m.noteNewerView(now, a.LeaderView, feedDelay+time.Duration(m.rng.Int64N(int64(feedDelay))))
 	switch {
 	case a.Fenced:
 		if s := m.member.sent[a.Seq%maxUnacknowledged]; s.seq == a.Seq && s.nonce == a.Nonce {
 			m.loseIdentity()
 		}
-	case a.Down:
+	case a.StoreDown:
 		m.member.storeDown, m.member.storeDownAt = true, now
 	default:
 		m.extendLease(now, a.Seq, a.Nonce)
 		m.member.leader = from
 		// Send the next heartbeat just before the leader's next write.
-		m.member.nextHeartbeat = now.Add(m.settings.Renew * 4 / 5)
+		m.member.nextHeartbeat = now.Add(m.settings.RenewInterval * 4 / 5)
 	}
 }
 
 // receiveLeading handles the announcement of a new leader, or a leader's
 // request to take over from it.
-func (m *Machine) receiveLeading(now core.Instant, from core.HostID, l Leading) {
+func (m *Machine) receiveLeading(now core.Instant, from core.HostID, l LeaderChange) {
 	if l.Next == m.Self() {
 		m.member.takeOverNow = m.number != 0 && !m.leaving && !m.leadership.leading
 		return
@@ -140,15 +140,15 @@
 	case core.ObjectNotFound:
 		m.member.objectAbsent = m.member.objectVersion == 0
 		if m.member.objectAbsent {
-			m.takeOver(now, Beat{}, 0)
+			m.takeOver(now, HeartbeatBatch{}, 0)
 		}
 	case core.ObjectOK:
-		b, err := DecodeBeat(r.Object.Value)
+		b, err := DecodeHeartbeatBatch(r.Object.Value)
 		if err != nil || r.Object.Version < m.member.objectVersion {
 			m.delayRetry(now, callBatch) // an outdated read
 			return
 		}
-		m.noteNewerView(now, b.Head, 0)
+		m.noteNewerView(now, b.MaxHeadVersion, 0)
 		if m.leadership.unresolved || m.leadership.leading {
 			m.resolveWrite(now, b, r.Object.Version)
 			return
@@ -160,7 +160,7 @@
 // reviewLeader acts on the leader named in the batch's object: it follows a new
 // leader, takes over from one that no longer writes the object, or writes its
 // own heartbeat if the leader writes but doesn't acknowledge this host.
-func (m *Machine) reviewLeader(now core.Instant, b Beat, objectVersion uint64) {
+func (m *Machine) reviewLeader(now core.Instant, b HeartbeatBatch, objectVersion uint64) {
 	if b.record(m.number).Fenced {
 		m.loseIdentity()
 		return
@@ -170,11 +170,11 @@
 		m.member.hasRead, m.member.unchangedSince = true, now
 	}
 	m.member.objectVersion, m.member.stored = objectVersion, b
-	m.calls.byKind[callBatch].retryAt = now.Add(m.settings.Renew / 2)
+	m.calls.byKind[callBatch].retryAt = now.Add(m.settings.RenewInterval / 2)
 	switch {
 	case b.Leader != m.member.leader && b.Leader != "" && b.Leader != m.Self() && !m.notInBatch(b.Leader):
 		m.member.leader, m.member.lastAck, m.member.nextHeartbeat = b.Leader, now, now
-	case m.member.takeOverNow || m.notInBatch(b.Leader) || now.Sub(m.member.unchangedSince) >= m.settings.Renew*3/2:
+	case m.member.takeOverNow || m.notInBatch(b.Leader) || now.Sub(m.member.unchangedSince) >= m.settings.RenewInterval*3/2:
 		m.takeOver(now, b, objectVersion)
 	case now.Sub(m.member.lastAck) > m.settings.Term/3:
 		m.writeOwnHeartbeat(now, b, objectVersion)
--- a/internal/core/lease/messages.go
+++ b/internal/core/lease/messages.go
@@ -4,11 +4,11 @@
 
 // Message is a lease message between hosts; exactly one field is set.
 type Message struct {
-	Heartbeat *Heartbeat `cbor:"1,keyasint,omitempty"`
-	Ack       *Ack       `cbor:"2,keyasint,omitempty"`
-	Leading   *Leading   `cbor:"3,keyasint,omitempty"`
-	HandOver  *HandOver  `cbor:"4,keyasint,omitempty"`
-	Received  *Received  `cbor:"5,keyasint,omitempty"`
+	Heartbeat    *Heartbeat    `cbor:"1,keyasint,omitempty"`
+	Ack          *Ack          `cbor:"2,keyasint,omitempty"`
+	LeaderChange *LeaderChange `cbor:"3,keyasint,omitempty"`
+	Handoff      *Handoff      `cbor:"4,keyasint,omitempty"`
+	HandoffAck   *HandoffAck   `cbor:"5,keyasint,omitempty"`
 }
 
 // Heartbeat is sent by a member to the leader of its batch.
@@ -21,32 +21,32 @@
 
 // Ack reports that a heartbeat has been written, or why it can't be.
 type Ack struct {
-	Seq     uint64 `cbor:"1,keyasint"`
-	Nonce   uint64 `cbor:"2,keyasint"`
-	Settled uint64 `cbor:"3,keyasint"`
-	Head    uint64 `cbor:"4,keyasint"`           // the leader's view
-	Down    bool   `cbor:"5,keyasint,omitempty"` // not written: the store doesn't answer the leader
-	Fenced  bool   `cbor:"6,keyasint,omitempty"` // the member has been fenced
+	Seq               uint64 `cbor:"1,keyasint"`
+	Nonce             uint64 `cbor:"2,keyasint"`
+	LowestAppliedView uint64 `cbor:"3,keyasint"`
+	LeaderView        uint64 `cbor:"4,keyasint"`           // the leader's view
+	StoreDown         bool   `cbor:"5,keyasint,omitempty"` // not written: the store doesn't answer the leader
+	Fenced            bool   `cbor:"6,keyasint,omitempty"` // the member has been fenced
 }
 
-// Leading announces a batch's leader, or that Leader asks Next to take over.
-type Leading struct {
+// LeaderChange announces a batch's leader, or that Leader asks Next to take over.
+type LeaderChange struct {
 	Leader core.HostID `cbor:"1,keyasint"`
 	Next   core.HostID `cbor:"2,keyasint,omitempty"`
 }
 
-// HandOver passes a shard's state to its owner under View. Custody says that
+// Handoff passes a shard's state to its owner under View. Custody says that
 // the sender was entitled to act on the shard until it adopted View, and has
 // stopped.
-type HandOver struct {
-	Shard   core.Shard `cbor:"1,keyasint"`
-	View    uint64     `cbor:"2,keyasint"`
-	Custody bool       `cbor:"3,keyasint,omitempty"`
-	State   []byte     `cbor:"4,keyasint,omitempty"`
+type Handoff struct {
+	Shard         core.Shard `cbor:"1,keyasint"`
+	View          uint64     `cbor:"2,keyasint"`
+	SenderStopped bool       `cbor:"3,keyasint,omitempty"`
+	State         []byte     `cbor:"4,keyasint,omitempty"`
 }
 
-// Received acknowledges a HandOver, which ends its resending.
-type Received struct {
+// HandoffAck acknowledges a HandOver, which ends its resending.
+type HandoffAck struct {
 	Shard core.Shard `cbor:"1,keyasint"`
 	View  uint64     `cbor:"2,keyasint"`
 }
--- a/internal/core/lease/old_head_test.go
+++ b/internal/core/lease/old_head_test.go
@@ -19,8 +19,8 @@
 	f := membership.NewFleet(1)
 	h := f.Add(membership.Places(1)[0])
 	f.Run(5 * time.Second)
-	is.True(h.Lease.Leads())
-	key := lease.BeatsPrefix + "r1-a/0"
+	is.True(h.Lease.IsBatchLeader())
+	key := lease.HeartbeatsPrefix + "r1-a/0"
 	read := func(key string) (o core.Object) {
 		f.Store.Do(core.ObjectCall{Op: core.ObjectGet, Key: key}, false, func(r core.ObjectResult) { o = r.Object })
 		return o
@@ -30,22 +30,22 @@
 	}
 	head, err := lease.DecodeHead(read(lease.HeadKey).Value)
 	is.NoErr(err)
-	beat, err := lease.DecodeBeat(read(key).Value)
+	beat, err := lease.DecodeHeartbeatBatch(read(key).Value)
 	is.NoErr(err)
 	head.Version++
-	beat.Leader, beat.Head = "gone", head.Version
-	value, err := lease.EncodeBeat(beat)
+	beat.Leader, beat.MaxHeadVersion = "gone", head.Version
+	value, err := lease.EncodeHeartbeatBatch(beat)
 	is.NoErr(err)
 	f.Store.Put(key, value)
 	written := read(key).Version
 	f.Run(20 * time.Second)
 	is.Equal(read(key).Version, written) // not written with the old head
-	is.Equal(h.Lease.Holding(h.Local(f.Now)), false)
+	is.Equal(h.Lease.HasLease(h.Local(f.Now)), false)
 	value, err = lease.EncodeHead(head)
 	is.NoErr(err)
 	f.Store.Put(lease.HeadKey, value)
 	f.Fault = nil
 	f.Run(10 * time.Second)
 	is.True(read(key).Version > written)
-	is.True(h.Lease.Holding(h.Local(f.Now)))
+	is.True(h.Lease.HasLease(h.Local(f.Now)))
 }
--- a/internal/core/lease/poller.go
+++ b/internal/core/lease/poller.go
@@ -32,7 +32,7 @@
 
 // batchObject is one batch's object as last read.
 type batchObject struct {
-	batch   Beat
+	batch   HeartbeatBatch
 	version uint64
 }
 
@@ -73,11 +73,11 @@
 		return
 	}
 	if now >= w.nextRead && m.calls.ready(now, callBatchList) {
-		w.nextRead = now.Add(m.settings.Poll)
-		if len(m.head.Members) <= m.settings.SmallFleet {
-			w.nextRead = now.Add(m.settings.Renew)
+		w.nextRead = now.Add(m.settings.PollInterval)
+		if len(m.head.Members) <= m.settings.MaxSmallFleet {
+			w.nextRead = now.Add(m.settings.RenewInterval)
 		}
-		m.call(now, callBatchList, core.ObjectCall{Op: core.ObjectList, Key: BeatsPrefix})
+		m.call(now, callBatchList, core.ObjectCall{Op: core.ObjectList, Key: HeartbeatsPrefix})
 	}
 	if m.calls.ready(now, callWatch) {
 		m.call(now, callWatch, core.ObjectCall{Op: core.ObjectWatch, Key: HeadKey, IfVersion: m.newestObjectVersion})
@@ -95,12 +95,12 @@
 		w.readFailed, w.readsSince = false, now
 	}
 	for _, o := range r.Objects {
-		b, err := DecodeBeat(o.Value)
+		b, err := DecodeHeartbeatBatch(o.Value)
 		if err != nil || o.Version < w.objects[o.Key].version {
 			continue
 		}
 		w.objects[o.Key] = batchObject{batch: b, version: o.Version}
-		m.noteNewerView(now, b.Head, 0)
+		m.noteNewerView(now, b.MaxHeadVersion, 0)
 		m.recordBatch(now, b)
 	}
 	m.raiseLowestApplied(m.lowestAppliedNow())
@@ -109,7 +109,7 @@
 
 // recordBatch records the heartbeats of one batch. An outdated read changes
 // nothing.
-func (m *Machine) recordBatch(now core.Instant, b Beat) {
+func (m *Machine) recordBatch(now core.Instant, b HeartbeatBatch) {
 	for _, p := range b.Entries {
 		s := m.poller.heartbeats[p.Number]
 		if s == nil {
@@ -172,7 +172,7 @@
 // heartbeat written since makes it fail, and a later writer reads the mark.
 func (m *Machine) fence(now core.Instant) {
 	w := &m.poller
-	if !m.Holding(now) || !m.calls.ready(now, callFence) {
+	if !m.HasLease(now) || !m.calls.ready(now, callFence) {
 		return
 	}
 	key := ""
@@ -200,7 +200,7 @@
 		p.Fenced = true
 		b.set(p)
 	}
-	value, err := EncodeBeat(b)
+	value, err := EncodeHeartbeatBatch(b)
 	if err != nil {
 		return
 	}
@@ -228,7 +228,7 @@
 // removable returns the fenced members that this host may remove now, given its
 // rank.
 func (w *poller) removable(m *Machine, now core.Instant) []core.HostID {
-	if !w.anyFenced || !w.polls || !m.Holding(now) {
+	if !w.anyFenced || !w.polls || !m.HasLease(now) {
 		return nil
 	}
 	var hosts []core.HostID
--- a/internal/core/lease/settings.go
+++ b/internal/core/lease/settings.go
@@ -25,43 +25,43 @@
 // Defaults. DefaultTerm bounds how long the shards of a dead host stay without
 // an owner; it must be longer than the takeover of a batch by another leader.
 const (
-	DefaultTerm         = 6 * time.Second
-	DefaultRenew        = time.Second
-	DefaultPoll         = 2 * time.Second
-	DefaultMargin       = 250 * time.Millisecond
-	DefaultSuspectAfter = 3500 * time.Millisecond
-	DefaultStagger      = 300 * time.Millisecond
-	DefaultCallTimeout  = 2 * time.Second
-	DefaultWatchTimeout = 45 * time.Second
-	DefaultBackoffMin   = 200 * time.Millisecond
-	DefaultBackoffMax   = 3 * time.Second
-	DefaultDriftPPM     = 500
-	DefaultPollers      = 2
-	DefaultBatchSize    = 32
-	DefaultSmallFleet   = 8
-	DefaultLog          = 256
+	DefaultTerm             = 6 * time.Second
+	DefaultRenewInterval    = time.Second
+	DefaultPollInterval     = 2 * time.Second
+	DefaultFenceMargin      = 250 * time.Millisecond
+	DefaultSuspectAfter     = 3500 * time.Millisecond
+	DefaultStagger          = 300 * time.Millisecond
+	DefaultCallTimeout      = 2 * time.Second
+	DefaultWatchTimeout     = 45 * time.Second
+	DefaultMinBackoff       = 200 * time.Millisecond
+	DefaultMaxBackoff       = 3 * time.Second
+	DefaultMaxDriftPPM      = 500
+	DefaultPollersPerDomain = 2
+	DefaultMaxBatchSize     = 32
+	DefaultMaxSmallFleet    = 8
+	DefaultMaxLogChanges    = 256
 )
 
 // Settings configure the machine of one host. Zero durations and counts mean
 // the default.
 type Settings struct {
-	Self         core.Member
-	Term         time.Duration // of a lease, counted from before its heartbeat was sent
-	Renew        time.Duration // between heartbeats, and between writes of a batch
-	Poll         time.Duration // between reads of all heartbeats; a small fleet reads them every Renew
-	Margin       time.Duration // added to the term before another host is fenced
-	SuspectAfter time.Duration // a host without a heartbeat for so long is suspected
-	Stagger      time.Duration // between the attempts of hosts that could take the same action
-	CallTimeout  time.Duration // after which a call's result counts as unknown
-	WatchTimeout time.Duration // the same for a watch
-	BackoffMin   time.Duration
-	BackoffMax   time.Duration
-	DriftPPM     int  // maximum deviation of a host's clock, in millionths
-	Pollers      int  // hosts per failure domain that read all heartbeats
-	BatchSize    int  // maximum number of hosts in one heartbeat object
-	SmallFleet   int  // with up to this many members every host reads all heartbeats
-	Log          int  // maximum number of changes kept in the head
-	PollsItself  bool // this host reads all heartbeats in a fleet of any size
+	Self             core.Member
+	Term             time.Duration // of a lease, counted from before its heartbeat was sent
+	RenewInterval    time.Duration // between heartbeats, and between writes of a batch
+	PollInterval     time.Duration // between reads of all heartbeats; a small fleet reads them every Renew
+	FenceMargin      time.Duration // added to the term before another host is fenced
+	SuspectAfter     time.Duration // a host without a heartbeat for so long is suspected
+	Stagger          time.Duration // between the attempts of hosts that could take the same action
+	CallTimeout      time.Duration // after which a call's result counts as unknown
+	WatchTimeout     time.Duration // the same for a watch
+	MinBackoff       time.Duration
+	MaxBackoff       time.Duration
+	MaxDriftPPM      int  // maximum deviation of a host's clock, in millionths
+	PollersPerDomain int  // hosts per failure domain that read all heartbeats
+	MaxBatchSize     int  // maximum number of hosts in one heartbeat object
+	MaxSmallFleet    int  // with up to this many members every host reads all heartbeats
+	MaxLogChanges    int  // maximum number of changes kept in the head
+	AlwaysPolls      bool // this host reads all heartbeats in a fleet of any size
 }
 
 // withDefaults returns the settings with zero values replaced by defaults.
@@ -77,20 +77,20 @@
 		}
 	}
 	duration(&s.Term, DefaultTerm)
-	duration(&s.Renew, DefaultRenew)
-	duration(&s.Poll, DefaultPoll)
-	duration(&s.Margin, DefaultMargin)
+	duration(&s.RenewInterval, DefaultRenewInterval)
+	duration(&s.PollInterval, DefaultPollInterval)
+	duration(&s.FenceMargin, DefaultFenceMargin)
 	duration(&s.SuspectAfter, DefaultSuspectAfter)
 	duration(&s.Stagger, DefaultStagger)
 	duration(&s.CallTimeout, DefaultCallTimeout)
 	duration(&s.WatchTimeout, DefaultWatchTimeout)
-	duration(&s.BackoffMin, DefaultBackoffMin)
-	duration(&s.BackoffMax, DefaultBackoffMax)
-	count(&s.DriftPPM, DefaultDriftPPM)
-	count(&s.Pollers, DefaultPollers)
-	count(&s.BatchSize, DefaultBatchSize)
-	count(&s.SmallFleet, DefaultSmallFleet)
-	count(&s.Log, DefaultLog)
+	duration(&s.MinBackoff, DefaultMinBackoff)
+	duration(&s.MaxBackoff, DefaultMaxBackoff)
+	count(&s.MaxDriftPPM, DefaultMaxDriftPPM)
+	count(&s.PollersPerDomain, DefaultPollersPerDomain)
+	count(&s.MaxBatchSize, DefaultMaxBatchSize)
+	count(&s.MaxSmallFleet, DefaultMaxSmallFleet)
+	count(&s.MaxLogChanges, DefaultMaxLogChanges)
 	return s
 }
 
@@ -99,6 +99,6 @@
 // be slow and this one fast, each by the maximum drift.
 func (s Settings) fenceAfter() time.Duration {
 	const million = 1_000_000
-	drift := s.Term * time.Duration(3*s.DriftPPM) / million
-	return s.Term + drift + s.Margin
+	drift := s.Term * time.Duration(3*s.MaxDriftPPM) / million
+	return s.Term + drift + s.FenceMargin
 }
--- a/internal/core/lease/shards.go
+++ b/internal/core/lease/shards.go
@@ -13,7 +13,7 @@
 	active    []core.HostID // members that are not leaving, sorted
 	dirty     bool          // this host's rights may have changed
 	leaseHeld bool          // the lease was valid at the last updateRights
-	changes   []Change
+	changes   []RightChange
 }
 
 // shard is one shard's owner and this host's right to it.
@@ -29,22 +29,22 @@
 	claimView          uint64 // view from which a received handoff lets this host act; 0 if none
 }
 
-// ChangeKind is the kind of a change of this host's right to a shard.
-type ChangeKind uint8
+// RightChangeKind is the kind of a change of this host's right to a shard.
+type RightChangeKind uint8
 
 // Kinds of change.
 const (
-	Gained    ChangeKind = iota + 1 // this host may act
-	Lost                            // this host may not act; there is no host to hand over to
-	Departing                       // this host may not act; call HandOver with the shard's state
-	State                           // the previous owner has handed over its state
+	RightGained   RightChangeKind = iota + 1 // this host may act
+	RightLost                                // this host may not act; there is no host to hand over to
+	HandoffNeeded                            // this host may not act; call HandOver with the shard's state
+	StateReceived                            // the previous owner has handed over its state
 )
 
-// Change is a change of this host's right to a shard, or the arrival of its
+// RightChange is a change of this host's right to a shard, or the arrival of its
 // state.
-type Change struct {
+type RightChange struct {
 	Shard core.Shard
-	Kind  ChangeKind
+	Kind  RightChangeKind
 	Host  core.HostID // of Departing: the new owner; of State: the sender
 	View  uint64
 	State []byte // of State
@@ -70,14 +70,14 @@
 	}
 	for _, s := range t.list {
 		if keep[s.id] == nil && s.acting {
-			t.changes = append(t.changes, Change{Shard: s.id, Kind: Lost, View: m.head.Version})
+			t.changes = append(t.changes, RightChange{Shard: s.id, Kind: RightLost, View: m.head.Version})
 		}
 	}
 	t.index, t.list, t.dirty = keep, list, true
 }
 
 // Changes returns the changes since the last call.
-func (m *Machine) Changes() []Change {
+func (m *Machine) Changes() []RightChange {
 	c := m.shards.changes
 	m.shards.changes = nil
 	return c
@@ -180,13 +180,13 @@
 
 // mayAct reports whether this host may act on a shard now.
 func (m *Machine) mayAct(now core.Instant, s *shard) bool {
-	return s.owner == m.Self() && (s.predecessorStopped || s.ownerSince <= m.lowestApplied) && m.Holding(now)
+	return s.owner == m.Self() && (s.predecessorStopped || s.ownerSince <= m.lowestApplied) && m.HasLease(now)
 }
 
 // updateRights records the changes of rights for Changes.
 func (m *Machine) updateRights(now core.Instant) {
 	t := &m.shards
-	held := m.Holding(now)
+	held := m.HasLease(now)
 	if !t.dirty && held == t.leaseHeld {
 		return
 	}
@@ -198,11 +198,11 @@
 		}
 		s.heldAtExpiry = s.acting && !held && s.owner == m.Self() && !m.identityLost && !m.released
 		s.acting = acting
-		kind := Lost
+		kind := RightLost
 		if acting {
-			kind, s.heldAtExpiry = Gained, false
+			kind, s.heldAtExpiry = RightGained, false
 		}
-		t.changes = append(t.changes, Change{Shard: s.id, Kind: kind, View: m.head.Version})
+		t.changes = append(t.changes, RightChange{Shard: s.id, Kind: kind, View: m.head.Version})
 	}
 }
 
@@ -232,5 +232,5 @@
 	if s == nil || m.identityLost || m.released || m.releasing || s.owner != m.Self() {
 		return false
 	}
-	return m.mayAct(now, s) || ((s.heldAtExpiry || s.acting) && m.Outage(now))
+	return m.mayAct(now, s) || ((s.heldAtExpiry || s.acting) && m.StoreOutage(now))
 }
--- a/internal/core/node/leaving.go
+++ b/internal/core/node/leaving.go
@@ -36,7 +36,7 @@
 // shutdown aborts no request in flight before the drain time is over.
 func (n *Node) advanceLeave() {
 	l := &n.leaving
-	if n.lease.Lost() && !l.closed {
+	if n.lease.IdentityLost() && !l.closed {
 		n.logDecision("leave", "fenced", "")
 		l.started, l.closed, l.startedAt = true, true, n.now
 	}
@@ -72,13 +72,13 @@
 		n.applyLimitResult(n.limit.Leave(n.now, n.lease))
 	}
 	timedOut := n.now.Sub(l.drainedAt) >= releaseTimeout
-	if n.lease.Departures() == 0 && !n.lease.Lost() && !n.lease.Left() {
+	if n.lease.PendingHandoffs() == 0 && !n.lease.IdentityLost() && !n.lease.Released() {
 		n.applyLeaseOutput(n.lease.Release(n.now))
 	}
-	if n.lease.Left() || n.lease.Lost() || timedOut {
+	if n.lease.Released() || n.lease.IdentityLost() || timedOut {
 		l.completed = true
 		n.logDecision("leave", "left", "")
-		n.emit(Left{Fenced: n.lease.Lost()})
+		n.emit(Left{Fenced: n.lease.IdentityLost()})
 	}
 }
 
--- a/internal/core/node/outputs.go
+++ b/internal/core/node/outputs.go
@@ -49,7 +49,7 @@
 	r.Tag = c.tag
 	switch c.machine {
 	case machineLease:
-		n.applyLeaseOutput(n.lease.Object(n.now, r))
+		n.applyLeaseOutput(n.lease.HandleObject(n.now, r))
 	case machineFeed:
 		n.applyFeedOutput(n.feed.Object(n.now, r))
 	case machineLimit:
--- a/internal/core/node/peer.go
+++ b/internal/core/node/peer.go
@@ -23,7 +23,7 @@
 	m := e.Message
 	switch {
 	case m.Lease != nil:
-		n.applyLeaseOutput(n.lease.Peer(n.now, e.From, *m.Lease))
+		n.applyLeaseOutput(n.lease.HandleMessage(n.now, e.From, *m.Lease))
 	case m.Feed != nil:
 		n.applyFeedOutput(n.feed.Peer(n.now, e.From, *m.Feed))
 	case m.Limit != nil:
--- a/internal/core/node/propagate.go
+++ b/internal/core/node/propagate.go
@@ -75,9 +75,9 @@
 func (n *Node) applyMembership(e feed.Entry) {
 	switch e.Key.Name {
 	case keyHead:
-		n.applyLeaseOutput(n.lease.Learn(n.now, e.Value, 0))
+		n.applyLeaseOutput(n.lease.ApplyHead(n.now, e.Value, 0))
 	case keySettled:
-		n.applyLeaseOutput(n.lease.Learn(n.now, nil, uint64(e.Stamp.Fence)))
+		n.applyLeaseOutput(n.lease.ApplyHead(n.now, nil, uint64(e.Stamp.Fence)))
 	}
 }
 
@@ -126,7 +126,7 @@
 		n.handleLostHosts()
 		n.publishRaw(feed.Key{Topic: feed.TopicMembers, Name: keyHead}, feed.Stamp{Fence: core.Fence(v)}, n.lease.Head())
 	}
-	if s := n.lease.Settled(); s > n.propagated.lowestApplied {
+	if s := n.lease.LowestAppliedView(); s > n.propagated.lowestApplied {
 		n.propagated.lowestApplied = s
 		n.publishRaw(feed.Key{Topic: feed.TopicMembers, Name: keySettled}, feed.Stamp{Fence: core.Fence(s)}, nil)
 	}
@@ -156,19 +156,19 @@
 	for _, c := range n.lease.Changes() {
 		n.logDecision("shard", changeReasons[c.Kind], "")
 		switch c.Kind {
-		case lease.Departing:
-			n.applyLeaseOutput(n.lease.HandOver(n.now, c.Shard, n.releaseShard(c.Shard)))
-		case lease.State:
+		case lease.HandoffNeeded:
+			n.applyLeaseOutput(n.lease.HandOff(n.now, c.Shard, n.releaseShard(c.Shard)))
+		case lease.StateReceived:
 			n.adoptShard(c)
 		}
 	}
 }
 
-var changeReasons = map[lease.ChangeKind]string{
-	lease.Gained:    "gained",
-	lease.Lost:      "lost",
-	lease.Departing: "departing",
-	lease.State:     "adopted",
+var changeReasons = map[lease.RightChangeKind]string{
+	lease.RightGained:   "gained",
+	lease.RightLost:     "lost",
+	lease.HandoffNeeded: "departing",
+	lease.StateReceived: "adopted",
 }
 
 // releaseShard stops acting for a shard and returns its state for the next owner.
@@ -179,7 +179,7 @@
 	return n.placement.HandOff(n.now, s)
 }
 
-func (n *Node) adoptShard(c lease.Change) {
+func (n *Node) adoptShard(c lease.RightChange) {
 	if c.Shard.Kind == core.ShardWorkspace {
 		n.limit.Adopt(n.now, core.WorkspaceID(c.Shard.Name), c.State, c.Host)
 		return
--- a/internal/measure/membership/bench_test.go
+++ b/internal/measure/membership/bench_test.go
@@ -36,7 +36,7 @@
 
 func BenchmarkMemberTick(b *testing.B) {
 	f := fleet350()
-	h := pick(f, func(h *Host) bool { return !h.Lease.Polls() && !h.Feed.Watches() })
+	h := pick(f, func(h *Host) bool { return !h.Lease.IsPoller() && !h.Feed.Watches() })
 	now := h.Local(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -47,26 +47,26 @@
 
 func BenchmarkLeaderHeartbeat(b *testing.B) {
 	f := fleet350()
-	h := pick(f, func(h *Host) bool { return h.Lease.Leads() })
+	h := pick(f, func(h *Host) bool { return h.Lease.IsBatchLeader() })
 	now, seq := h.Local(f.Now), uint64(1<<40)
 	b.ReportAllocs()
 	for b.Loop() {
 		seq++
-		h.Lease.Peer(now, "peer", lease.Message{Heartbeat: &lease.Heartbeat{Number: 5, Seq: seq, View: 1}})
+		h.Lease.HandleMessage(now, "peer", lease.Message{Heartbeat: &lease.Heartbeat{Number: 5, Seq: seq, View: 1}})
 	}
 }
 
 func BenchmarkPollerReadsAllHeartbeats(b *testing.B) {
 	f := fleet350()
-	h := pick(f, func(h *Host) bool { return h.Lease.Polls() })
-	objects := f.Store.newer(lease.BeatsPrefix, 0)
+	h := pick(f, func(h *Host) bool { return h.Lease.IsPoller() })
+	objects := f.Store.newer(lease.HeartbeatsPrefix, 0)
 	now := h.Local(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(3 * time.Second)
 		for _, c := range h.Lease.Tick(now).Calls {
 			if c.Op == core.ObjectList {
-				h.Lease.Object(now, core.ObjectResult{Tag: c.Tag, Status: core.ObjectOK, Objects: objects})
+				h.Lease.HandleObject(now, core.ObjectResult{Tag: c.Tag, Status: core.ObjectOK, Objects: objects})
 			}
 		}
 	}
@@ -92,23 +92,23 @@
 
 func BenchmarkViewChange(b *testing.B) {
 	f := fleet350()
-	h := pick(f, func(h *Host) bool { return !h.Lease.Polls() })
+	h := pick(f, func(h *Host) bool { return !h.Lease.IsPoller() })
 	head, _ := lease.DecodeHead(h.Lease.Head())
 	h.Lease.SetShards(shardsOf(700))
 	now := h.Local(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
 		head.Version++
-		head.Log = []lease.MemberChange{{Version: head.Version, Kind: lease.Marked, Host: "nobody"}}
+		head.Log = []lease.MemberChange{{Version: head.Version, Kind: lease.MarkedLeaving, Host: "nobody"}}
 		head.LogFrom = head.Version
 		value, _ := lease.EncodeHead(head)
-		h.Lease.Learn(now, value, 0)
+		h.Lease.ApplyHead(now, value, 0)
 	}
 }
 
 func BenchmarkActing(b *testing.B) {
 	f := fleet350()
-	h := pick(f, func(h *Host) bool { return !h.Lease.Polls() })
+	h := pick(f, func(h *Host) bool { return !h.Lease.IsPoller() })
 	shards := shardsOf(700)
 	h.Lease.SetShards(shards)
 	now := h.Local(f.Now)
--- a/internal/measure/membership/fleet.go
+++ b/internal/measure/membership/fleet.go
@@ -67,8 +67,8 @@
 	Store    int // bytes of object calls
 	Messages int
 	Steps    int
-	Given    func(lease.Change) []byte // state for a departing shard
-	Took     []lease.Change
+	Given    func(lease.RightChange) []byte // state for a departing shard
+	Took     []lease.RightChange
 }
 
 // Local is the host's clock at a real time.
@@ -204,14 +204,14 @@
 func (f *Fleet) changes(h *Host) {
 	for _, c := range h.Lease.Changes() {
 		switch c.Kind {
-		case lease.Departing:
+		case lease.HandoffNeeded:
 			f.claims(h)
 			var state []byte
 			if h.Given != nil {
 				state = h.Given(c)
 			}
-			f.apply(h, h.Lease.HandOver(h.Local(f.Now), c.Shard, state))
-		case lease.State:
+			f.apply(h, h.Lease.HandOff(h.Local(f.Now), c.Shard, state))
+		case lease.StateReceived:
 			h.Took = append(h.Took, c)
 		}
 	}
@@ -236,7 +236,7 @@
 
 func (f *Fleet) apply(h *Host, out lease.Output) {
 	for _, c := range out.Calls {
-		f.object(h, c, func(now core.Instant, r core.ObjectResult) { f.apply(h, h.Lease.Object(now, r)) })
+		f.object(h, c, func(now core.Instant, r core.ObjectResult) { f.apply(h, h.Lease.HandleObject(now, r)) })
 	}
 	for i := range out.Sends {
 		f.send(h, out.Sends[i].To, Packet{Lease: &out.Sends[i].Message})
@@ -262,7 +262,7 @@
 	now := h.Local(f.Now)
 	for _, e := range h.Feed.Changed() {
 		if e.Key == headKey {
-			f.apply(h, h.Lease.Learn(now, e.Value, 0))
+			f.apply(h, h.Lease.ApplyHead(now, e.Value, 0))
 		}
 	}
 	if h.coupled == h.Lease.View() || !h.Lease.Joined() {
@@ -310,7 +310,7 @@
 
 func (f *Fleet) receive(t *Host, now core.Instant, from core.HostID, p Packet) {
 	if p.Lease != nil {
-		f.apply(t, t.Lease.Peer(now, from, *p.Lease))
+		f.apply(t, t.Lease.HandleMessage(now, from, *p.Lease))
 	}
 	if p.Feed != nil {
 		f.Apply(t, t.Feed.Peer(now, from, *p.Feed))
--- a/internal/wiring/convert.go
+++ b/internal/wiring/convert.go
@@ -59,7 +59,7 @@
 
 func nodeSettings(h *settings.Host) node.Settings {
 	return node.Settings{
-		Lease:     lease.Settings{Term: h.Timings.LeaseTerm.Value(), Renew: h.Timings.LeaseRenew.Value()},
+		Lease:     lease.Settings{Term: h.Timings.LeaseTerm.Value(), RenewInterval: h.Timings.LeaseRenew.Value()},
 		Feed:      feed.Settings{Ping: h.Timings.FeedPing.Value(), Read: h.Timings.FeedRead.Value(), Bound: h.Timings.FeedBound.Value()},
 		PollEvery: h.Timings.Poll.Value(),
 		ListEvery: h.Timings.List.Value(),
