--- a/internal/core/feed/faults_test.go
+++ b/internal/core/feed/faults_test.go
@@ -57,7 +57,7 @@
 		isolated := hosts[1]
 		f.Fault = dropStore(func(h *membership.Host) bool { return h == isolated })
 		f.Link = func(a, b *membership.Host) (bool, bool) { return a == isolated || b == isolated, false }
-		f.Run(feed.DefaultBound + 200*time.Millisecond)
+		f.Run(feed.DefaultFreshnessBound + 200*time.Millisecond)
 		is.True(isolated.Feed.CutOff(isolated.Local(f.Now)))
 		f.Run(5 * time.Minute)
 		is.True(isolated.Feed.CutOff(isolated.Local(f.Now)))
@@ -73,7 +73,7 @@
 	inside := func(h *membership.Host) bool { return h.Member.Domain == "r1-b" }
 	f.Fault = dropStore(inside)
 	f.Link = func(a, b *membership.Host) (bool, bool) { return inside(a) != inside(b), false }
-	f.Run(feed.DefaultBound + time.Second)
+	f.Run(feed.DefaultFreshnessBound + time.Second)
 	is.Equal(cutOff(f, hosts), 10)
 	for _, h := range hosts {
 		is.Equal(h.Feed.CutOff(h.Local(f.Now)), inside(h))
@@ -95,7 +95,7 @@
 	f, hosts := start(7, 30, 3)
 	var killed int
 	for _, h := range hosts {
-		if h.Member.Domain == "r1-a" && h.Feed.Watches() {
+		if h.Member.Domain == "r1-a" && h.Feed.IsWatcher() {
 			f.Kill(h)
 			killed++
 		}
@@ -108,7 +108,7 @@
 	f.Run(12 * time.Second)
 	watching := 0
 	for _, h := range hosts {
-		if !h.Dead && h.Member.Domain == "r1-a" && h.Feed.Watches() {
+		if !h.Dead && h.Member.Domain == "r1-a" && h.Feed.IsWatcher() {
 			watching++
 		}
 	}
@@ -183,7 +183,7 @@
 	_, ok := isolated.Feed.Get(k)
 	is.Equal(ok, false)
 	f.Link = nil
-	f.Run(feed.DefaultRepair + 10*time.Second)
+	f.Run(feed.DefaultRepairInterval + 10*time.Second)
 	is.Equal(isolated.Lease.IdentityLost(), false) // it wrote its own heartbeats meanwhile
 	_, ok = isolated.Feed.Get(k)
 	is.True(ok)
@@ -196,7 +196,7 @@
 	f.Run(3 * time.Second)
 	var slow *membership.Host // the host with the most children that is not a watcher
 	for _, h := range hosts {
-		if !h.Feed.Watches() && (slow == nil || h.Messages > slow.Messages) {
+		if !h.Feed.IsWatcher() && (slow == nil || h.Messages > slow.Messages) {
 			slow = h
 		}
 	}
@@ -226,7 +226,7 @@
 		is.True(ok)
 	}
 	f.Kill(hosts[3])
-	f.Run(feed.DefaultRepair * 3)
+	f.Run(feed.DefaultRepairInterval * 3)
 	for _, h := range hosts {
 		_, ok := h.Feed.Get(k)
 		is.Equal(ok, h.Dead)
--- a/internal/core/feed/feed.go
+++ b/internal/core/feed/feed.go
@@ -30,20 +30,20 @@
 
 // Sizes of messages and default settings.
 const (
-	MaxMessage = 64 << 10 // bytes
-	MaxValue   = 56 << 10 // bytes of one value
-	PartSize   = 16 << 10 // bytes of one part of a chunk
-
-	DefaultFlush       = 150 * time.Millisecond // between messages on one link
-	DefaultPing        = 500 * time.Millisecond
-	DefaultRead        = 1500 * time.Millisecond // between reads of the configuration's head
-	DefaultBound       = 5 * time.Second         // a host without freshness for so long is cut off
-	DefaultMesh        = 16                      // with up to this many members, hosts send directly
-	DefaultFanOut      = 4                       // children of a host in its failure domain
-	DefaultWatchers    = 2                       // hosts per failure domain that watch the object API
-	DefaultCallTimeout = 2 * time.Second
-	DefaultWatchWait   = 45 * time.Second
-	DefaultRepair      = 20 * time.Second // between repairs of one link
+	MaxMessageBytes = 64 << 10 // bytes
+	MaxValueBytes   = 56 << 10 // bytes of one value
+	MaxPartBytes    = 16 << 10 // bytes of one part of a chunk
+
+	DefaultFlushInterval     = 150 * time.Millisecond // between messages on one link
+	DefaultPingInterval      = 500 * time.Millisecond
+	DefaultHeadReadInterval  = 1500 * time.Millisecond // between reads of the configuration's head
+	DefaultFreshnessBound    = 5 * time.Second         // a host without freshness for so long is cut off
+	DefaultMaxMesh           = 16                      // with up to this many members, hosts send directly
+	DefaultFanOut            = 4                       // children of a host in its failure domain
+	DefaultWatchersPerDomain = 2                       // hosts per failure domain that watch the object API
+	DefaultCallTimeout       = 2 * time.Second
+	DefaultWatchTimeout      = 45 * time.Second
+	DefaultRepairInterval    = 20 * time.Second // between repairs of one link
 )
 
 // Topic groups keys.
@@ -87,17 +87,17 @@
 // Settings configure the machine of one host; the defaults of the same names say
 // what they mean. Zero means the default.
 type Settings struct {
-	Self        core.Member
-	Flush       time.Duration
-	Ping        time.Duration
-	Read        time.Duration
-	Bound       time.Duration
-	CallTimeout time.Duration
-	WatchWait   time.Duration
-	Repair      time.Duration
-	Mesh        int
-	FanOut      int
-	Watchers    int
+	Self              core.Member
+	FlushInterval     time.Duration
+	PingInterval      time.Duration
+	HeadReadInterval  time.Duration
+	FreshnessBound    time.Duration
+	CallTimeout       time.Duration
+	WatchTimeout      time.Duration
+	RepairInterval    time.Duration
+	MaxMesh           int
+	FanOut            int
+	WatchersPerDomain int
 }
 
 // withDefaults returns the settings with zero values replaced by defaults.
@@ -112,16 +112,16 @@
 			*n = def
 		}
 	}
-	duration(&s.Flush, DefaultFlush)
-	duration(&s.Ping, DefaultPing)
-	duration(&s.Read, DefaultRead)
-	duration(&s.Bound, DefaultBound)
+	duration(&s.FlushInterval, DefaultFlushInterval)
+	duration(&s.PingInterval, DefaultPingInterval)
+	duration(&s.HeadReadInterval, DefaultHeadReadInterval)
+	duration(&s.FreshnessBound, DefaultFreshnessBound)
 	duration(&s.CallTimeout, DefaultCallTimeout)
-	duration(&s.WatchWait, DefaultWatchWait)
-	duration(&s.Repair, DefaultRepair)
-	count(&s.Mesh, DefaultMesh)
+	duration(&s.WatchTimeout, DefaultWatchTimeout)
+	duration(&s.RepairInterval, DefaultRepairInterval)
+	count(&s.MaxMesh, DefaultMaxMesh)
 	count(&s.FanOut, DefaultFanOut)
-	count(&s.Watchers, DefaultWatchers)
+	count(&s.WatchersPerDomain, DefaultWatchersPerDomain)
 	return s
 }
 
@@ -169,15 +169,15 @@
 	return m.finish(now)
 }
 
-// Object handles the result of an object call.
-func (m *Machine) Object(now core.Instant, r core.ObjectResult) Output {
+// HandleObject handles the result of an object call.
+func (m *Machine) HandleObject(now core.Instant, r core.ObjectResult) Output {
 	m.result(now, r)
 	return m.finish(now)
 }
 
-// Peer handles a message from another host. Messages may be late, duplicated or
+// HandleMessage handles a message from another host. Messages may be late, duplicated or
 // out of order.
-func (m *Machine) Peer(now core.Instant, from core.HostID, msg Message) Output {
+func (m *Machine) HandleMessage(now core.Instant, from core.HostID, msg Message) Output {
 	switch {
 	case msg.Ping != nil:
 		m.receivePing(now, from, *msg.Ping)
@@ -185,18 +185,18 @@
 		m.receivePong(now, from, *msg.Pong)
 	case msg.Values != nil:
 		m.receiveValues(now, from, *msg.Values)
-	case msg.Got != nil:
-		m.receiveGot(now, from, *msg.Got)
-	case msg.Buckets != nil:
-		m.receiveBuckets(now, from, *msg.Buckets)
+	case msg.ValuesAck != nil:
+		m.receiveGot(now, from, *msg.ValuesAck)
+	case msg.BucketSums != nil:
+		m.receiveBuckets(now, from, *msg.BucketSums)
 	case msg.Digests != nil:
 		m.receiveDigests(now, from, *msg.Digests)
-	case msg.Need != nil:
-		m.receiveNeed(now, from, *msg.Need)
-	case msg.Want != nil:
-		m.receiveWant(now, from, *msg.Want)
-	case msg.Part != nil:
-		m.receivePart(now, from, *msg.Part)
+	case msg.ValuesRequest != nil:
+		m.receiveNeed(now, from, *msg.ValuesRequest)
+	case msg.ChunkRequest != nil:
+		m.receiveWant(now, from, *msg.ChunkRequest)
+	case msg.ChunkPart != nil:
+		m.receivePart(now, from, *msg.ChunkPart)
 	}
 	return m.finish(now)
 }
@@ -205,7 +205,7 @@
 // stamp may set a key; a stamp that is not newer than the present one changes
 // nothing. It returns ErrTooLarge if the value doesn't fit into one message.
 func (m *Machine) Set(now core.Instant, k Key, s Stamp, v []byte) (Output, error) {
-	if len(v)+len(k.Name) > MaxValue {
+	if len(v)+len(k.Name) > MaxValueBytes {
 		return Output{}, Error.Wrap(ErrTooLarge)
 	}
 	m.apply(now, Entry{Key: k, Stamp: s, Value: v}, "")
@@ -221,8 +221,8 @@
 	return v.entry, true
 }
 
-// Topic returns all values of a topic, sorted by name.
-func (m *Machine) Topic(t Topic) []Entry {
+// TopicEntries returns all values of a topic, sorted by name.
+func (m *Machine) TopicEntries(t Topic) []Entry {
 	var list []Entry
 	for k, v := range m.values {
 		if k.Topic == t {
@@ -233,8 +233,8 @@
 	return list
 }
 
-// Changed returns the values received from other hosts since the last call.
-func (m *Machine) Changed() []Entry {
+// TakeChanged returns the values received from other hosts since the last call.
+func (m *Machine) TakeChanged() []Entry {
 	c := m.changed
 	m.changed = nil
 	return c
--- a/internal/core/feed/feed_test.go
+++ b/internal/core/feed/feed_test.go
@@ -102,6 +102,6 @@
 		is.True(ok)
 		is.Equal(string(e.Value), "49")
 	}
-	_, err := hosts[0].Feed.Set(0, k, feed.Stamp{Fence: 9}, make([]byte, feed.MaxValue+1))
+	_, err := hosts[0].Feed.Set(0, k, feed.Stamp{Fence: 9}, make([]byte, feed.MaxValueBytes+1))
 	is.True(feed.Error.Has(err))
 }
--- a/internal/core/feed/fetch.go
+++ b/internal/core/feed/fetch.go
@@ -136,7 +136,7 @@
 			}
 		}
 		if h, ok := m.chunkSource(f.requests); ok {
-			m.out.Send(h, Message{Want: &Want{Hash: f.hash, Offset: len(f.data)}})
+			m.out.Send(h, Message{ChunkRequest: &ChunkRequest{Hash: f.hash, Offset: len(f.data)}})
 		}
 	}
 }
@@ -155,7 +155,7 @@
 }
 
 // receiveWant sends part of a chunk, or records who is waiting for it.
-func (m *Machine) receiveWant(_ core.Instant, from core.HostID, w Want) {
+func (m *Machine) receiveWant(_ core.Instant, from core.HostID, w ChunkRequest) {
 	if data := m.conf.chunks[w.Hash]; data != nil {
 		m.sendPart(from, w.Hash, data, w.Offset)
 		return
@@ -171,12 +171,12 @@
 	if offset < 0 || offset > len(data) {
 		return
 	}
-	end := min(offset+PartSize, len(data))
-	m.out.Send(to, Message{Part: &Part{Hash: hash, Offset: offset, Total: len(data), Data: data[offset:end]}})
+	end := min(offset+MaxPartBytes, len(data))
+	m.out.Send(to, Message{ChunkPart: &ChunkPart{Hash: hash, Offset: offset, Total: len(data), Data: data[offset:end]}})
 }
 
 // receivePart handles a part of a chunk and requests the next one.
-func (m *Machine) receivePart(now core.Instant, from core.HostID, p Part) {
+func (m *Machine) receivePart(now core.Instant, from core.HostID, p ChunkPart) {
 	f := m.conf.find(p.Hash)
 	const maxChunkBytes = 1 << 20 // bytes, the object API's limit for a value
 	if f == nil || p.Offset != len(f.data) || p.Total > maxChunkBytes {
@@ -189,7 +189,7 @@
 		return
 	}
 	f.requested, f.requestedAt = true, now
-	m.out.Send(from, Message{Want: &Want{Hash: p.Hash, Offset: len(f.data)}})
+	m.out.Send(from, Message{ChunkRequest: &ChunkRequest{Hash: p.Hash, Offset: len(f.data)}})
 }
 
 // storeChunk stores a chunk if its content has the right hash, and sends its
--- a/internal/core/feed/freshness.go
+++ b/internal/core/feed/freshness.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// Freshness returns the instant as of which the configuration in force is known
+// FreshAsOf returns the instant as of which the configuration in force is known
 // to have been the newest. It returns false if that was never known.
-func (m *Machine) Freshness() (core.Instant, bool) {
+func (m *Machine) FreshAsOf() (core.Instant, bool) {
 	return m.freshness.currentAsOf, m.freshness.everCurrent
 }
 
@@ -57,7 +57,7 @@
 // all hosts (see OutageForAll). A host that never had a newest configuration is
 // cut off.
 func (m *Machine) CutOff(now core.Instant) bool {
-	if m.freshness.everCurrent && now.Sub(m.freshness.currentAsOf) <= m.settings.Bound {
+	if m.freshness.everCurrent && now.Sub(m.freshness.currentAsOf) <= m.settings.FreshnessBound {
 		return false
 	}
 	return !m.freshness.everCurrent || !m.OutageForAll(now)
@@ -70,7 +70,7 @@
 	down := map[core.Domain]bool{}
 	for _, o := range m.tree.members {
 		v := m.values[Key{Topic: TopicStatus, Name: string(o.Host)}]
-		if v != nil && now.Sub(v.receivedAt) <= m.settings.Bound {
+		if v != nil && now.Sub(v.receivedAt) <= m.settings.FreshnessBound {
 			down[o.Domain] = true
 		}
 	}
--- a/internal/core/feed/link.go
+++ b/internal/core/feed/link.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		n := len(v.entry.Value) + len(k.Name) + overhead
-		if bytes+n > MaxMessage && len(entries) > 0 {
+		if bytes+n > MaxMessageBytes && len(entries) > 0 {
 			break
 		}
 		bytes += n
@@ -161,7 +161,7 @@
 	}
 	l.seq++
 	l.urgent = false
-	l.sentAt, l.nextFlush = now, now.Add(m.settings.Flush)
+	l.sentAt, l.nextFlush = now, now.Add(m.settings.FlushInterval)
 	m.out.Send(l.host, Message{Values: &Values{Seq: l.seq, Entries: entries}})
 }
 
@@ -177,15 +177,15 @@
 			l.queue = slices.DeleteFunc(l.queue, func(k Key) bool { return k == e.Key })
 		}
 	}
-	m.out.Send(from, Message{Got: &Got{Seq: v.Seq}})
+	m.out.Send(from, Message{ValuesAck: &ValuesAck{Seq: v.Seq}})
 }
 
 // receiveGot handles the acknowledgement of the message in flight.
-func (m *Machine) receiveGot(_ core.Instant, from core.HostID, g Got) {
+func (m *Machine) receiveGot(_ core.Instant, from core.HostID, g ValuesAck) {
 	if l := m.findLink(from); l != nil && g.Seq == l.seq {
 		l.inFlight, l.resends = nil, 0
 	}
 }
 
-// Links returns the number of this host's neighbours, for the metrics.
-func (m *Machine) Links() int { return len(m.links) }
+// LinkCount returns the number of this host's neighbours, for the metrics.
+func (m *Machine) LinkCount() int { return len(m.links) }
--- a/internal/core/feed/messages.go
+++ b/internal/core/feed/messages.go
@@ -8,33 +8,33 @@
 
 // Message is a feed message between hosts; exactly one field is set.
 type Message struct {
-	Ping    *Ping    `cbor:"1,keyasint,omitempty"`
-	Pong    *Pong    `cbor:"2,keyasint,omitempty"`
-	Values  *Values  `cbor:"3,keyasint,omitempty"`
-	Got     *Got     `cbor:"4,keyasint,omitempty"`
-	Buckets *Buckets `cbor:"5,keyasint,omitempty"`
-	Digests *Digests `cbor:"6,keyasint,omitempty"`
-	Need    *Need    `cbor:"7,keyasint,omitempty"`
-	Want    *Want    `cbor:"8,keyasint,omitempty"`
-	Part    *Part    `cbor:"9,keyasint,omitempty"`
+	Ping          *Ping          `cbor:"1,keyasint,omitempty"`
+	Pong          *Pong          `cbor:"2,keyasint,omitempty"`
+	Values        *Values        `cbor:"3,keyasint,omitempty"`
+	ValuesAck     *ValuesAck     `cbor:"4,keyasint,omitempty"`
+	BucketSums    *BucketSums    `cbor:"5,keyasint,omitempty"`
+	Digests       *Digests       `cbor:"6,keyasint,omitempty"`
+	ValuesRequest *ValuesRequest `cbor:"7,keyasint,omitempty"`
+	ChunkRequest  *ChunkRequest  `cbor:"8,keyasint,omitempty"`
+	ChunkPart     *ChunkPart     `cbor:"9,keyasint,omitempty"`
 }
 
 // Ping is sent by a host to its parent and makes it the parent's child.
 type Ping struct {
-	Echo    int64  `cbor:"1,keyasint"`           // the sender's clock; returned in the Pong
-	Sum     uint64 `cbor:"2,keyasint"`           // over all keys and stamps
-	Version uint64 `cbor:"3,keyasint,omitempty"` // newest configuration that the sender has received a head of
+	Echo          int64  `cbor:"1,keyasint"`           // the sender's clock; returned in the Pong
+	Sum           uint64 `cbor:"2,keyasint"`           // over all keys and stamps
+	ConfigVersion uint64 `cbor:"3,keyasint,omitempty"` // newest configuration that the sender has received a head of
 }
 
 // Pong answers a Ping. Age before it was sent, Version was the newest
 // configuration; Known is false if the sender has never learned which is the
 // newest.
 type Pong struct {
-	Echo    int64         `cbor:"1,keyasint"`
-	Sum     uint64        `cbor:"2,keyasint"`
-	Known   bool          `cbor:"3,keyasint,omitempty"`
-	Version uint64        `cbor:"4,keyasint,omitempty"`
-	Age     time.Duration `cbor:"5,keyasint,omitempty"`
+	Echo          int64         `cbor:"1,keyasint"`
+	Sum           uint64        `cbor:"2,keyasint"`
+	VersionKnown  bool          `cbor:"3,keyasint,omitempty"`
+	NewestVersion uint64        `cbor:"4,keyasint,omitempty"`
+	VersionAge    time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
 // Values carries changed values. Seq counts the messages of one link.
@@ -43,21 +43,21 @@
 	Entries []Entry `cbor:"2,keyasint"`
 }
 
-// Got acknowledges Values, so that the next message may be sent.
-type Got struct {
+// ValuesAck acknowledges Values, so that the next message may be sent.
+type ValuesAck struct {
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
-// Buckets starts a repair. It holds the sums of the sender's values by bucket.
-type Buckets struct {
+// BucketSums starts a repair. It holds the sums of the sender's values by bucket.
+type BucketSums struct {
 	Sums []uint64 `cbor:"1,keyasint"`
 }
 
 // Digests lists the keys and stamps of the sender's values in the buckets that
 // differ.
 type Digests struct {
-	Buckets uint64   `cbor:"1,keyasint"` // bit set of the buckets that differ
-	Items   []Digest `cbor:"2,keyasint"`
+	BucketBits uint64   `cbor:"1,keyasint"` // bit set of the buckets that differ
+	Items      []Digest `cbor:"2,keyasint"`
 }
 
 // Digest is the hash of a key and its stamp.
@@ -68,19 +68,19 @@
 	Seq   uint64
 }
 
-// Need requests the values of keys, given by their hashes.
-type Need struct {
+// ValuesRequest requests the values of keys, given by their hashes.
+type ValuesRequest struct {
 	IDs []uint64 `cbor:"1,keyasint"`
 }
 
-// Want requests a chunk of the configuration from an offset on.
-type Want struct {
+// ChunkRequest requests a chunk of the configuration from an offset on.
+type ChunkRequest struct {
 	Hash   string `cbor:"1,keyasint"`
 	Offset int    `cbor:"2,keyasint"`
 }
 
-// Part is a part of a chunk of the configuration.
-type Part struct {
+// ChunkPart is a part of a chunk of the configuration.
+type ChunkPart struct {
 	Hash   string `cbor:"1,keyasint"`
 	Offset int    `cbor:"2,keyasint"`
 	Total  int    `cbor:"3,keyasint"`
--- a/internal/core/feed/repair.go
+++ b/internal/core/feed/repair.go
@@ -33,19 +33,19 @@
 func (m *Machine) receivePing(now core.Instant, from core.HostID, p Ping) {
 	l := m.ensureLink(now, from)
 	l.child, l.lastPing = true, now
-	pong := Pong{Echo: p.Echo, Sum: m.valuesSum, Known: m.freshness.known}
+	pong := Pong{Echo: p.Echo, Sum: m.valuesSum, VersionKnown: m.freshness.known}
 	if m.freshness.known {
-		pong.Version, pong.Age = m.freshness.version, now.Sub(m.freshness.asOf)
+		pong.NewestVersion, pong.VersionAge = m.freshness.version, now.Sub(m.freshness.asOf)
 	}
 	m.out.Send(from, Message{Pong: &pong})
-	m.requestHead(from, p.Version)
+	m.requestHead(from, p.ConfigVersion)
 }
 
 // requestHead requests the configuration's head from a neighbour that has a
 // newer one.
 func (m *Machine) requestHead(from core.HostID, version uint64) {
 	if version > m.conf.target.Version {
-		m.out.Send(from, Message{Need: &Need{IDs: []uint64{keyID(headKey)}}})
+		m.out.Send(from, Message{ValuesRequest: &ValuesRequest{IDs: []uint64{keyID(headKey)}}})
 	}
 }
 
@@ -61,11 +61,11 @@
 	if sentAt <= now && now.Sub(sentAt) <= maxPongDelay {
 		l.lastPong = now // a parent that answers late is replaced like an unresponsive one
 	}
-	if p.Known && p.Age >= 0 && sentAt <= now {
-		m.recordNewest(p.Version, sentAt.Add(-p.Age))
+	if p.VersionKnown && p.VersionAge >= 0 && sentAt <= now {
+		m.recordNewest(p.NewestVersion, sentAt.Add(-p.VersionAge))
 	}
-	if p.Known {
-		m.requestHead(from, p.Version)
+	if p.VersionKnown {
+		m.requestHead(from, p.NewestVersion)
 	}
 	m.compareSums(now, l, p.Sum)
 }
@@ -80,26 +80,26 @@
 	if l.differsSince == 0 {
 		l.differsSince = now
 	}
-	overdue := now.Sub(l.differsSince) > repairDelay && now.Sub(l.lastRepair) > m.settings.Repair
+	overdue := now.Sub(l.differsSince) > repairDelay && now.Sub(l.lastRepair) > m.settings.RepairInterval
 	if l.compared && !overdue {
 		return
 	}
 	l.compared, l.lastRepair, l.differsSince = true, now, now
-	m.out.Send(l.host, Message{Buckets: &Buckets{Sums: slices.Clone(m.bucketSums[:])}})
+	m.out.Send(l.host, Message{BucketSums: &BucketSums{Sums: slices.Clone(m.bucketSums[:])}})
 }
 
 // receiveBuckets answers with the keys and stamps in the buckets that differ.
-func (m *Machine) receiveBuckets(_ core.Instant, from core.HostID, b Buckets) {
+func (m *Machine) receiveBuckets(_ core.Instant, from core.HostID, b BucketSums) {
 	if len(b.Sums) != bucketCount {
 		return
 	}
 	var d Digests
 	for i := range b.Sums {
 		if b.Sums[i] != m.bucketSums[i] {
-			d.Buckets |= 1 << i
+			d.BucketBits |= 1 << i
 		}
 	}
-	for _, v := range m.valuesIn(d.Buckets) {
+	for _, v := range m.valuesIn(d.BucketBits) {
 		d.Items = append(d.Items, Digest{ID: v.keyHash, Fence: v.entry.Stamp.Fence, Seq: v.entry.Stamp.Seq})
 	}
 	m.out.Send(from, Message{Digests: &d})
@@ -133,8 +133,8 @@
 	for _, i := range d.Items {
 		theirs[i.ID] = Stamp{Fence: i.Fence, Seq: i.Seq}
 	}
-	var need Need
-	for _, v := range m.valuesIn(d.Buckets) {
+	var need ValuesRequest
+	for _, v := range m.valuesIn(d.BucketBits) {
 		s, has := theirs[v.keyHash]
 		switch {
 		case !has || s.Before(v.entry.Stamp):
@@ -150,12 +150,12 @@
 		}
 	}
 	if len(need.IDs) > 0 {
-		m.out.Send(from, Message{Need: &need})
+		m.out.Send(from, Message{ValuesRequest: &need})
 	}
 }
 
 // receiveNeed marks the requested values as changed on the link to the sender.
-func (m *Machine) receiveNeed(now core.Instant, from core.HostID, n Need) {
+func (m *Machine) receiveNeed(now core.Instant, from core.HostID, n ValuesRequest) {
 	l := m.findLink(from)
 	if l == nil {
 		return
--- a/internal/core/feed/store.go
+++ b/internal/core/feed/store.go
@@ -64,7 +64,7 @@
 		o := m.calls.open[i]
 		timeout := m.settings.CallTimeout
 		if o.kind == callWatch {
-			timeout = m.settings.WatchWait
+			timeout = m.settings.WatchTimeout
 		}
 		if now.Sub(o.sent) <= timeout {
 			i++
@@ -82,7 +82,7 @@
 		return
 	}
 	if now >= m.calls.nextRead && !m.calls.has(callRead, "") {
-		m.calls.nextRead = now.Add(m.settings.Read)
+		m.calls.nextRead = now.Add(m.settings.HeadReadInterval)
 		m.call(now, callRead, "", core.ObjectCall{Op: core.ObjectGet, Key: config.HeadKey})
 	}
 	if now >= m.calls.nextWatch && !m.calls.has(callWatch, "") {
--- a/internal/core/feed/tree.go
+++ b/internal/core/feed/tree.go
@@ -41,7 +41,7 @@
 	}
 	t := &m.tree
 	t.version, t.members = version, slices.Clone(members)
-	t.mesh = len(members) <= m.settings.Mesh
+	t.mesh = len(members) <= m.settings.MaxMesh
 	m.computePlace(now)
 	m.pruneLinks(now)
 	m.pruneOrphans()
@@ -101,7 +101,7 @@
 	t.watchers = map[core.HostID]bool{}
 	for i := range domains {
 		d := &domains[i]
-		for _, h := range d.hosts[:min(m.settings.Watchers, len(d.hosts))] {
+		for _, h := range d.hosts[:min(m.settings.WatchersPerDomain, len(d.hosts))] {
 			t.watchers[h] = true
 		}
 		if firstHosts[d.region] == nil {
@@ -128,7 +128,7 @@
 		}
 	}
 	position := slices.Index(own.hosts, m.settings.Self.Host)
-	t.watcher = position >= 0 && position < m.settings.Watchers
+	t.watcher = position >= 0 && position < m.settings.WatchersPerDomain
 	for p := position; p > 0; {
 		p = (p - 1) / m.settings.FanOut
 		t.candidates = append(t.candidates, own.hosts[p])
@@ -167,8 +167,8 @@
 	return list
 }
 
-// Watches reports whether this host watches the object API.
-func (m *Machine) Watches() bool { return m.tree.watcher }
+// IsWatcher reports whether this host watches the object API.
+func (m *Machine) IsWatcher() bool { return m.tree.watcher }
 
 // maintainTree pings the parents, fails over from an unresponsive one, and
 // drops children that have stopped pinging.
@@ -182,8 +182,8 @@
 			l.parent, l.lastPong, l.compared = true, now, false
 		}
 		if now >= l.nextPing {
-			l.nextPing = now.Add(m.settings.Ping)
-			m.out.Send(h, Message{Ping: &Ping{Echo: int64(now), Sum: m.valuesSum, Version: m.conf.target.Version}})
+			l.nextPing = now.Add(m.settings.PingInterval)
+			m.out.Send(h, Message{Ping: &Ping{Echo: int64(now), Sum: m.valuesSum, ConfigVersion: m.conf.target.Version}})
 		}
 	}
 	keep := m.links[:0]
@@ -208,7 +208,7 @@
 		return
 	}
 	l := m.findLink(t.candidates[t.current%len(t.candidates)])
-	unresponsive := l != nil && l.parent && now.Sub(max(l.lastPong, t.currentSince)) > maxLostPings*m.settings.Ping
+	unresponsive := l != nil && l.parent && now.Sub(max(l.lastPong, t.currentSince)) > maxLostPings*m.settings.PingInterval
 	switch {
 	case unresponsive:
 		t.current, t.currentSince = t.current+1, now
--- a/internal/core/node/outputs.go
+++ b/internal/core/node/outputs.go
@@ -51,7 +51,7 @@
 	case machineLease:
 		n.applyLeaseOutput(n.lease.HandleObject(n.now, r))
 	case machineFeed:
-		n.applyFeedOutput(n.feed.Object(n.now, r))
+		n.applyFeedOutput(n.feed.HandleObject(n.now, r))
 	case machineLimit:
 		n.applyLimitResult(n.limit.Object(n.now, n.lease, r))
 	case machineOnce:
--- a/internal/core/node/peer.go
+++ b/internal/core/node/peer.go
@@ -25,7 +25,7 @@
 	case m.Lease != nil:
 		n.applyLeaseOutput(n.lease.HandleMessage(n.now, e.From, *m.Lease))
 	case m.Feed != nil:
-		n.applyFeedOutput(n.feed.Peer(n.now, e.From, *m.Feed))
+		n.applyFeedOutput(n.feed.HandleMessage(n.now, e.From, *m.Feed))
 	case m.Limit != nil:
 		n.applyLimitResult(n.limit.Peer(n.now, n.lease, e.From, *m.Limit))
 	case m.Placement != nil:
--- a/internal/core/node/propagate.go
+++ b/internal/core/node/propagate.go
@@ -45,7 +45,7 @@
 // propagate passes feed entries, membership, shard changes and configuration from
 // the machine that received them to the others. It runs after every event.
 func (n *Node) propagate() {
-	for _, e := range n.feed.Changed() {
+	for _, e := range n.feed.TakeChanged() {
 		n.applyFeedEntry(e)
 	}
 	n.propagateMembership()
--- a/internal/core/node/read.go
+++ b/internal/core/node/read.go
@@ -82,7 +82,7 @@
 // suspected, sorted.
 func (n *Node) suspected() []core.HostID {
 	all := slices.Clone(n.lease.Suspected(n.now))
-	for _, e := range n.feed.Topic(feed.TopicSuspects) {
+	for _, e := range n.feed.TopicEntries(feed.TopicSuspects) {
 		if !slices.Contains(n.propagated.hosts, core.HostID(e.Key.Name)) {
 			continue
 		}
@@ -99,7 +99,7 @@
 func (n *Node) loads() map[core.HostID]float64 {
 	const perMille = 1000
 	out := map[core.HostID]float64{}
-	for _, e := range n.feed.Topic(feed.TopicLoad) {
+	for _, e := range n.feed.TopicEntries(feed.TopicLoad) {
 		var load int
 		if cbor.Unmarshal(e.Value, &load) == nil {
 			out[core.HostID(e.Key.Name)] = float64(load) / perMille
--- a/internal/core/node/vitals.go
+++ b/internal/core/node/vitals.go
@@ -35,7 +35,7 @@
 		Configuration: n.configVersion(),
 		Owned:         len(n.placement.OwnedUpstreams()),
 	}
-	if asOf, ok := n.feed.Freshness(); ok {
+	if asOf, ok := n.feed.FreshAsOf(); ok {
 		v.Fresh = n.now.Sub(asOf)
 	}
 	s := n.limit.Stats()
--- a/internal/measure/membership/bench_test.go
+++ b/internal/measure/membership/bench_test.go
@@ -36,7 +36,7 @@
 
 func BenchmarkMemberTick(b *testing.B) {
 	f := fleet350()
-	h := pick(f, func(h *Host) bool { return !h.Lease.IsPoller() && !h.Feed.Watches() })
+	h := pick(f, func(h *Host) bool { return !h.Lease.IsPoller() && !h.Feed.IsWatcher() })
 	now := h.Local(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -74,7 +74,7 @@
 
 func BenchmarkRelayValue(b *testing.B) {
 	f := fleet350()
-	h := pick(f, func(h *Host) bool { return !h.Feed.Watches() && h.Feed.Links() > 3 })
+	h := pick(f, func(h *Host) bool { return !h.Feed.IsWatcher() && h.Feed.LinkCount() > 3 })
 	if h == nil {
 		b.Skip("no relay")
 	}
@@ -84,7 +84,7 @@
 	for b.Loop() {
 		seq++
 		now = now.Add(time.Millisecond)
-		h.Feed.Peer(now, "peer", feed.Message{Values: &feed.Values{Seq: seq, Entries: []feed.Entry{{
+		h.Feed.HandleMessage(now, "peer", feed.Message{Values: &feed.Values{Seq: seq, Entries: []feed.Entry{{
 			Key: feed.Key{Topic: feed.TopicUpstream, Name: "u1"}, Stamp: feed.Stamp{Seq: seq}, Value: value,
 		}}}})
 	}
--- a/internal/measure/membership/fleet.go
+++ b/internal/measure/membership/fleet.go
@@ -246,7 +246,7 @@
 // Apply carries out what a feed machine wants.
 func (f *Fleet) Apply(h *Host, out feed.Output) {
 	for _, c := range out.Calls {
-		f.object(h, c, func(now core.Instant, r core.ObjectResult) { f.Apply(h, h.Feed.Object(now, r)) })
+		f.object(h, c, func(now core.Instant, r core.ObjectResult) { f.Apply(h, h.Feed.HandleObject(now, r)) })
 	}
 	for i := range out.Sends {
 		f.send(h, out.Sends[i].To, Packet{Feed: &out.Sends[i].Message})
@@ -260,7 +260,7 @@
 // membership, and carries its head.
 func (f *Fleet) couple(h *Host) {
 	now := h.Local(f.Now)
-	for _, e := range h.Feed.Changed() {
+	for _, e := range h.Feed.TakeChanged() {
 		if e.Key == headKey {
 			f.apply(h, h.Lease.ApplyHead(now, e.Value, 0))
 		}
@@ -313,7 +313,7 @@
 		f.apply(t, t.Lease.HandleMessage(now, from, *p.Lease))
 	}
 	if p.Feed != nil {
-		f.Apply(t, t.Feed.Peer(now, from, *p.Feed))
+		f.Apply(t, t.Feed.HandleMessage(now, from, *p.Feed))
 	}
 }
 
--- a/internal/measure/membership/force.go
+++ b/internal/measure/membership/force.go
@@ -144,7 +144,7 @@
 	f.Run(30 * time.Second)
 	slow := hosts[0]
 	for _, h := range hosts {
-		if !h.Feed.Watches() {
+		if !h.Feed.IsWatcher() {
 			slow = h
 		}
 	}
--- a/internal/wiring/convert.go
+++ b/internal/wiring/convert.go
@@ -60,7 +60,7 @@
 func nodeSettings(h *settings.Host) node.Settings {
 	return node.Settings{
 		Lease:     lease.Settings{Term: h.Timings.LeaseTerm.Value(), RenewInterval: h.Timings.LeaseRenew.Value()},
-		Feed:      feed.Settings{Ping: h.Timings.FeedPing.Value(), Read: h.Timings.FeedRead.Value(), Bound: h.Timings.FeedBound.Value()},
+		Feed:      feed.Settings{PingInterval: h.Timings.FeedPing.Value(), HeadReadInterval: h.Timings.FeedRead.Value(), FreshnessBound: h.Timings.FeedBound.Value()},
 		PollEvery: h.Timings.Poll.Value(),
 		ListEvery: h.Timings.List.Value(),
 		KeepTime:  h.Shutdown.Keep.Value(),
