--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -224,18 +224,18 @@
 
 func (t *task) call(d node.Dispatch) upstream.Call {
 	return upstream.Call{
-		Upstream: d.Upstream,
-		Address:  d.Address,
-		Method:   t.request.method,
-		Path:     t.request.path,
-		Headers:  t.request.headers,
-		Body:     t.request.upstreamBody(d.Adapter),
-		Request:  d.ID,
-		Adapter:  d.Adapter,
-		Class:    d.Class,
-		Fence:    d.Fence,
-		Until:    d.Until,
-		Once:     d.Record,
+		Upstream:      d.Upstream,
+		Address:       d.Address,
+		Method:        t.request.method,
+		Path:          t.request.path,
+		Headers:       t.request.headers,
+		Body:          t.request.upstreamBody(d.Adapter),
+		Request:       d.ID,
+		Adapter:       d.Adapter,
+		Class:         d.Class,
+		Fence:         d.Fence,
+		SendBefore:    d.Until,
+		NewConnection: d.Record,
 	}
 }
 
@@ -260,7 +260,7 @@
 	case attempt.Err() != nil:
 		e.Kind = node.EndCancelled
 	default:
-		e.Crashed = upstream.Dropped(err)
+		e.Crashed = upstream.ConnectionClosed(err)
 	}
 	return e
 }
@@ -286,7 +286,7 @@
 // deliver buffers the whole answer before any of it is sent to the caller, so that the
 // request can still be retried if the answer is incomplete.
 func (t *task) deliver(ctx *fasthttp.RequestCtx, d node.Dispatch, attempt context.Context, cancel context.CancelFunc, answer *upstream.Answer) bool {
-	body, err := upstream.ReadWhole(answer, upstream.MaxAnswer)
+	body, err := upstream.ReadBody(answer, upstream.MaxAnswerBytes)
 	answer.Close()
 	if err != nil {
 		t.attemptEnded(endOfError(d, attempt, err))
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -74,7 +74,7 @@
 // without [DONE] is an error.
 func (s *stream) fill() error {
 	if len(s.buffer) > maxEventBytes {
-		return upstream.TooLong.New("an event is over %d bytes", maxEventBytes)
+		return upstream.AnswerTooLong.New("an event is over %d bytes", maxEventBytes)
 	}
 	s.buffer = slices.Grow(s.buffer, readBytes)
 	n, err := s.answer.Body.Read(s.buffer[len(s.buffer):cap(s.buffer)])
@@ -139,11 +139,11 @@
 	}
 	s.ended = true
 	e := node.Ended{ID: s.dispatch.ID, Attempt: s.dispatch.Attempt, Kind: kind}
-	e.Crashed = kind == node.EndBroken && upstream.Dropped(err)
+	e.Crashed = kind == node.EndBroken && upstream.ConnectionClosed(err)
 	s.task.countTokens(&e, s.events.usage, s.events.generated)
 	s.task.line.usedTokens = e.Used
 	if kind == node.EndOK {
-		s.answer.Settle()
+		s.answer.CloseAfterDrain()
 	} else {
 		s.answer.Close()
 	}
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -163,7 +163,7 @@
 
 // refusal is the code of an answer that is none.
 func refusal(a *upstream.Answer) string {
-	body, err := upstream.ReadWhole(a, maxEntries)
+	body, err := upstream.ReadBody(a, maxEntries)
 	if err != nil {
 		return outcomeNotWhole
 	}
@@ -211,7 +211,7 @@
 		return known{}, false
 	}
 	defer a.Close()
-	body, err := upstream.ReadWhole(a, maxEntries)
+	body, err := upstream.ReadBody(a, maxEntries)
 	var answer struct {
 		Entries []string `json:"entries"`
 		Keep    float64  `json:"keep_seconds"`
--- a/internal/measure/overhead/fleet.go
+++ b/internal/measure/overhead/fleet.go
@@ -174,7 +174,7 @@
 	}
 	defer a.Close()
 	if a.Status != http.StatusOK {
-		body, _ := upstream.ReadWhole(a, upstream.MaxAnswer)
+		body, _ := upstream.ReadBody(a, upstream.MaxAnswerBytes)
 		return errors.New(strings.TrimSpace(string(body)))
 	}
 	if path == pathEndless {
--- a/internal/measure/overhead/overhead.go
+++ b/internal/measure/overhead/overhead.go
@@ -132,7 +132,7 @@
 	}
 	defer a.Close()
 	if a.Status != http.StatusOK {
-		body, _ := upstream.ReadWhole(a, upstream.MaxAnswer)
+		body, _ := upstream.ReadBody(a, upstream.MaxAnswerBytes)
 		return times{}, Error.New("%s answered %d: %s", address, a.Status, body)
 	}
 	var t times
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -87,7 +87,7 @@
 // fill reads from the replica once and finds the complete events.
 func (s *stream) fill() error {
 	if len(s.buffer) > maxEventBytes {
-		return upstream.TooLong.New("an event is over %d bytes", maxEventBytes)
+		return upstream.AnswerTooLong.New("an event is over %d bytes", maxEventBytes)
 	}
 	s.buffer = slices.Grow(s.buffer, readSize)
 	n, err := s.answer.Body.Read(s.buffer[len(s.buffer):cap(s.buffer)])
--- a/internal/relay/task.go
+++ b/internal/relay/task.go
@@ -118,7 +118,7 @@
 		},
 	}
 	if d.NonRepeatable {
-		call.Fresh = maxConnIdle
+		call.MaxIdle = maxConnIdle
 	}
 	return t.server.client.Do(ctx, call)
 }
@@ -145,7 +145,7 @@
 // forwards it. It returns whether it did.
 func (t *task) forwardWhole(ctx *fasthttp.RequestCtx, d direct.Dispatch, attempt context.Context, answer *upstream.Answer, answered AnswerFields) bool {
 	defer answer.Close()
-	body, err := upstream.ReadWhole(answer, upstream.MaxAnswer)
+	body, err := upstream.ReadBody(answer, upstream.MaxAnswerBytes)
 	if err != nil {
 		t.attemptEnded(d, endOfError(attempt, err))
 		return false
@@ -190,7 +190,7 @@
 	case upstream.NotReached.Has(err):
 		return direct.AttemptEnded{Kind: direct.EndNotReached}
 	}
-	return direct.AttemptEnded{Kind: direct.EndBroken, ConnectionClosed: upstream.Dropped(err)}
+	return direct.AttemptEnded{Kind: direct.EndBroken, ConnectionClosed: upstream.ConnectionClosed(err)}
 }
 
 // attemptEnded reports the end of an attempt to the node.
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -26,8 +26,8 @@
 	NotReached = errs.Class("upstream not reached")
 	// Broken is the class of errors after a request was sent: the upstream may have run it.
 	Broken = errs.Class("upstream connection broken")
-	// TooLong is the class of errors for an answer over its maximum size.
-	TooLong = errs.Class("upstream answer too long")
+	// AnswerTooLong is the class of errors for an answer over its maximum size.
+	AnswerTooLong = errs.Class("upstream answer too long")
 )
 
 // Time and size limits of an exchange with an upstream.
@@ -35,8 +35,8 @@
 	dialTimeout     = 2 * time.Second
 	writeTimeout    = 5 * time.Second
 	readBufferBytes = 16 << 10 // also the maximum size of an answer's header
-	// MaxAnswer is the maximum size in bytes of an answer that is buffered completely.
-	MaxAnswer = 8 << 20
+	// MaxAnswerBytes is the maximum size in bytes of an answer that is buffered completely.
+	MaxAnswerBytes = 8 << 20
 )
 
 // Header is one header field of a request.
@@ -44,18 +44,18 @@
 
 // Call is one request to an upstream.
 type Call struct {
-	Upstream core.UpstreamID // for the metrics
-	Address  string          // ip:port
-	Method   string
-	Path     string   // including the query
-	Headers  []Header // to forward from the caller, already filtered
-	Body     []byte
-	Request  core.RequestID
-	Adapter  core.AdapterRef // zero for a plain service
-	Class    core.Class
-	Fence    core.Fence
-	Until    core.Instant // by the client's clock; the call is not sent at or after it; 0: no limit
-	Once     bool         // use a new connection: a kept one may already have been closed by the upstream
+	Upstream      core.UpstreamID // for the metrics
+	Address       string          // ip:port
+	Method        string
+	Path          string   // including the query
+	Headers       []Header // to forward from the caller, already filtered
+	Body          []byte
+	Request       core.RequestID
+	Adapter       core.AdapterRef // zero for a plain service
+	Class         core.Class
+	Fence         core.Fence
+	SendBefore    core.Instant // by the client's clock; the call is not sent at or after it; 0: no limit
+	NewConnection bool         // use a new connection: a kept one may already have been closed by the upstream
 
 	// Prepared is the complete request, to be sent unchanged. If it is set, Method,
 	// Path, Headers, Body and the header fields derived from the others are not used.
@@ -63,9 +63,9 @@
 	// Matches reports whether an answer belongs to this call; one that doesn't is
 	// read and discarded. Nil accepts every answer.
 	Matches func(*fasthttp.ResponseHeader) bool
-	// Fresh is how long a kept connection may have been idle at most; 0: as long as
+	// MaxIdle is how long a kept connection may have been idle at most; 0: as long as
 	// connections are kept.
-	Fresh time.Duration
+	MaxIdle time.Duration
 }
 
 // Answer is a response with a streamed body. It must be closed in every case.
@@ -191,7 +191,7 @@
 		c.count(call, "not_reached")
 		return nil, NotReached.Wrap(err)
 	}
-	if c.now != nil && call.Until != 0 && !c.now().Before(call.Until) {
+	if c.now != nil && call.SendBefore != 0 && !c.now().Before(call.SendBefore) {
 		_ = conn.Close()
 		return nil, NotReached.New("the ticket ended before the request was sent")
 	}
@@ -200,8 +200,8 @@
 }
 
 func (c *Client) connect(ctx context.Context, call Call) (*conn, error) {
-	if !call.Once {
-		if kept := c.pool.get(call.Address, call.Fresh); kept != nil {
+	if !call.NewConnection {
+		if kept := c.pool.get(call.Address, call.MaxIdle); kept != nil {
 			return kept, nil
 		}
 	}
@@ -257,15 +257,15 @@
 // Read implements io.Reader.
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
-// ReadWhole reads the body of an answer. The error is TooLong if it is over limit
+// ReadBody reads the body of an answer. The error is TooLong if it is over limit
 // bytes, and Broken if it is incomplete.
-func ReadWhole(a *Answer, limit int) ([]byte, error) {
+func ReadBody(a *Answer, limit int) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(a.Body, int64(limit)+1))
 	if err != nil {
 		return nil, Broken.Wrap(err)
 	}
 	if len(b) > limit {
-		return nil, TooLong.New("over %d bytes", limit)
+		return nil, AnswerTooLong.New("over %d bytes", limit)
 	}
 	return b, nil
 }
@@ -273,11 +273,11 @@
 // drainTimeout is how long Settle waits for the end of an answer.
 const drainTimeout = time.Second
 
-// Settle ends a call whose content is complete, such as a stream after [DONE]. It
+// CloseAfterDrain ends a call whose content is complete, such as a stream after [DONE]. It
 // reads the end of the answer in the background so that the connection can be kept,
 // and closes the connection if that end doesn't come within a second. The end of the
 // call's context has no effect afterwards.
-func (a *Answer) Settle() {
+func (a *Answer) CloseAfterDrain() {
 	if !a.stop() {
 		a.Close()
 		return
@@ -292,8 +292,8 @@
 	}()
 }
 
-// Dropped reports whether an upstream closed or reset the connection in the middle of
+// ConnectionClosed reports whether an upstream closed or reset the connection in the middle of
 // a call, as happens when it crashes.
-func Dropped(err error) bool {
+func ConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -59,10 +59,10 @@
 	client := NewClient(nil, nil)
 	defer client.Close()
 	call := func(once, read bool) {
-		a, err := client.Do(context.Background(), Call{Address: address(s), Method: "GET", Path: "/", Once: once})
+		a, err := client.Do(context.Background(), Call{Address: address(s), Method: "GET", Path: "/", NewConnection: once})
 		is.NoErr(err)
 		if read {
-			b, err := ReadWhole(a, MaxAnswer)
+			b, err := ReadBody(a, MaxAnswerBytes)
 			is.NoErr(err)
 			is.Equal(string(b), "whole")
 		}
@@ -87,7 +87,7 @@
 	} {
 		a, err := Do(context.Background(), Call{Address: rawServer(t, answer), Method: "GET", Path: "/"})
 		is.NoErr(err)
-		_, err = ReadWhole(a, MaxAnswer)
+		_, err = ReadBody(a, MaxAnswerBytes)
 		is.True(Broken.Has(err))
 		a.Close()
 	}
@@ -121,7 +121,7 @@
 	}))
 	defer s.Close()
 	now := core.Instant(10)
-	o := Orders{Client: NewClient(nil, nil), Now: func() core.Instant { return now }}
+	o := OrderClient{Client: NewClient(nil, nil), Now: func() core.Instant { return now }}
 	order := core.AdapterOrder{ID: 7, Address: address(s), Load: true, Adapter: core.AdapterRef{ID: "a", Version: 1}, Grant: core.Grant{Fence: 9, Until: 11}, Timeout: time.Second}
 	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, OK: true, NoEffect: true})
 	is.Equal(fence.Load(), "9")
@@ -141,10 +141,10 @@
 	defer s.Close()
 	client := NewClient(nil, func() core.Instant { return 10 })
 	defer client.Close()
-	a, err := client.Do(context.Background(), Call{Address: address(s), Method: "GET", Path: "/", Until: 11})
+	a, err := client.Do(context.Background(), Call{Address: address(s), Method: "GET", Path: "/", SendBefore: 11})
 	is.NoErr(err)
 	a.Close()
-	_, err = client.Do(context.Background(), Call{Address: address(s), Method: "GET", Path: "/", Until: 10})
+	_, err = client.Do(context.Background(), Call{Address: address(s), Method: "GET", Path: "/", SendBefore: 10})
 	is.True(NotReached.Has(err))
 	is.Equal(calls.Load(), int32(1))
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -87,7 +87,7 @@
 		response := fasthttp.AcquireResponse()
 		response.StreamBody = true
 		response.SkipBody = isHead
-		if err := response.ReadLimitBody(conn.reader, MaxAnswer); err != nil {
+		if err := response.ReadLimitBody(conn.reader, MaxAnswerBytes); err != nil {
 			fasthttp.ReleaseResponse(response)
 			return nil, err
 		}
--- a/internal/upstream/orders.go
+++ b/internal/upstream/orders.go
@@ -11,8 +11,8 @@
 // maxOrderAnswerBytes is the maximum size of an engine's answer to an order.
 const maxOrderAnswerBytes = 64 << 10
 
-// Orders sends load and unload orders for adapters to engines.
-type Orders struct {
+// OrderClient sends load and unload orders for adapters to engines.
+type OrderClient struct {
 	// Client sends the orders; nil uses the client that the process shares.
 	Client *Client
 	// Now is the host's clock. With nil, the expiry of an order's grant is not checked.
@@ -27,7 +27,7 @@
 // Do carries out an order and returns its result. OrderDone.Sure is false if the order
 // may or may not have taken effect. A failed order certainly has none only if it was never
 // sent, or if the engine's answer says so by a 4xx status or X-Ran: no.
-func (s Orders) Do(ctx context.Context, o core.AdapterOrder) core.OrderDone {
+func (s OrderClient) Do(ctx context.Context, o core.AdapterOrder) core.OrderDone {
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	body, err := json.Marshal(orderBody{Name: o.Adapter.String(), Path: o.Adapter.String()})
@@ -39,7 +39,7 @@
 		return core.OrderDone{ID: o.ID, NoEffect: NotReached.Has(err)}
 	}
 	defer a.Close()
-	if _, err := ReadWhole(a, maxOrderAnswerBytes); err != nil {
+	if _, err := ReadBody(a, maxOrderAnswerBytes); err != nil {
 		return core.OrderDone{ID: o.ID}
 	}
 	refused := a.Status >= http.StatusBadRequest && a.Status < http.StatusInternalServerError
@@ -51,17 +51,17 @@
 	if o.Load {
 		path = "/v1/load_lora_adapter"
 	}
-	return Call{Upstream: o.Upstream, Address: o.Address, Method: "POST", Path: path, Body: body, Fence: o.Grant.Fence, Once: true}
+	return Call{Upstream: o.Upstream, Address: o.Address, Method: "POST", Path: path, Body: body, Fence: o.Grant.Fence, NewConnection: true}
 }
 
-func (s Orders) client() *Client {
+func (s OrderClient) client() *Client {
 	if s.Client == nil {
 		return sharedClient
 	}
 	return s.Client
 }
 
-func (s Orders) expired(o core.AdapterOrder) bool {
+func (s OrderClient) expired(o core.AdapterOrder) bool {
 	return s.Now != nil && o.Grant.Until != 0 && !s.Now().Before(o.Grant.Until)
 }
 
--- a/internal/upstream/poll.go
+++ b/internal/upstream/poll.go
@@ -16,16 +16,16 @@
 
 // LoadReport is an upstream's answer to GET /load.
 type LoadReport struct {
-	Incarnation string         `json:"incarnation"` // changes when the upstream restarts
-	Running     int            `json:"running"`     // requests in the batch
-	Waiting     int            `json:"waiting"`     // requests queued inside the upstream
-	Adapters    []AdapterCount `json:"adapters"`
-	Loading     []string       `json:"loading"` // adapter versions, "id@version"
-	Leaving     bool           `json:"leaving"`
+	Incarnation string            `json:"incarnation"` // changes when the upstream restarts
+	Running     int               `json:"running"`     // requests in the batch
+	Waiting     int               `json:"waiting"`     // requests queued inside the upstream
+	Adapters    []AdapterRequests `json:"adapters"`
+	Loading     []string          `json:"loading"` // adapter versions, "id@version"
+	Leaving     bool              `json:"leaving"`
 }
 
-// AdapterCount is one adapter in a load report.
-type AdapterCount struct {
+// AdapterRequests is one adapter in a load report.
+type AdapterRequests struct {
 	Name    string `json:"name"` // "id@version"
 	Running int    `json:"running"`
 }
@@ -43,7 +43,7 @@
 		return report
 	}
 	defer a.Close()
-	body, err := ReadWhole(a, MaxAnswer)
+	body, err := ReadBody(a, MaxAnswerBytes)
 	if err != nil || a.Status != http.StatusOK {
 		return report
 	}
--- a/internal/wiring/executors.go
+++ b/internal/wiring/executors.go
@@ -59,7 +59,7 @@
 // newExecutors returns the executors of a host's effects.
 func newExecutors(p *platform.Client, u *upstream.Client, l *lateBoundLinks, now func() core.Instant) host.Carriers {
 	return host.Carriers{
-		Orders:  upstream.Orders{Client: u, Now: now},
+		Orders:  upstream.OrderClient{Client: u, Now: now},
 		Objects: p,
 		Polls:   u,
 		Listing: hostLister{client: p},
