--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -8,9 +8,9 @@
 
 // Frame sizes on a link.
 const (
-	// MaxFrame is the maximum size of a payload in bytes: the largest value of the
+	// MaxFrameBytes is the maximum size of a payload in bytes: the largest value of the
 	// object API and its envelope.
-	MaxFrame         = 1<<20 + 64<<10
+	MaxFrameBytes    = 1<<20 + 64<<10
 	maxHelloBytes    = 256
 	bulkFrameBytes   = 64 << 10 // a larger frame is sent on a stream of its own
 	lengthBytes      = 4
@@ -19,8 +19,8 @@
 
 // writeFrame writes a payload after its length (4 bytes, big-endian).
 func writeFrame(w io.Writer, payload []byte) error {
-	if len(payload) > MaxFrame {
-		return FrameError.New("a payload of %d bytes is over the limit of %d", len(payload), MaxFrame)
+	if len(payload) > MaxFrameBytes {
+		return FrameError.New("a payload of %d bytes is over the limit of %d", len(payload), MaxFrameBytes)
 	}
 	frame := make([]byte, lengthBytes, lengthBytes+len(payload))
 	binary.BigEndian.PutUint32(frame, uint32(len(payload)))
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -51,7 +51,7 @@
 	}
 	l.addVerified(from, conn)
 	for {
-		payload, err := readFrame(stream, MaxFrame)
+		payload, err := readFrame(stream, MaxFrameBytes)
 		if errors.Is(err, io.EOF) && !FrameError.Has(err) {
 			return
 		}
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -47,21 +47,21 @@
 
 // Settings of a host's links.
 type Settings struct {
-	Self     core.HostID
-	Listen   string // ip:port; port 0 picks a free one
-	Material Material
-	Seed     uint64           // of the backoff's jitter
-	Registry metrics.Registry // nil: a new one
-	Idle     time.Duration    // after it, an unused link or one whose peer doesn't answer is closed; 0: defaultIdleTimeout
+	Self        core.HostID
+	Listen      string // ip:port; port 0 picks a free one
+	Material    Material
+	JitterSeed  uint64           // of the backoff's jitter
+	Registry    metrics.Registry // nil: a new one
+	IdleTimeout time.Duration    // after it, an unused link or one whose peer doesn't answer is closed; 0: defaultIdleTimeout
 
 	// Admit reports whether a peer with a certificate of this common name may send
 	// as a host and receive what is sent to that host. Nil means NamedHost.
 	Admit func(commonName string, host core.HostID) bool
 }
 
-// NamedHost reports whether a host's identity is the certificate's common name, or that
+// MatchesCommonName reports whether a host's identity is the certificate's common name, or that
 // name followed by a slash and the number of this run of the process.
-func NamedHost(commonName string, host core.HostID) bool {
+func MatchesCommonName(commonName string, host core.HostID) bool {
 	return string(host) == commonName || strings.HasPrefix(string(host), commonName+"/")
 }
 
@@ -104,20 +104,20 @@
 		return nil, LinkError.Wrap(err)
 	}
 	if s.Admit == nil {
-		s.Admit = NamedHost
+		s.Admit = MatchesCommonName
 	}
 	if s.Registry == nil {
 		s.Registry = metrics.NewRegistry()
 	}
-	if s.Idle <= 0 {
-		s.Idle = defaultIdleTimeout
+	if s.IdleTimeout <= 0 {
+		s.IdleTimeout = defaultIdleTimeout
 	}
 	watchCertificate(s.Registry, s.Material.Certificate.Leaf)
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Links{
 		settings:      s,
 		handler:       handler,
-		idleTimeout:   s.Idle,
+		idleTimeout:   s.IdleTimeout,
 		counters:      newCounters(s.Registry),
 		socket:        socket,
 		transport:     &quic.Transport{Conn: socket},
@@ -125,7 +125,7 @@
 		verified:      map[core.HostID]*quic.Conn{},
 		ctx:           ctx,
 		cancel:        cancel,
-		rng:           core.NewRand(s.Seed),
+		rng:           core.NewRand(s.JitterSeed),
 	}, nil
 }
 
@@ -136,7 +136,7 @@
 // of their goroutines have ended. It can be called once.
 func (l *Links) Serve(ctx context.Context) error {
 	defer l.close()
-	listener, err := l.transport.Listen(l.settings.Material.serverTLS(), quicConfig(l.settings.Idle))
+	listener, err := l.transport.Listen(l.settings.Material.serverTLS(), quicConfig(l.settings.IdleTimeout))
 	if err != nil {
 		return LinkError.Wrap(err)
 	}
@@ -161,7 +161,7 @@
 // be changed afterwards. Send returns false if the payload was not queued because it is
 // too large or the links are closed. A queued payload may still be lost.
 func (l *Links) Send(to core.HostID, address string, payload []byte) bool {
-	if len(payload) > MaxFrame {
+	if len(payload) > MaxFrameBytes {
 		l.counters.refusedOversized.Inc(1)
 		return false
 	}
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -64,7 +64,7 @@
 	is.Equal(<-a.received, message{"b", long})
 	is.True(a.Send("b", b.Address(), nil)) // an empty payload is delivered too
 	is.Equal(<-b.received, message{"a", ""})
-	is.True(!a.Send("b", b.Address(), make([]byte, MaxFrame+1)))
+	is.True(!a.Send("b", b.Address(), make([]byte, MaxFrameBytes+1)))
 	is.Equal(a.count("dials_connected"), int64(1)) // one connection serves all payloads
 	is.Equal(b.count("dials_connected"), int64(0)) // and both directions
 }
@@ -102,7 +102,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	is.Equal(len(host.received), 0)
-	is.True(NamedHost("a", "a/1f") && NamedHost("a", "a") && !NamedHost("a", "ab/1f") && !NamedHost("a", "b"))
+	is.True(MatchesCommonName("a", "a/1f") && MatchesCommonName("a", "a") && !MatchesCommonName("a", "ab/1f") && !MatchesCommonName("a", "b"))
 }
 
 func TestLinkIsDialledAgainAfterThePeerRestarts(t *testing.T) {
@@ -211,7 +211,7 @@
 		r := bytes.NewReader(b)
 		used := 0
 		for {
-			payload, err := readFrame(r, MaxFrame)
+			payload, err := readFrame(r, MaxFrameBytes)
 			if err != nil {
 				return
 			}
--- a/internal/peer/material.go
+++ b/internal/peer/material.go
@@ -32,9 +32,9 @@
 	Trust func(host core.HostID, fingerprint string) bool
 }
 
-// NewPinned generates a self-signed certificate for a host, whose peers verify it by its
+// NewPinnedMaterial generates a self-signed certificate for a host, whose peers verify it by its
 // fingerprint. Its key exists only in this process.
-func NewPinned(host core.HostID, trust func(core.HostID, string) bool) (m Material, fingerprint string, err error) {
+func NewPinnedMaterial(host core.HostID, trust func(core.HostID, string) bool) (m Material, fingerprint string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return Material{}, "", MaterialError.Wrap(err)
--- a/internal/peer/outbound.go
+++ b/internal/peer/outbound.go
@@ -167,7 +167,7 @@
 	}
 	ctx, cancel := context.WithTimeout(p.links.ctx, dialTimeout)
 	defer cancel()
-	conn, err := p.links.transport.Dial(ctx, udp, p.links.settings.Material.clientTLS(), quicConfig(p.links.settings.Idle))
+	conn, err := p.links.transport.Dial(ctx, udp, p.links.settings.Material.clientTLS(), quicConfig(p.links.settings.IdleTimeout))
 	if err != nil {
 		return LinkError.Wrap(err)
 	}
--- a/internal/peer/pinned_test.go
+++ b/internal/peer/pinned_test.go
@@ -35,10 +35,10 @@
 func startPinned(t *testing.T, name core.HostID, trusts func(core.HostID, string) bool) (h *testHost, fingerprint string) {
 	t.Helper()
 	is := is.New(t)
-	material, fingerprint, err := NewPinned(name, trusts)
+	material, fingerprint, err := NewPinnedMaterial(name, trusts)
 	is.NoErr(err)
 	h = &testHost{received: make(chan message, 16)}
-	h.Links, err = New(Settings{Self: name, Listen: "127.0.0.1:0", Material: material, Idle: time.Second}, func(from core.HostID, payload []byte) {
+	h.Links, err = New(Settings{Self: name, Listen: "127.0.0.1:0", Material: material, IdleTimeout: time.Second}, func(from core.HostID, payload []byte) {
 		h.received <- message{from, string(payload)}
 	})
 	is.NoErr(err)
--- a/internal/wiring/host.go
+++ b/internal/wiring/host.go
@@ -102,7 +102,7 @@
 
 // newLinks opens the links' socket and connects the links to the host.
 func newLinks(s Settings, id identity, h *host.Host, late *lateBoundLinks, r metrics.Registry, m linkAddress) (*peer.Links, error) {
-	l, err := peer.New(peer.Settings{Self: id.host, Listen: string(m), Material: s.Material, Seed: id.seed, Registry: r}, decodePeerMessages(h))
+	l, err := peer.New(peer.Settings{Self: id.host, Listen: string(m), Material: s.Material, JitterSeed: id.seed, Registry: r}, decodePeerMessages(h))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -118,7 +118,7 @@
 
 func newLinkCertificate(id identity) (*linkCertificate, error) {
 	k := &linkCertificate{}
-	material, fingerprint, err := peer.NewPinned(id.host, func(h core.HostID, f string) bool { return k.trust(h, f) })
+	material, fingerprint, err := peer.NewPinnedMaterial(id.host, func(h core.HostID, f string) bool { return k.trust(h, f) })
 	k.material, k.fingerprint = material, fingerprint
 	return k, err
 }
@@ -166,7 +166,7 @@
 }
 
 func newRelayLinks(s *settings.Relay, id identity, k *linkCertificate, g *gateway.Gateway, late *lateBoundSender, r metrics.Registry) (*peer.Links, error) {
-	l, err := peer.New(peer.Settings{Self: id.host, Listen: s.Listen.Links, Material: k.material, Seed: id.seed, Registry: r, Idle: linkIdleTimeout}, g.ReceiveFromPeer)
+	l, err := peer.New(peer.Settings{Self: id.host, Listen: s.Listen.Links, Material: k.material, JitterSeed: id.seed, Registry: r, IdleTimeout: linkIdleTimeout}, g.ReceiveFromPeer)
 	if err != nil {
 		return nil, err
 	}
