--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -23,13 +23,13 @@
 // Paths and header fields of the platform's HTTP interface. Keys are sent as query
 // arguments, values as bodies, and versions in HeaderVersion.
 const (
-	PathObject    = "/v1/object"  // GET, PUT, DELETE ?key=
-	PathObjects   = "/v1/objects" // GET ?prefix=
-	PathWatch     = "/v1/watch"   // GET ?prefix=&after=
-	PathHosts     = "/v1/hosts"   // GET
-	HeaderVersion = "X-Object-Version"
-	HeaderMatch   = "If-Match"      // the version that the object must have
-	HeaderNone    = "If-None-Match" // "*": the key must not exist
+	PathObject        = "/v1/object"  // GET, PUT, DELETE ?key=
+	PathObjects       = "/v1/objects" // GET ?prefix=
+	PathWatch         = "/v1/watch"   // GET ?prefix=&after=
+	PathHosts         = "/v1/hosts"   // GET
+	HeaderVersion     = "X-Object-Version"
+	HeaderIfMatch     = "If-Match"      // the version that the object must have
+	HeaderIfNoneMatch = "If-None-Match" // "*": the key must not exist
 )
 
 // MaxValueBytes is the maximum size of a value in the object API.
@@ -47,8 +47,8 @@
 	Objects []core.Object `json:"objects"`
 }
 
-// Listed is an entry of the platform's list of hosts and upstreams.
-type Listed struct {
+// ListEntry is an entry of the platform's list of hosts and upstreams.
+type ListEntry struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
 }
@@ -96,7 +96,7 @@
 	response, err := c.Send(ctx, request, timeout)
 	if err != nil {
 		result.Status = core.ObjectUnknown
-		if Unsent(err) {
+		if IsNotSent(err) {
 			result.Status = core.ObjectUnavailable
 		}
 		return result
@@ -126,16 +126,16 @@
 	switch call.Op {
 	case core.ObjectCreate:
 		r.Header.SetMethod(fasthttp.MethodPut)
-		r.Header.Set(HeaderNone, "*")
+		r.Header.Set(HeaderIfNoneMatch, "*")
 		r.SetBody(call.Value)
 	case core.ObjectUpdate:
 		r.Header.SetMethod(fasthttp.MethodPut)
-		r.Header.Set(HeaderMatch, version)
+		r.Header.Set(HeaderIfMatch, version)
 		r.SetBody(call.Value)
 	case core.ObjectDelete:
 		r.Header.SetMethod(fasthttp.MethodDelete)
 		if call.IfVersion != 0 {
-			r.Header.Set(HeaderMatch, version)
+			r.Header.Set(HeaderIfMatch, version)
 		}
 	}
 	return r
@@ -180,9 +180,9 @@
 	}
 }
 
-// Hosts returns the platform's list of live and leaving hosts and upstreams. It may be
+// ListHosts returns the platform's list of live and leaving hosts and upstreams. It may be
 // out of date.
-func (c *Client) Hosts(ctx context.Context) ([]Listed, error) {
+func (c *Client) ListHosts(ctx context.Context) ([]ListEntry, error) {
 	r := &fasthttp.Request{}
 	r.SetRequestURI("http://" + c.address + PathHosts)
 	response, err := c.Send(ctx, r, c.timeout)
@@ -192,7 +192,7 @@
 	if response.StatusCode() != fasthttp.StatusOK {
 		return nil, Error.New("reading the host list failed with status %d", response.StatusCode())
 	}
-	var list []Listed
+	var list []ListEntry
 	if err := json.Unmarshal(response.Body(), &list); err != nil {
 		return nil, Error.Wrap(err)
 	}
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -143,7 +143,7 @@
 	server.List("u2", true)
 	server.SetLag(time.Hour)
 	server.Unlist("u1")
-	hosts, err := c.Hosts(ctx)
+	hosts, err := c.ListHosts(ctx)
 	is.NoErr(err)
-	is.Equal(hosts, []platform.Listed{{Name: "u1"}, {Name: "u2", Leaving: true}}) // the list lags
+	is.Equal(hosts, []platform.ListEntry{{Name: "u1"}, {Name: "u2", Leaving: true}}) // the list lags
 }
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -60,8 +60,8 @@
 // calls are not sent.
 func (t *Transport) Close() { t.conns.close() }
 
-// Unsent reports whether the call that failed with err was certainly not sent.
-func Unsent(err error) bool {
+// IsNotSent reports whether the call that failed with err was certainly not sent.
+func IsNotSent(err error) bool {
 	return NotSent.Has(err) || errors.Is(err, fasthttp.ErrNoFreeConns)
 }
 
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -27,7 +27,7 @@
 
 // listed is a host with the moment from which the list shows it so.
 type listed struct {
-	platform.Listed
+	platform.ListEntry
 	shown   time.Time
 	removed bool
 }
@@ -44,12 +44,12 @@
 
 // List puts a host or upstream on the list, after the lag.
 func (s *Server) List(name string, leaving bool) {
-	s.record(listed{Listed: platform.Listed{Name: name, Leaving: leaving}})
+	s.record(listed{ListEntry: platform.ListEntry{Name: name, Leaving: leaving}})
 }
 
 // Unlist takes a name off the list, after the lag.
 func (s *Server) Unlist(name string) {
-	s.record(listed{Listed: platform.Listed{Name: name}, removed: true})
+	s.record(listed{ListEntry: platform.ListEntry{Name: name}, removed: true})
 }
 
 func (s *Server) record(l listed) {
@@ -60,7 +60,7 @@
 }
 
 // shownHosts is the list as of now: of each name the latest entry that shows.
-func (s *Server) shownHosts() []platform.Listed {
+func (s *Server) shownHosts() []platform.ListEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -70,13 +70,13 @@
 			latest[l.Name] = l
 		}
 	}
-	out := []platform.Listed{}
+	out := []platform.ListEntry{}
 	for _, l := range latest {
 		if !l.removed {
-			out = append(out, l.Listed)
+			out = append(out, l.ListEntry)
 		}
 	}
-	slices.SortFunc(out, func(a, b platform.Listed) int {
+	slices.SortFunc(out, func(a, b platform.ListEntry) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -103,7 +103,7 @@
 // object answers GET, PUT and DELETE of one object.
 func (s *Server) object(w http.ResponseWriter, r *http.Request) {
 	call := core.ObjectCall{Key: r.URL.Query().Get("key")}
-	match := r.Header.Get(platform.HeaderMatch)
+	match := r.Header.Get(platform.HeaderIfMatch)
 	if match != "" {
 		version, err := strconv.ParseUint(match, 10, 64)
 		if err != nil {
@@ -125,7 +125,7 @@
 		}
 		call.Value = value
 		call.Op = core.ObjectUpdate
-		if r.Header.Get(platform.HeaderNone) == "*" {
+		if r.Header.Get(platform.HeaderIfNoneMatch) == "*" {
 			call.Op = core.ObjectCreate
 		}
 	default:
--- a/internal/wiring/executors.go
+++ b/internal/wiring/executors.go
@@ -19,7 +19,7 @@
 
 // List implements host.Listing.
 func (l hostLister) List(ctx context.Context) ([]node.ListedHost, error) {
-	listed, err := l.client.Hosts(ctx)
+	listed, err := l.client.ListHosts(ctx)
 	if err != nil {
 		return nil, err
 	}
