--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -38,14 +38,14 @@
 	events chan node.Event
 }
 
-func (n *fakeNode) Begin(a node.Arrive) Exchange {
+func (n *fakeNode) StartRequest(a node.Arrive) Exchange {
 	x := &fakeExchange{decisions: make(chan node.Effect, 8)}
 	n.events <- a
 	n.script(x, a)
 	return x
 }
 
-func (n *fakeNode) Tell(e node.Event) { n.events <- e }
+func (n *fakeNode) Notify(e node.Event) { n.events <- e }
 
 type fakeExchange struct {
 	decisions    chan node.Effect
@@ -57,7 +57,7 @@
 func (x *fakeExchange) Decisions() <-chan node.Effect { return x.decisions }
 func (x *fakeExchange) Close()                        {}
 
-func (x *fakeExchange) Attempt(parent context.Context) (context.Context, context.CancelFunc) {
+func (x *fakeExchange) StartAttempt(parent context.Context) (context.Context, context.CancelFunc) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	ctx, cancel := context.WithCancel(parent)
@@ -65,7 +65,7 @@
 	return ctx, cancel
 }
 
-func (x *fakeExchange) CutBy() *core.Refusal {
+func (x *fakeExchange) AbortRefusal() *core.Refusal {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.abortRefusal
@@ -108,7 +108,7 @@
 	b.is.NoErr(err)
 	b.address = l.Addr().String()
 	logger := &log.Logger{Handler: b.logs, Level: log.InfoLevel}
-	s := NewFor(b.node, []byte("secret"), append([]Option{WithLogger(logger)}, options...)...)
+	s := NewWithNode(b.node, []byte("secret"), append([]Option{WithLogger(logger)}, options...)...)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { _ = s.Serve(ctx, l); close(done) }()
--- a/internal/entry/hangup_test.go
+++ b/internal/entry/hangup_test.go
@@ -130,7 +130,7 @@
 func TestSlowCallerIsCancelledWithoutDelayingOthers(t *testing.T) {
 	cancelled := make(chan struct{})
 	limits := DefaultLimits
-	limits.Stall = 20 * time.Millisecond
+	limits.StallTimeout = 20 * time.Millisecond
 	text := strings.Repeat("x", 32<<10)
 	b := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -10,10 +10,10 @@
 
 // Node decides what happens to requests. A host.Host implements it.
 type Node interface {
-	// Begin starts a request.
-	Begin(node.Arrive) Exchange
-	// Tell reports an event of a request to the node.
-	Tell(node.Event)
+	// StartRequest starts a request.
+	StartRequest(node.Arrive) Exchange
+	// Notify reports an event of a request to the node.
+	Notify(node.Event)
 }
 
 // Exchange carries the node's decisions on one request to the server.
@@ -21,11 +21,11 @@
 	// Decisions returns the channel of the node's decisions: dispatch, refuse, replay or
 	// abort.
 	Decisions() <-chan node.Effect
-	// Attempt returns the context of an attempt, which ends when the node cancels the
+	// StartAttempt returns the context of an attempt, which ends when the node cancels the
 	// attempt or aborts the answer.
-	Attempt(parent context.Context) (context.Context, context.CancelFunc)
-	// CutBy returns the refusal with which the node aborted the answer, or nil.
-	CutBy() *core.Refusal
+	StartAttempt(parent context.Context) (context.Context, context.CancelFunc)
+	// AbortRefusal returns the refusal with which the node aborted the answer, or nil.
+	AbortRefusal() *core.Refusal
 	// Close ends the exchange. No more decisions are needed.
 	Close()
 }
@@ -33,8 +33,8 @@
 // hostNode implements Node with a host.
 type hostNode struct{ *host.Host }
 
-// Begin implements Node.
-func (h hostNode) Begin(a node.Arrive) Exchange { return hostExchange{h.Host.Begin(a)} }
+// StartRequest implements Node.
+func (h hostNode) StartRequest(a node.Arrive) Exchange { return hostExchange{h.Host.Begin(a)} }
 
 type hostExchange struct{ *host.Exchange }
 
--- a/internal/entry/pages.go
+++ b/internal/entry/pages.go
@@ -26,7 +26,7 @@
 // Entries are the addresses of hosts that a caller should send its requests to.
 type Entries struct {
 	Addresses []string      // ip:port, in order of preference
-	Keep      time.Duration // how long a caller may use the addresses
+	TTL       time.Duration // how long a caller may use the addresses
 }
 
 // Model is a model name that a caller may use.
@@ -73,7 +73,7 @@
 		writeRefusal(ctx, refusal)
 		return
 	}
-	writeJSON(ctx, entriesBody{Entries: e.Addresses, Keep: e.Keep.Seconds()})
+	writeJSON(ctx, entriesBody{Entries: e.Addresses, Keep: e.TTL.Seconds()})
 }
 
 func (s *Server) models(ctx *fasthttp.RequestCtx) {
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -58,7 +58,7 @@
 	t.request = parsed
 	t.line.model = parsed.arrival.Model
 	t.ctx, t.cancel = context.WithTimeout(context.Background(), parsed.arrival.Timeout+timeoutGrace)
-	t.exchange = s.node.Begin(parsed.arrival)
+	t.exchange = s.node.StartRequest(parsed.arrival)
 	t.conn = hangup.Watch(ctx.Conn(), t.hangUp) // after Begin, so that the node receives the request before its hang-up
 	t.serve(ctx)
 }
@@ -84,7 +84,7 @@
 // reportHangUp cancels the request's work and reports the hang-up to the node.
 func (t *task) reportHangUp() {
 	t.cancel()
-	t.server.node.Tell(node.Gone{ID: t.request.arrival.ID})
+	t.server.node.Notify(node.Gone{ID: t.request.arrival.ID})
 	close(t.hangUpReported)
 }
 
@@ -191,7 +191,7 @@
 		t.attemptEnded(node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: node.EndNotRun})
 		return false
 	}
-	attempt, cancel := t.exchange.Attempt(t.ctx)
+	attempt, cancel := t.exchange.StartAttempt(t.ctx)
 	if t.sendAttempt(ctx, d, attempt, cancel) {
 		return true
 	}
@@ -248,7 +248,7 @@
 	if wait {
 		<-t.hangUpReported
 	}
-	t.server.node.Tell(e)
+	t.server.node.Notify(e)
 }
 
 // endOfError returns how an attempt without a complete answer ended.
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -26,22 +26,22 @@
 // Limits bound the size of callers' requests, their connections and the time that
 // callers may take.
 type Limits struct {
-	Body        int           // bytes
-	Header      int           // bytes
-	Connections int           // open at the same time
-	Read        time.Duration // for receiving a request
-	Idle        time.Duration // between two requests on a connection
-	Stall       time.Duration // for a caller to accept written data
+	MaxBodyBytes   int           // bytes
+	MaxHeaderBytes int           // bytes
+	MaxConnections int           // open at the same time
+	ReadTimeout    time.Duration // for receiving a request
+	IdleTimeout    time.Duration // between two requests on a connection
+	StallTimeout   time.Duration // for a caller to accept written data
 }
 
 // DefaultLimits are the limits that apply where the settings give none.
 var DefaultLimits = Limits{
-	Body:        1 << 20,
-	Header:      16 << 10,
-	Connections: 16384,
-	Read:        30 * time.Second,
-	Idle:        75 * time.Second,
-	Stall:       10 * time.Second,
+	MaxBodyBytes:   1 << 20,
+	MaxHeaderBytes: 16 << 10,
+	MaxConnections: 16384,
+	ReadTimeout:    30 * time.Second,
+	IdleTimeout:    75 * time.Second,
+	StallTimeout:   10 * time.Second,
 }
 
 // Server is the HTTP server for callers.
@@ -89,11 +89,11 @@
 
 // New returns a server that passes requests to a host.
 func New(h *host.Host, keySecret []byte, options ...Option) *Server {
-	return NewFor(hostNode{h}, keySecret, options...)
+	return NewWithNode(hostNode{h}, keySecret, options...)
 }
 
-// NewFor returns a server that passes requests to any node.
-func NewFor(n Node, keySecret []byte, options ...Option) *Server {
+// NewWithNode returns a server that passes requests to any node.
+func NewWithNode(n Node, keySecret []byte, options ...Option) *Server {
 	s := &Server{
 		node:      n,
 		keySecret: keySecret,
@@ -112,11 +112,11 @@
 		Handler:            s.router().Handler,
 		ErrorHandler:       s.handleReadError,
 		Name:               "gentiancroft",
-		MaxRequestBodySize: s.limits.Body,
-		ReadBufferSize:     s.limits.Header,
-		Concurrency:        s.limits.Connections,
-		ReadTimeout:        s.limits.Read,
-		IdleTimeout:        s.limits.Idle,
+		MaxRequestBodySize: s.limits.MaxBodyBytes,
+		ReadBufferSize:     s.limits.MaxHeaderBytes,
+		Concurrency:        s.limits.MaxConnections,
+		ReadTimeout:        s.limits.ReadTimeout,
+		IdleTimeout:        s.limits.IdleTimeout,
 		CloseOnShutdown:    true,
 
 		DisablePreParseMultipartForm: true,
@@ -157,7 +157,7 @@
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	drained := make(chan error, 1)
 	stop := context.AfterFunc(ctx, func() { drained <- s.http.Shutdown() })
-	err := s.http.Serve(hangup.Listener{Listener: l, Stall: s.limits.Stall})
+	err := s.http.Serve(hangup.Listener{Listener: l, Stall: s.limits.StallTimeout})
 	if stop() {
 		return err
 	}
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -60,7 +60,7 @@
 			return false
 		}
 	}
-	t.server.node.Tell(node.FirstByte{ID: d.ID, Attempt: d.Attempt})
+	t.server.node.Notify(node.FirstByte{ID: d.ID, Attempt: d.Attempt})
 	t.line.recordFirstByte()
 	ctx.SetStatusCode(answer.Status)
 	ctx.SetContentType(answer.ContentType)
@@ -112,7 +112,7 @@
 // handleFailure ends the attempt and appends the error event to the complete events.
 func (s *stream) handleFailure(err error) {
 	kind := node.EndCancelled
-	refusal := s.task.exchange.CutBy()
+	refusal := s.task.exchange.AbortRefusal()
 	if refusal == nil && s.task.hasHungUp() {
 		refusal = &core.Refusal{Code: core.CodeCancelled, Message: "the caller hung up", Ran: core.RanYes}
 	}
--- a/internal/host/exchange.go
+++ b/internal/host/exchange.go
@@ -44,9 +44,9 @@
 	x.host.mu.Unlock()
 }
 
-// Attempt returns the context of an attempt. The node's cancel or abort cancels it,
+// StartAttempt returns the context of an attempt. The node's cancel or abort cancels it,
 // also one that came before this call.
-func (x *Exchange) Attempt(parent context.Context) (context.Context, context.CancelFunc) {
+func (x *Exchange) StartAttempt(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -57,8 +57,8 @@
 	return ctx, cancel
 }
 
-// CutBy returns the refusal that the answer was aborted with, or nil.
-func (x *Exchange) CutBy() *core.Refusal {
+// AbortRefusal returns the refusal that the answer was aborted with, or nil.
+func (x *Exchange) AbortRefusal() *core.Refusal {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.abortRefusal
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -86,10 +86,10 @@
 // Left returns a channel that gives one value once the host may exit.
 func (h *Host) Left() <-chan Left { return h.left }
 
-// Tell enqueues an event and blocks while the queue is full: an event that ends
+// Notify enqueues an event and blocks while the queue is full: an event that ends
 // something must not be lost. The node's worker must not call it, as it would block
 // itself.
-func (h *Host) Tell(e node.Event) { h.events.Put(e) }
+func (h *Host) Notify(e node.Event) { h.events.Put(e) }
 
 // Offer enqueues an event. It returns false if the queue is full.
 func (h *Host) Offer(e node.Event) bool { return h.events.TryPush(e) }
@@ -208,7 +208,7 @@
 
 func (h *Host) executeOrder(o core.AdapterOrder) {
 	accepted := h.orders.submit(func(ctx context.Context) {
-		h.Tell(node.OrderDone{OrderDone: h.executors.Orders.Do(ctx, o)})
+		h.Notify(node.OrderDone{OrderDone: h.executors.Orders.Do(ctx, o)})
 	})
 	if !accepted {
 		h.localEvents = append(h.localEvents, node.OrderDone{OrderDone: core.OrderDone{ID: o.ID, NoEffect: true}})
@@ -217,7 +217,7 @@
 
 func (h *Host) callObject(c core.ObjectCall) {
 	accepted := h.objects.submit(func(ctx context.Context) {
-		h.Tell(node.ObjectDone{Result: h.executors.Objects.Do(ctx, c)})
+		h.Notify(node.ObjectDone{Result: h.executors.Objects.Do(ctx, c)})
 	})
 	if !accepted {
 		h.localEvents = append(h.localEvents, node.ObjectDone{Result: core.ObjectResult{Tag: c.Tag, Status: core.ObjectUnavailable}})
@@ -230,7 +230,7 @@
 		report := h.executors.Polls.Poll(ctx, p.Upstream, p.Address)
 		report.Upstream = p.Upstream
 		report.Sent = sent
-		h.Tell(node.Report{UpstreamReport: report})
+		h.Notify(node.Report{UpstreamReport: report})
 	})
 }
 
@@ -241,7 +241,7 @@
 			log.WithError(err).Debug("could not read the host list; the former one stays")
 			return
 		}
-		h.Tell(node.HostsListed{Hosts: hosts})
+		h.Notify(node.HostsListed{Hosts: hosts})
 	})
 }
 
--- a/internal/measure/overhead/alone.go
+++ b/internal/measure/overhead/alone.go
@@ -13,8 +13,8 @@
 // adds is the callers' interface alone.
 type immediate struct{ engine string }
 
-// Begin implements entry.Node.
-func (n immediate) Begin(a node.Arrive) entry.Exchange {
+// StartRequest implements entry.Node.
+func (n immediate) StartRequest(a node.Arrive) entry.Exchange {
 	x := instant{decisions: make(chan node.Effect, 1)}
 	x.decisions <- node.Dispatch{
 		ID: a.ID, Attempt: 1, Upstream: "usual", Address: n.engine, Workspace: "w",
@@ -23,21 +23,21 @@
 	return x
 }
 
-// Tell implements entry.Node.
-func (immediate) Tell(node.Event) {}
+// Notify implements entry.Node.
+func (immediate) Notify(node.Event) {}
 
 type instant struct{ decisions chan node.Effect }
 
 // Decisions implements entry.Exchange.
 func (x instant) Decisions() <-chan node.Effect { return x.decisions }
 
-// Attempt implements entry.Exchange.
-func (instant) Attempt(parent context.Context) (context.Context, context.CancelFunc) {
+// StartAttempt implements entry.Exchange.
+func (instant) StartAttempt(parent context.Context) (context.Context, context.CancelFunc) {
 	return context.WithCancel(parent)
 }
 
-// CutBy implements entry.Exchange.
-func (instant) CutBy() *core.Refusal { return nil }
+// AbortRefusal implements entry.Exchange.
+func (instant) AbortRefusal() *core.Refusal { return nil }
 
 // Close implements entry.Exchange.
 func (instant) Close() {}
@@ -51,7 +51,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	server := entry.NewFor(immediate{engine: f.engine}, keySecret)
+	server := entry.NewWithNode(immediate{engine: f.engine}, keySecret)
 	go func() {
 		_ = server.Serve(ctx, l)
 		close(done)
--- a/internal/wiring/convert.go
+++ b/internal/wiring/convert.go
@@ -44,15 +44,15 @@
 func entryLimits(l settings.Limits) entry.Limits {
 	d := entry.DefaultLimits
 	limits := entry.Limits{
-		Body:        l.Body.Or(d.Body),
-		Header:      l.Header.Or(d.Header),
-		Connections: l.Connections,
-		Read:        l.Read.Or(d.Read),
-		Idle:        l.Idle.Or(d.Idle),
-		Stall:       l.Stall.Or(d.Stall),
+		MaxBodyBytes:   l.Body.Or(d.MaxBodyBytes),
+		MaxHeaderBytes: l.Header.Or(d.MaxHeaderBytes),
+		MaxConnections: l.Connections,
+		ReadTimeout:    l.Read.Or(d.ReadTimeout),
+		IdleTimeout:    l.Idle.Or(d.IdleTimeout),
+		StallTimeout:   l.Stall.Or(d.StallTimeout),
 	}
-	if limits.Connections == 0 {
-		limits.Connections = d.Connections
+	if limits.MaxConnections == 0 {
+		limits.MaxConnections = d.MaxConnections
 	}
 	return limits
 }
--- a/internal/wiring/host.go
+++ b/internal/wiring/host.go
@@ -201,4 +201,4 @@
 }
 
 // Leave starts a graceful shutdown; Run returns once it is complete.
-func (r *Running) Leave() { r.Host.Tell(node.Leave{}) }
+func (r *Running) Leave() { r.Host.Notify(node.Leave{}) }
--- a/internal/wiring/status.go
+++ b/internal/wiring/status.go
@@ -54,7 +54,7 @@
 		return entry.Entries{}, core.Refuse(core.CodeOverloaded, time.Second, "the host is overloaded")
 	}
 	a := <-result
-	return entry.Entries{Addresses: a.Addresses, Keep: a.TTL}, nil
+	return entry.Entries{Addresses: a.Addresses, TTL: a.TTL}, nil
 }
 
 // Models implements entry.Status.
