--- a/internal/core/node/admit.go
+++ b/internal/core/node/admit.go
@@ -20,7 +20,7 @@
 
 // handleArrival admits a request under the configuration in force and starts it,
 // or refuses it.
-func (n *Node) handleArrival(e Arrive) {
+func (n *Node) handleArrival(e RequestArrived) {
 	r, refusal := n.admit(e)
 	if refusal != nil {
 		n.logDecision("admission", string(refusal.Code), e.ID)
@@ -33,7 +33,7 @@
 }
 
 // admit returns the request for an arrival, or the refusal.
-func (n *Node) admit(e Arrive) (*request, *core.Refusal) {
+func (n *Node) admit(e RequestArrived) (*request, *core.Refusal) {
 	if n.leaving.closed {
 		return nil, core.Refuse(core.CodeHostLeaving, retryAfterLeaving, "this host is leaving; ask for entries again")
 	}
@@ -119,7 +119,7 @@
 	if r.route.Kind == config.RouteService {
 		return core.Tokens(r.route.Cost)
 	}
-	return r.arrival.Prompt + r.arrival.MaxTokens
+	return r.arrival.PromptTokens + r.arrival.MaxTokens
 }
 
 // reserve requests the reservation of the tokens that a request may use; it comes
@@ -144,7 +144,7 @@
 		return
 	}
 	r.stage = stageRecord
-	n.applyOnceResult(n.once.Begin(n.now, once.Request{ID: r.id(), Workspace: r.workspace.ID, Key: r.arrival.IdempotencyKey, BodyHash: r.arrival.Body}))
+	n.applyOnceResult(n.once.Begin(n.now, once.Request{ID: r.id(), Workspace: r.workspace.ID, Key: r.arrival.IdempotencyKey, BodyHash: r.arrival.BodyHash}))
 }
 
 // handleOnceDecision places, replays or refuses a non-idempotent request.
@@ -161,7 +161,7 @@
 		n.place(r)
 	case once.Replay:
 		n.abandon(r, core.RanNo)
-		n.emit(Replay{ID: d.ID, Outcome: d.Outcome})
+		n.emit(ReplayOutcome{ID: d.ID, Outcome: d.Outcome})
 	case once.Refuse:
 		n.refuse(r, d.Refusal)
 	}
--- a/internal/core/node/bench_test.go
+++ b/internal/core/node/bench_test.go
@@ -38,7 +38,7 @@
 
 func (f *fleet) measureControl() *controlCost {
 	c := &controlCost{bytes: map[core.HostID]int{}, spent: map[core.HostID]time.Duration{}}
-	f.onSend = func(from *fakeHost, x ToPeer) {
+	f.onSend = func(from *fakeHost, x SendToPeer) {
 		b, err := cbor.Marshal(x.Message)
 		if err != nil {
 			f.t.Fatal(err)
@@ -152,7 +152,7 @@
 		a := completionRequest(string(id), fmt.Sprintf("workspace-%03d", n%workspaces), adapterName(n%(adaptersPerEngine*len(f.engines))))
 		f.step(h, a)
 		if n%5 < 3 {
-			f.after(300*time.Millisecond, func() { f.step(h, Gone{ID: id}) })
+			f.after(300*time.Millisecond, func() { f.step(h, CallerGone{ID: id}) })
 		}
 		f.run(gap)
 	}
--- a/internal/core/node/dispatch.go
+++ b/internal/core/node/dispatch.go
@@ -30,7 +30,7 @@
 		Class:     r.class,
 		Cost:      r.cost(),
 		Deadline:  r.deadline,
-		Prefix:    r.arrival.Prefix,
+		Prefix:    r.arrival.PrefixHash,
 		Avoid:     r.excluded,
 	}))
 }
@@ -71,11 +71,11 @@
 		return
 	}
 	if d.Allowed {
-		n.emit(Note{Name: "claim", Reason: "allowed", Detail: d.Reason, ID: d.ID})
+		n.emit(LogDecision{Name: "claim", Reason: "allowed", Detail: d.Reason, ID: d.ID})
 		n.dispatch(r)
 		return
 	}
-	n.emit(Note{Name: "claim", Reason: "not_allowed", Detail: d.Reason, ID: d.ID})
+	n.emit(LogDecision{Name: "claim", Reason: "not_allowed", Detail: d.Reason, ID: d.ID})
 	r.hasClaim = false
 	if len(d.Alternatives) > 0 && len(r.excluded) < maxExcluded {
 		n.move(r, d.Alternatives)
@@ -113,16 +113,16 @@
 	r.stage = stageRunning
 	n.logDecision("dispatch", dispatchReason(r.ticket), r.id())
 	n.emit(Dispatch{
-		ID:        r.id(),
-		Attempt:   r.attempt,
-		Upstream:  r.ticket.Upstream,
-		Address:   r.ticket.Address,
-		Adapter:   r.adapter,
-		Fence:     r.ticket.Grant.Fence,
-		Until:     r.ticket.Grant.Until,
-		Workspace: r.workspace.ID,
-		Class:     r.class,
-		Record:    r.hasRecord,
+		ID:           r.id(),
+		Attempt:      r.attempt,
+		Upstream:     r.ticket.Upstream,
+		Address:      r.ticket.Address,
+		Adapter:      r.adapter,
+		Fence:        r.ticket.Grant.Fence,
+		Until:        r.ticket.Grant.Until,
+		Workspace:    r.workspace.ID,
+		Class:        r.class,
+		BufferAnswer: r.hasRecord,
 	})
 }
 
--- a/internal/core/node/events.go
+++ b/internal/core/node/events.go
@@ -14,27 +14,27 @@
 // Event is something that happened outside the node.
 type Event interface{ isEvent() }
 
-// Arrive is a caller's request, parsed and checked against the size limits.
-type Arrive struct {
+// RequestArrived is a caller's request, parsed and checked against the size limits.
+type RequestArrived struct {
 	ID             core.RequestID
 	KeyHash        string // "" if the caller sent none
 	Path           string
 	Model          string
-	Prompt         core.Tokens // estimate from the body
+	PromptTokens   core.Tokens // estimate from the body
 	MaxTokens      core.Tokens // maximum of generated tokens
 	IdempotencyKey string
 	Fingerprint    uint64 // keyed hash of the content that an upstream would run; 0: no crash check
-	Body           uint64 // hash of the body; distinguishes a repeat from a reused idempotency key
-	Prefix         uint64 // hash of the start of the prompt, for prefix cache affinity
+	BodyHash       uint64 // hash of the body; distinguishes a repeat from a reused idempotency key
+	PrefixHash     uint64 // hash of the start of the prompt, for prefix cache affinity
 	Timeout        time.Duration
 }
 
-// Gone reports that the caller hung up.
-type Gone struct{ ID core.RequestID }
+// CallerGone reports that the caller hung up.
+type CallerGone struct{ ID core.RequestID }
 
-// FirstByte reports that the first byte of an answer was sent to the caller; the
+// FirstByteSent reports that the first byte of an answer was sent to the caller; the
 // request can't be retried from then on.
-type FirstByte struct {
+type FirstByteSent struct {
 	ID      core.RequestID
 	Attempt int
 }
@@ -44,28 +44,28 @@
 
 // Values of EndKind.
 const (
-	EndOK        EndKind = iota + 1 // whole answer delivered
-	EndNotRun                       // the upstream refused before running, or was never reached
-	EndFailed                       // failed before the first byte to the caller; may have run
-	EndBroken                       // broke off after the first byte to the caller
-	EndMissing                      // the adapter is not loaded on the upstream
-	EndCancelled                    // cancelled by this host
+	EndOK             EndKind = iota + 1 // whole answer delivered
+	EndNotRun                            // the upstream refused before running, or was never reached
+	EndFailed                            // failed before the first byte to the caller; may have run
+	EndBroken                            // broke off after the first byte to the caller
+	EndAdapterMissing                    // the adapter is not loaded on the upstream
+	EndCancelled                         // cancelled by this host
 )
 
-// Ended reports the end of an attempt at an upstream.
-type Ended struct {
-	ID       core.RequestID
-	Attempt  int
-	Kind     EndKind
-	Used     core.Tokens  // prompt and generated tokens
-	Counted  bool         // Used is the upstream's count
-	Crashed  bool         // the upstream crashed or closed all its connections
-	Outcome  core.Outcome // of a non-idempotent request
-	Received core.Tokens  // generated tokens seen by this host
+// AttemptEnded reports the end of an attempt at an upstream.
+type AttemptEnded struct {
+	ID             core.RequestID
+	Attempt        int
+	Kind           EndKind
+	TokensUsed     core.Tokens  // prompt and generated tokens
+	Counted        bool         // Used is the upstream's count
+	Crashed        bool         // the upstream crashed or closed all its connections
+	Outcome        core.Outcome // of a non-idempotent request
+	TokensReceived core.Tokens  // generated tokens seen by this host
 }
 
-// Report is the result of a poll of an upstream.
-type Report struct{ core.UpstreamReport }
+// ReportReceived is the result of a poll of an upstream.
+type ReportReceived struct{ core.UpstreamReport }
 
 // OrderDone is the result of an adapter order.
 type OrderDone struct{ core.OrderDone }
@@ -73,14 +73,14 @@
 // ObjectDone is the result of an object API call.
 type ObjectDone struct{ Result core.ObjectResult }
 
-// FromPeer is a message that was received over a host link.
-type FromPeer struct {
+// MessageReceived is a message that was received over a host link.
+type MessageReceived struct {
 	From    core.HostID
 	Message PeerMessage
 }
 
-// HostsListed is the platform's list of hosts and upstreams, which lags behind.
-type HostsListed struct{ Hosts []ListedHost }
+// HostListRead is the platform's list of hosts and upstreams, which lags behind.
+type HostListRead struct{ Hosts []ListedHost }
 
 // ListedHost is one entry of the platform's list: a host or an upstream.
 type ListedHost struct {
@@ -94,17 +94,17 @@
 // Leave starts a graceful shutdown.
 type Leave struct{}
 
-func (Arrive) isEvent()      {}
-func (Gone) isEvent()        {}
-func (FirstByte) isEvent()   {}
-func (Ended) isEvent()       {}
-func (Report) isEvent()      {}
-func (OrderDone) isEvent()   {}
-func (ObjectDone) isEvent()  {}
-func (FromPeer) isEvent()    {}
-func (HostsListed) isEvent() {}
-func (Tick) isEvent()        {}
-func (Leave) isEvent()       {}
+func (RequestArrived) isEvent()  {}
+func (CallerGone) isEvent()      {}
+func (FirstByteSent) isEvent()   {}
+func (AttemptEnded) isEvent()    {}
+func (ReportReceived) isEvent()  {}
+func (OrderDone) isEvent()       {}
+func (ObjectDone) isEvent()      {}
+func (MessageReceived) isEvent() {}
+func (HostListRead) isEvent()    {}
+func (Tick) isEvent()            {}
+func (Leave) isEvent()           {}
 
 // Query runs a read-only function between two steps; it affects no decision.
 type Query struct {
--- a/internal/core/node/finish.go
+++ b/internal/core/node/finish.go
@@ -6,7 +6,7 @@
 	"gentiancroft/internal/core/placement"
 )
 
-func (n *Node) handleFirstByte(e FirstByte) {
+func (n *Node) handleFirstByte(e FirstByteSent) {
 	if r := n.requests.atStage(e.ID, stageRunning); r != nil && r.attempt == e.Attempt {
 		r.firstByteSent = true
 	}
@@ -14,7 +14,7 @@
 
 // handleCallerGone ends a request whose caller hung up, at any stage. A running
 // attempt is cancelled; its end is still accounted for.
-func (n *Node) handleCallerGone(e Gone) {
+func (n *Node) handleCallerGone(e CallerGone) {
 	r := n.requests.byID[e.ID]
 	if r == nil || r.callerDone {
 		return
@@ -51,7 +51,7 @@
 	}
 	r.callerDone = true
 	if r.firstByteSent {
-		n.emit(Cut{ID: r.id(), Refusal: refusal})
+		n.emit(AbortAnswer{ID: r.id(), Refusal: refusal})
 		return
 	}
 	n.emit(Refuse{ID: r.id(), Refusal: refusal})
@@ -105,7 +105,7 @@
 
 // handleAttemptEnd accounts for the end of an attempt, releases its ticket and
 // claim, and completes or retries the request.
-func (n *Node) handleAttemptEnd(e Ended) {
+func (n *Node) handleAttemptEnd(e AttemptEnded) {
 	r := n.requests.atStage(e.ID, stageRunning)
 	if r == nil || r.attempt != e.Attempt {
 		n.logDecision("attempt", "late", e.ID)
@@ -114,9 +114,9 @@
 	n.logDecision("attempt", endReasons[e.Kind], e.ID)
 	n.addUsage(r, e)
 	n.applyPlacementResult(n.placement.Release(n.now, n.lease, e.ID, placement.TicketEnd{
-		TokensUsed:     e.Used,
+		TokensUsed:     e.TokensUsed,
 		OK:             e.Kind == EndOK,
-		AdapterMissing: e.Kind == EndMissing,
+		AdapterMissing: e.Kind == EndAdapterMissing,
 		Crashed:        e.Crashed,
 		NotReached:     e.Kind == EndNotRun,
 	}))
@@ -135,21 +135,21 @@
 }
 
 var endReasons = map[EndKind]string{
-	EndOK:        "ok",
-	EndNotRun:    "not_run",
-	EndFailed:    "failed",
-	EndBroken:    "broken",
-	EndMissing:   "adapter_missing",
-	EndCancelled: "cancelled",
+	EndOK:             "ok",
+	EndNotRun:         "not_run",
+	EndFailed:         "failed",
+	EndBroken:         "broken",
+	EndAdapterMissing: "adapter_missing",
+	EndCancelled:      "cancelled",
 }
 
-func suspectEnd(e Ended) suspect.End {
+func suspectEnd(e AttemptEnded) suspect.End {
 	switch {
 	case e.Kind == EndOK:
 		return suspect.EndOK
 	case e.Crashed:
 		return suspect.EndCrashed
-	case e.Kind == EndNotRun || e.Kind == EndMissing:
+	case e.Kind == EndNotRun || e.Kind == EndAdapterMissing:
 		return suspect.EndNotSent
 	}
 	return suspect.EndAborted
@@ -157,19 +157,19 @@
 
 // addUsage adds the tokens that an attempt used: the cost of a service call, else
 // the tokens reported with the end, else the prompt, which the upstream may have read.
-func (n *Node) addUsage(r *request, e Ended) {
+func (n *Node) addUsage(r *request, e AttemptEnded) {
 	switch {
-	case e.Kind == EndNotRun || e.Kind == EndMissing:
+	case e.Kind == EndNotRun || e.Kind == EndAdapterMissing:
 	case r.isService():
 		r.tokensUsed += r.cost()
-	case e.Used > 0:
-		r.tokensUsed += e.Used
+	case e.TokensUsed > 0:
+		r.tokensUsed += e.TokensUsed
 	default:
-		r.tokensUsed += r.arrival.Prompt
+		r.tokensUsed += r.arrival.PromptTokens
 	}
 }
 
-func (n *Node) handleSuccess(r *request, e Ended) {
+func (n *Node) handleSuccess(r *request, e AttemptEnded) {
 	if r.hasRecord {
 		r.hasRecord = false
 		n.applyOnceResult(n.once.Finish(n.now, e.ID, e.Outcome, core.RanYes))
@@ -187,8 +187,8 @@
 }
 
 // handleFailure retries a request on another upstream or refuses it.
-func (n *Node) handleFailure(r *request, e Ended) {
-	didNotRun := e.Kind == EndNotRun || e.Kind == EndMissing
+func (n *Node) handleFailure(r *request, e AttemptEnded) {
+	didNotRun := e.Kind == EndNotRun || e.Kind == EndAdapterMissing
 	if didNotRun {
 		r.notRun++
 	}
--- a/internal/core/node/fleet_test.go
+++ b/internal/core/node/fleet_test.go
@@ -99,7 +99,7 @@
 	answers           map[core.RequestID]*answer
 	regions           int
 	domains           int
-	onSend            func(from *fakeHost, x ToPeer)     // called for each message, for measurements
+	onSend            func(from *fakeHost, x SendToPeer) // called for each message, for measurements
 	onStep            func(h *fakeHost, d time.Duration) // called after each step, for measurements
 	starts            int                                // requests started at any engine
 	calls             int                                // object API calls
@@ -212,25 +212,25 @@
 		f.after(linkDelay, func() { f.cancel(h, x.ID, x.Attempt) })
 	case Refuse:
 		f.answer(x.ID).refusal = x.Refusal
-	case Cut:
+	case AbortAnswer:
 		f.answer(x.ID).refusal = x.Refusal
 		f.answer(x.ID).aborted = true
 		f.after(linkDelay, func() { f.cancel(h, x.ID, h.attempt(x.ID)) })
-	case Replay:
+	case ReplayOutcome:
 		f.answer(x.ID).outcome = &x.Outcome
-	case Order:
+	case SendOrder:
 		f.executeOrder(h, x.AdapterOrder)
-	case Object:
+	case CallObject:
 		f.callObject(h, x.Call)
-	case ToPeer:
+	case SendToPeer:
 		f.sends++
 		if f.onSend != nil {
 			f.onSend(h, x)
 		}
 		f.after(linkDelay, func() { f.deliver(h, x) })
-	case Poll:
+	case PollUpstream:
 		f.poll(h, x)
-	case Left:
+	case LeaveCompleted:
 		f.left = append(f.left, h.id)
 		h.down = true
 	}
@@ -250,10 +250,10 @@
 	return f.answers[id]
 }
 
-func (f *fleet) deliver(from *fakeHost, x ToPeer) {
+func (f *fleet) deliver(from *fakeHost, x SendToPeer) {
 	for _, h := range f.hosts {
 		if h.id == x.To && !from.down && !from.partitioned && !h.partitioned {
-			f.step(h, FromPeer{From: from.id, Message: x.Message})
+			f.step(h, MessageReceived{From: from.id, Message: x.Message})
 		}
 	}
 }
@@ -296,7 +296,7 @@
 	})
 }
 
-func (f *fleet) poll(h *fakeHost, p Poll) {
+func (f *fleet) poll(h *fakeHost, p PollUpstream) {
 	e := f.engines[p.Upstream]
 	sent := f.now
 	f.after(2*linkDelay, func() {
@@ -316,7 +316,7 @@
 			}
 			return 1
 		})
-		f.step(h, Report{r})
+		f.step(h, ReportReceived{r})
 	})
 }
 
@@ -324,7 +324,7 @@
 func (f *fleet) startRequest(h *fakeHost, d Dispatch) {
 	e := f.engines[d.Upstream]
 	if d.Adapter != (core.AdapterRef{}) && !e.adapters[d.Adapter] {
-		f.step(h, Ended{ID: d.ID, Attempt: d.Attempt, Kind: EndMissing})
+		f.step(h, AttemptEnded{ID: d.ID, Attempt: d.Attempt, Kind: EndAdapterMissing})
 		return
 	}
 	f.starts++
@@ -347,7 +347,7 @@
 		r := &e.running[i]
 		if r.id == d.ID && r.attempt == d.Attempt {
 			r.answered = true
-			f.step(r.host, FirstByte{ID: d.ID, Attempt: d.Attempt})
+			f.step(r.host, FirstByteSent{ID: d.ID, Attempt: d.Attempt})
 			return
 		}
 	}
@@ -362,7 +362,7 @@
 	a := f.answer(d.ID)
 	a.ok = !r.host.down
 	a.adapter = d.Adapter
-	f.step(r.host, Ended{ID: d.ID, Attempt: d.Attempt, Kind: EndOK, Used: 20, Counted: true, Outcome: core.Outcome{Status: 200, Body: []byte("done")}})
+	f.step(r.host, AttemptEnded{ID: d.ID, Attempt: d.Attempt, Kind: EndOK, TokensUsed: 20, Counted: true, Outcome: core.Outcome{Status: 200, Body: []byte("done")}})
 }
 
 func (e *engine) remove(id core.RequestID, attempt int) (engineRun, bool) {
@@ -378,7 +378,7 @@
 func (f *fleet) cancel(h *fakeHost, id core.RequestID, attempt int) {
 	for _, e := range f.engines {
 		if _, ok := e.remove(id, attempt); ok {
-			f.step(h, Ended{ID: id, Attempt: attempt, Kind: EndCancelled, Used: 10})
+			f.step(h, AttemptEnded{ID: id, Attempt: attempt, Kind: EndCancelled, TokensUsed: 10})
 		}
 	}
 }
@@ -402,6 +402,6 @@
 		if r.answered {
 			kind = EndBroken
 		}
-		f.step(r.host, Ended{ID: r.id, Attempt: r.attempt, Kind: kind, Crashed: true})
+		f.step(r.host, AttemptEnded{ID: r.id, Attempt: r.attempt, Kind: kind, Crashed: true})
 	}
 }
--- a/internal/core/node/leaving.go
+++ b/internal/core/node/leaving.go
@@ -44,11 +44,11 @@
 		return
 	}
 	waited := n.now.Sub(l.startedAt)
-	if !l.closed && waited >= n.settings.KeepTime {
+	if !l.closed && waited >= n.settings.RequestRefusalDelay {
 		n.logDecision("leave", "closed", "")
 		l.closed = true
 	}
-	if waited >= n.settings.Drain {
+	if waited >= n.settings.DrainTimeout {
 		n.refuseRemaining()
 	}
 	if l.closed && n.idle() {
@@ -78,7 +78,7 @@
 	if n.lease.Released() || n.lease.IdentityLost() || timedOut {
 		l.completed = true
 		n.logDecision("leave", "left", "")
-		n.emit(Left{Fenced: n.lease.IdentityLost()})
+		n.emit(LeaveCompleted{Fenced: n.lease.IdentityLost()})
 	}
 }
 
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -26,27 +26,27 @@
 	Placement placement.Settings
 	Retry     retry.Settings
 
-	PollEvery time.Duration // interval of an owner's polls of an upstream
-	ListEvery time.Duration // interval of reads of the platform's host list
-	KeepTime  time.Duration // how long a leaving host still accepts requests
-	Drain     time.Duration // maximum time that a leaving host waits for requests in flight
-	Capacity  int           // requests in flight at which this host is fully utilized
+	PollInterval        time.Duration // interval of an owner's polls of an upstream
+	ListInterval        time.Duration // interval of reads of the platform's host list
+	RequestRefusalDelay time.Duration // how long a leaving host still accepts requests
+	DrainTimeout        time.Duration // maximum time that a leaving host waits for requests in flight
+	Capacity            int           // requests in flight at which this host is fully utilized
 }
 
 // Defaults of Settings.
 const (
-	DefaultPollEvery = 250 * time.Millisecond
-	DefaultListEvery = time.Second
-	DefaultKeepTime  = 10 * time.Second
-	DefaultDrain     = time.Hour
-	DefaultCapacity  = 512
+	DefaultPollInterval        = 250 * time.Millisecond
+	DefaultListInterval        = time.Second
+	DefaultRequestRefusalDelay = 10 * time.Second
+	DefaultDrainTimeout        = time.Hour
+	DefaultCapacity            = 512
 )
 
 func (s *Settings) setDefaults() {
-	core.OrDefault(&s.PollEvery, DefaultPollEvery)
-	core.OrDefault(&s.ListEvery, DefaultListEvery)
-	core.OrDefault(&s.KeepTime, DefaultKeepTime)
-	core.OrDefault(&s.Drain, DefaultDrain)
+	core.OrDefault(&s.PollInterval, DefaultPollInterval)
+	core.OrDefault(&s.ListInterval, DefaultListInterval)
+	core.OrDefault(&s.RequestRefusalDelay, DefaultRequestRefusalDelay)
+	core.OrDefault(&s.DrainTimeout, DefaultDrainTimeout)
 	core.OrDefault(&s.Capacity, DefaultCapacity)
 	s.Lease.Self = s.Self
 	s.Feed.Self = s.Self
@@ -113,23 +113,23 @@
 	n.now = max(n.now, now)
 	n.effects = nil
 	switch e := event.(type) {
-	case Arrive:
+	case RequestArrived:
 		n.handleArrival(e)
-	case Gone:
+	case CallerGone:
 		n.handleCallerGone(e)
-	case FirstByte:
+	case FirstByteSent:
 		n.handleFirstByte(e)
-	case Ended:
+	case AttemptEnded:
 		n.handleAttemptEnd(e)
-	case Report:
+	case ReportReceived:
 		n.applyPlacementResult(n.placement.Report(n.now, n.lease, e.UpstreamReport))
 	case OrderDone:
 		n.applyPlacementResult(n.placement.OrderDone(n.now, n.lease, e.OrderDone))
 	case ObjectDone:
 		n.routeObjectResult(e.Result)
-	case FromPeer:
+	case MessageReceived:
 		n.handlePeerMessage(e)
-	case HostsListed:
+	case HostListRead:
 		n.updateHostList(e)
 	case Tick:
 		n.tick()
@@ -147,7 +147,7 @@
 func (n *Node) emit(e Effect) { n.effects = append(n.effects, e) }
 
 func (n *Node) logDecision(name, reason string, id core.RequestID) {
-	n.emit(Note{Name: name, Reason: reason, ID: id})
+	n.emit(LogDecision{Name: name, Reason: reason, ID: id})
 }
 
 // tick runs the timers of every machine and of the node.
@@ -169,15 +169,15 @@
 // platform's host list, when they are due.
 func (n *Node) poll() {
 	if n.now >= n.due.poll {
-		n.due.poll = n.now.Add(n.settings.PollEvery)
+		n.due.poll = n.now.Add(n.settings.PollInterval)
 		for _, id := range n.placement.OwnedUpstreams() {
 			if u := n.upstream(id); u != nil {
-				n.emit(Poll{Upstream: id, Address: u.Address})
+				n.emit(PollUpstream{Upstream: id, Address: u.Address})
 			}
 		}
 	}
 	if n.now >= n.due.list {
-		n.due.list = n.now.Add(n.settings.ListEvery)
+		n.due.list = n.now.Add(n.settings.ListInterval)
 		n.emit(ListHosts{})
 	}
 }
@@ -196,7 +196,7 @@
 	upstreams []core.UpstreamID // the leaving ones among them that are upstreams, sorted
 }
 
-func (n *Node) updateHostList(e HostsListed) {
+func (n *Node) updateHostList(e HostListRead) {
 	n.listed = hostList{}
 	for _, h := range e.Hosts {
 		if !h.Leaving {
--- a/internal/core/node/node_test.go
+++ b/internal/core/node/node_test.go
@@ -40,12 +40,12 @@
 	return config.Canonical(d)
 }
 
-func completionRequest(id, key, model string) Arrive {
-	return Arrive{ID: core.RequestID(id), KeyHash: config.HashKey(secret, key), Path: "/v1/completions", Model: model, Prompt: 10, MaxTokens: 50, Fingerprint: core.Fingerprint(1, id), Timeout: time.Minute}
+func completionRequest(id, key, model string) RequestArrived {
+	return RequestArrived{ID: core.RequestID(id), KeyHash: config.HashKey(secret, key), Path: "/v1/completions", Model: model, PromptTokens: 10, MaxTokens: 50, Fingerprint: core.Fingerprint(1, id), Timeout: time.Minute}
 }
 
-func bookingRequest(id, idempotencyKey string) Arrive {
-	return Arrive{ID: core.RequestID(id), KeyHash: config.HashKey(secret, "key-1"), Path: "/bookings", IdempotencyKey: idempotencyKey, Body: 7, Fingerprint: 7, Timeout: time.Minute}
+func bookingRequest(id, idempotencyKey string) RequestArrived {
+	return RequestArrived{ID: core.RequestID(id), KeyHash: config.HashKey(secret, "key-1"), Path: "/bookings", IdempotencyKey: idempotencyKey, BodyHash: 7, Fingerprint: 7, Timeout: time.Minute}
 }
 
 // readyFleet returns a fleet whose hosts are all ready.
@@ -178,7 +178,7 @@
 		id := core.RequestID(fmt.Sprint("r", i))
 		f.step(f.hosts[i%3], completionRequest(string(id), "key-1", fmt.Sprintf("quotes-%02d", i%12)))
 		f.run(time.Duration(i) * 7 * time.Millisecond)
-		f.step(f.hosts[i%3], Gone{ID: id})
+		f.step(f.hosts[i%3], CallerGone{ID: id})
 	}
 	f.run(10 * time.Second)
 	for _, h := range f.hosts {
--- a/internal/core/node/outputs.go
+++ b/internal/core/node/outputs.go
@@ -36,7 +36,7 @@
 	n.calls.lastTag++
 	n.calls.open[n.calls.lastTag] = pendingCall{machine: m, tag: c.Tag}
 	c.Tag = n.calls.lastTag
-	n.emit(Object{Call: c})
+	n.emit(CallObject{Call: c})
 }
 
 // routeObjectResult passes a result to the machine that made the call.
@@ -101,13 +101,13 @@
 		n.send(s.To, PeerMessage{Placement: &s.Message})
 	}
 	for _, o := range r.Orders {
-		n.emit(Order{AdapterOrder: o})
+		n.emit(SendOrder{AdapterOrder: o})
 	}
 	for _, p := range r.Publish {
 		n.publishResidency(p)
 	}
 	for _, note := range r.LogEntries {
-		n.emit(Note{Name: note.Name, Detail: note.Reason})
+		n.emit(LogDecision{Name: note.Name, Detail: note.Reason})
 	}
 	for _, d := range r.Decisions {
 		n.handlePlacementDecision(d)
--- a/internal/core/node/peer.go
+++ b/internal/core/node/peer.go
@@ -19,7 +19,7 @@
 }
 
 // handlePeerMessage passes a message to the machine that it is for.
-func (n *Node) handlePeerMessage(e FromPeer) {
+func (n *Node) handlePeerMessage(e MessageReceived) {
 	m := e.Message
 	switch {
 	case m.Lease != nil:
@@ -44,7 +44,7 @@
 	}
 	for _, member := range n.lease.Members() {
 		if member.Host == to {
-			n.emit(ToPeer{To: to, Address: member.Link, Message: m})
+			n.emit(SendToPeer{To: to, Address: member.Link, Message: m})
 			return
 		}
 	}
@@ -56,6 +56,6 @@
 	for len(n.selfMessages) > 0 {
 		m := n.selfMessages[0]
 		n.selfMessages = n.selfMessages[1:]
-		n.handlePeerMessage(FromPeer{From: n.settings.Self.Host, Message: m})
+		n.handlePeerMessage(MessageReceived{From: n.settings.Self.Host, Message: m})
 	}
 }
--- a/internal/core/node/request.go
+++ b/internal/core/node/request.go
@@ -21,7 +21,7 @@
 
 // request is a caller's request that this host has admitted and not completed.
 type request struct {
-	arrival       Arrive
+	arrival       RequestArrived
 	key           *config.Key // nil on a route open to all
 	workspace     *config.Workspace
 	route         *config.Route
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -215,12 +215,12 @@
 // older membership any more.
 func (d *deployment) settled(ctx context.Context) bool {
 	for _, h := range d.hosts {
-		v := make(chan node.Vitals, 1)
-		err := h.Host.Read(ctx, func(n *node.Node, _ core.Instant) { v <- n.Vitals() })
+		v := make(chan node.Status, 1)
+		err := h.Host.Read(ctx, func(n *node.Node, _ core.Instant) { v <- n.Status() })
 		if err != nil {
 			return false
 		}
-		if x := <-v; x.Members != entryHosts || x.Settled != x.View {
+		if x := <-v; x.Members != entryHosts || x.LowestAppliedView != x.View {
 			return false
 		}
 	}
@@ -243,7 +243,7 @@
 		Platform:  d.platform,
 		KeySecret: secret,
 		Material:  material,
-		Node:      node.Settings{KeepTime: keepTime},
+		Node:      node.Settings{RequestRefusalDelay: keepTime},
 	})
 	if err != nil {
 		return err
--- a/internal/entry/answer_test.go
+++ b/internal/entry/answer_test.go
@@ -36,7 +36,7 @@
 	b.is.True(r.Header.Get("X-Request-Id") != "")
 	b.is.True(strings.HasSuffix(body, "data: [DONE]\n\n"))
 	e := b.nextEnded()
-	b.is.Equal(e, node.Ended{ID: e.ID, Attempt: 1, Kind: node.EndOK, Used: 4, Counted: true, Received: 1})
+	b.is.Equal(e, node.AttemptEnded{ID: e.ID, Attempt: 1, Kind: node.EndOK, TokensUsed: 4, Counted: true, TokensReceived: 1})
 }
 
 func TestStreamThatIsNotWholeEndsWithATypedEvent(t *testing.T) {
@@ -93,20 +93,20 @@
 func TestFailuresBeforeTheFirstByteAreReportedToTheNode(t *testing.T) {
 	for name, test := range map[string]struct {
 		first http.HandlerFunc
-		end   node.Ended
+		end   node.AttemptEnded
 	}{
-		"missing": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) }, node.Ended{Kind: node.EndMissing}},
+		"missing": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) }, node.AttemptEnded{Kind: node.EndAdapterMissing}},
 		"not run": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Ran", "no")
 			w.WriteHeader(503)
-		}, node.Ended{Kind: node.EndNotRun}},
-		"failed":   {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, node.Ended{Kind: node.EndFailed}},
-		"dropped":  {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, node.Ended{Kind: node.EndFailed, Crashed: true}},
-		"no event": {func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Content-Type", "text/event-stream") }, node.Ended{Kind: node.EndFailed}},
+		}, node.AttemptEnded{Kind: node.EndNotRun}},
+		"failed":   {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, node.AttemptEnded{Kind: node.EndFailed}},
+		"dropped":  {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, node.AttemptEnded{Kind: node.EndFailed, Crashed: true}},
+		"no event": {func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Content-Type", "text/event-stream") }, node.AttemptEnded{Kind: node.EndFailed}},
 		"incomplete answer": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "9")
 			_, _ = w.Write([]byte("short"))
-		}, node.Ended{Kind: node.EndFailed, Crashed: true}},
+		}, node.AttemptEnded{Kind: node.EndFailed, Crashed: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var attempts atomic.Int32 // incremented by goroutines of different connections
@@ -120,13 +120,13 @@
 			c := b.dial()
 			defer c.Close()
 			c.send(post("/v1/completions", `{"model":"quotes","prompt":"p"}`))
-			arrived := b.next().(node.Arrive)
+			arrived := b.next().(node.RequestArrived)
 			test.end.ID, test.end.Attempt = arrived.ID, 1
 			b.is.Equal(b.next(), test.end)
 			(<-b.exchange).decisions <- b.dispatch(arrived.ID, 2)
 			r := c.response() // the first attempt's failure is not sent to the caller
 			b.is.Equal(r.StatusCode, 200)
-			b.is.Equal(b.nextEnded(), node.Ended{ID: arrived.ID, Attempt: 2, Kind: node.EndOK, Used: 3, Counted: true, Received: 2})
+			b.is.Equal(b.nextEnded(), node.AttemptEnded{ID: arrived.ID, Attempt: 2, Kind: node.EndOK, TokensUsed: 3, Counted: true, TokensReceived: 2})
 		})
 	}
 }
@@ -149,8 +149,8 @@
 
 func TestReplayGivesTheRecordedOutcome(t *testing.T) {
 	b := newFixture(t, nil)
-	b.node.script = func(x *fakeExchange, a node.Arrive) {
-		x.decisions <- node.Replay{ID: a.ID, Outcome: core.Outcome{Status: 201, ContentType: "text/plain", Body: []byte("booked")}}
+	b.node.script = func(x *fakeExchange, a node.RequestArrived) {
+		x.decisions <- node.ReplayOutcome{ID: a.ID, Outcome: core.Outcome{Status: 201, ContentType: "text/plain", Body: []byte("booked")}}
 	}
 	r, body := b.roundTrip(post("/bookings", "{}"))
 	b.is.Equal(r.StatusCode, 201)
--- a/internal/entry/fake_test.go
+++ b/internal/entry/fake_test.go
@@ -34,11 +34,11 @@
 
 // fakeNode calls a script for each request and records the events reported to it.
 type fakeNode struct {
-	script func(*fakeExchange, node.Arrive)
+	script func(*fakeExchange, node.RequestArrived)
 	events chan node.Event
 }
 
-func (n *fakeNode) StartRequest(a node.Arrive) Exchange {
+func (n *fakeNode) StartRequest(a node.RequestArrived) Exchange {
 	x := &fakeExchange{decisions: make(chan node.Effect, 8)}
 	n.events <- a
 	n.script(x, a)
@@ -94,12 +94,12 @@
 // newFixture starts a server. With a nil handler, the node makes no decision on requests.
 func newFixture(t *testing.T, engine http.HandlerFunc, options ...Option) *fixture {
 	b := &fixture{is: is.New(t), logs: memory.New(), exchange: make(chan *fakeExchange, 16)}
-	b.node = &fakeNode{events: make(chan node.Event, 256), script: func(x *fakeExchange, a node.Arrive) { b.exchange <- x }}
+	b.node = &fakeNode{events: make(chan node.Event, 256), script: func(x *fakeExchange, a node.RequestArrived) { b.exchange <- x }}
 	if engine != nil {
 		up := httptest.NewServer(engine)
 		t.Cleanup(up.Close)
 		b.upstream = strings.TrimPrefix(up.URL, "http://")
-		b.node.script = func(x *fakeExchange, a node.Arrive) {
+		b.node.script = func(x *fakeExchange, a node.RequestArrived) {
 			b.exchange <- x
 			x.decisions <- b.dispatch(a.ID, 1)
 		}
@@ -125,9 +125,9 @@
 func (b *fixture) next() node.Event { return <-b.node.events }
 
 // nextEnded returns the next end of an attempt and skips other events.
-func (b *fixture) nextEnded() node.Ended {
+func (b *fixture) nextEnded() node.AttemptEnded {
 	for {
-		if e, ok := b.next().(node.Ended); ok {
+		if e, ok := b.next().(node.AttemptEnded); ok {
 			return e
 		}
 	}
--- a/internal/entry/hangup_test.go
+++ b/internal/entry/hangup_test.go
@@ -21,9 +21,9 @@
 	b := newFixture(t, nil)
 	c := b.dial()
 	c.send(post("/v1/completions", streamBody))
-	arrived := b.next().(node.Arrive)
+	arrived := b.next().(node.RequestArrived)
 	b.is.NoErr(c.Close())
-	b.is.Equal(b.next(), node.Gone{ID: arrived.ID})
+	b.is.Equal(b.next(), node.CallerGone{ID: arrived.ID})
 }
 
 func TestHangUpDuringPrefillCancelsTheUpstream(t *testing.T) {
@@ -36,11 +36,11 @@
 	})
 	c := b.dial()
 	c.send(post("/v1/completions", streamBody))
-	arrived := b.next().(node.Arrive)
+	arrived := b.next().(node.RequestArrived)
 	<-running
 	b.is.NoErr(c.Close())
 	<-cancelled
-	b.is.Equal(b.next(), node.Gone{ID: arrived.ID})
+	b.is.Equal(b.next(), node.CallerGone{ID: arrived.ID})
 	b.is.Equal(b.nextEnded().Kind, node.EndCancelled)
 }
 
@@ -54,16 +54,16 @@
 	})
 	c := b.dial()
 	c.send(post("/v1/completions", streamBody))
-	arrived := b.next().(node.Arrive)
-	b.is.Equal(b.next(), node.FirstByte{ID: arrived.ID, Attempt: 1})
+	arrived := b.next().(node.RequestArrived)
+	b.is.Equal(b.next(), node.FirstByteSent{ID: arrived.ID, Attempt: 1})
 	c.readEvent(c.response())
 	b.is.NoErr(c.Close())
 	<-cancelled
-	b.is.Equal(b.next(), node.Gone{ID: arrived.ID})
+	b.is.Equal(b.next(), node.CallerGone{ID: arrived.ID})
 	e := b.nextEnded()
 	b.is.Equal(e.Kind, node.EndCancelled)
-	b.is.Equal(e.Received, core.Tokens(1))
-	b.is.Equal(e.Used, arrived.Prompt+1) // only the tokens generated so far are charged
+	b.is.Equal(e.TokensReceived, core.Tokens(1))
+	b.is.Equal(e.TokensUsed, arrived.PromptTokens+1) // only the tokens generated so far are charged
 	b.stop()
 	b.is.Equal(b.logs.Entries[0].Fields["outcome"], core.CodeCancelled) // not counted as a failure of the upstream
 }
@@ -77,24 +77,24 @@
 		<-finish
 		_, _ = w.Write([]byte("booked"))
 	}, WithRegistry(registry))
-	b.node.script = func(x *fakeExchange, a node.Arrive) {
+	b.node.script = func(x *fakeExchange, a node.RequestArrived) {
 		d := b.dispatch(a.ID, 1)
-		d.Adapter, d.Record = core.AdapterRef{}, true
+		d.Adapter, d.BufferAnswer = core.AdapterRef{}, true
 		x.decisions <- d
 	}
 	c := b.dial()
 	c.send(post("/bookings", "{}", "Idempotency-Key: k"))
-	arrived := b.next().(node.Arrive)
+	arrived := b.next().(node.RequestArrived)
 	<-running
 	b.is.NoErr(c.Close())
 	for metrics.GetOrRegisterCounter("entry.hung_up", registry).Count() == 0 {
 		time.Sleep(time.Millisecond) // the attempt must end after the hang-up was detected
 	}
 	close(finish)
-	e := b.next().(node.Ended)
+	e := b.next().(node.AttemptEnded)
 	b.is.Equal(e.Kind, node.EndOK)
 	b.is.Equal(string(e.Outcome.Body), "booked")
-	b.is.Equal(b.next(), node.Gone{ID: arrived.ID}) // reported after the outcome
+	b.is.Equal(b.next(), node.CallerGone{ID: arrived.ID}) // reported after the outcome
 }
 
 func TestPipelinedRequestsAreServed(t *testing.T) {
@@ -109,7 +109,7 @@
 		return post("/v1/completions", `{"model":"quotes","prompt":"number `+itoa(i)+`"}`)
 	}
 	c.send(request(0) + request(1) + request(2)[:40])
-	first := b.next().(node.Arrive) // the first request is in progress; the third has arrived in part
+	first := b.next().(node.RequestArrived) // the first request is in progress; the third has arrived in part
 	c.send(request(2)[40:])
 	c.send(request(3))
 	close(release)
@@ -121,7 +121,7 @@
 	b.is.NoErr(c.Close())
 	for range 7 { // three more arrivals and four ends of attempts, but no hang-up
 		switch e := b.next().(type) {
-		case node.Gone:
+		case node.CallerGone:
 			t.Error("a hang-up was reported for a pipelined request:", e.ID, first.ID)
 		}
 	}
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -11,7 +11,7 @@
 // Node decides what happens to requests. A host.Host implements it.
 type Node interface {
 	// StartRequest starts a request.
-	StartRequest(node.Arrive) Exchange
+	StartRequest(node.RequestArrived) Exchange
 	// Notify reports an event of a request to the node.
 	Notify(node.Event)
 }
@@ -34,7 +34,7 @@
 type hostNode struct{ *host.Host }
 
 // StartRequest implements Node.
-func (h hostNode) StartRequest(a node.Arrive) Exchange { return hostExchange{h.Host.Begin(a)} }
+func (h hostNode) StartRequest(a node.RequestArrived) Exchange { return hostExchange{h.Host.Begin(a)} }
 
 type hostExchange struct{ *host.Exchange }
 
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -32,7 +32,7 @@
 
 // parsedRequest is a well-formed request.
 type parsedRequest struct {
-	arrival    node.Arrive
+	arrival    node.RequestArrived
 	completion *completion // nil for a plain service
 	body       []byte      // for a plain service
 	method     string
@@ -62,7 +62,7 @@
 		return nil, malformed("the key is repeated in the address, the body or a header that is passed on")
 	}
 	r := &parsedRequest{
-		arrival: node.Arrive{ID: id, Path: string(ctx.Path())},
+		arrival: node.RequestArrived{ID: id, Path: string(ctx.Path())},
 		method:  string(ctx.Method()),
 		path:    string(ctx.URI().RequestURI()),
 		headers: forwardHeaders(ctx),
@@ -77,8 +77,8 @@
 		return r, s.parseCompletionRequest(r, ctx)
 	}
 	r.body = ctx.Request.Body()
-	r.arrival.Body = core.Fingerprint(s.hashKey, r.method, r.path, string(r.body))
-	r.arrival.Fingerprint = r.arrival.Body
+	r.arrival.BodyHash = core.Fingerprint(s.hashKey, r.method, r.path, string(r.body))
+	r.arrival.Fingerprint = r.arrival.BodyHash
 	return r, nil
 }
 
@@ -91,11 +91,11 @@
 	a := &r.arrival
 	r.completion = c
 	a.Model = c.model
-	a.Prompt = c.promptTokens
+	a.PromptTokens = c.promptTokens
 	a.MaxTokens = c.maxTokens
 	a.Fingerprint = core.Fingerprint(s.hashKey, append(c.semanticParts(), a.Path)...)
-	a.Body = core.Fingerprint(s.hashKey, a.Path, string(ctx.Request.Body()))
-	a.Prefix = core.Fingerprint(s.hashKey, c.prefixParts()...)
+	a.BodyHash = core.Fingerprint(s.hashKey, a.Path, string(ctx.Request.Body()))
+	a.PrefixHash = core.Fingerprint(s.hashKey, c.prefixParts()...)
 	return nil
 }
 
--- a/internal/entry/parse_test.go
+++ b/internal/entry/parse_test.go
@@ -78,23 +78,23 @@
 
 func TestArrivalDescribesTheRequest(t *testing.T) {
 	b := newFixture(t, nil)
-	b.node.script = func(x *fakeExchange, a node.Arrive) {
+	b.node.script = func(x *fakeExchange, a node.RequestArrived) {
 		x.decisions <- node.Refuse{Refusal: core.Refuse(core.CodeUnknownAdapter, 0, "")}
 	}
-	arrival := func(body string) node.Arrive {
+	arrival := func(body string) node.RequestArrived {
 		r, _ := b.roundTrip(post("/v1/completions", body, "X-Request-Timeout: 2.5", "Idempotency-Key: k"))
 		b.is.Equal(r.StatusCode, 404)
-		return b.next().(node.Arrive)
+		return b.next().(node.RequestArrived)
 	}
 	one := arrival(`{"model":"m@1","prompt":[5,6,7],"max_tokens":9,"user":"a"}`)
-	b.is.Equal(one.Prompt, core.Tokens(3))
+	b.is.Equal(one.PromptTokens, core.Tokens(3))
 	b.is.Equal(one.MaxTokens, core.Tokens(9))
 	b.is.Equal(one.IdempotencyKey, "k")
 	b.is.Equal(one.Timeout.Seconds(), 2.5)
 	two := arrival(`{"user":"b","stream":true,"model":"m@2","prompt":[5,6,7],"max_tokens":9}`)
 	b.is.Equal(one.Fingerprint, two.Fingerprint) // model version, user and stream don't count
-	b.is.Equal(one.Prefix, two.Prefix)
-	b.is.True(one.Body != two.Body)
+	b.is.Equal(one.PrefixHash, two.PrefixHash)
+	b.is.True(one.BodyHash != two.BodyHash)
 	three := arrival(`{"model":"m@1","prompt":[5,6,8],"max_tokens":9}`)
 	b.is.True(one.Fingerprint != three.Fingerprint)
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -84,7 +84,7 @@
 // reportHangUp cancels the request's work and reports the hang-up to the node.
 func (t *task) reportHangUp() {
 	t.cancel()
-	t.server.node.Notify(node.Gone{ID: t.request.arrival.ID})
+	t.server.node.Notify(node.CallerGone{ID: t.request.arrival.ID})
 	close(t.hangUpReported)
 }
 
@@ -147,9 +147,9 @@
 	switch d := decision.(type) {
 	case node.Refuse:
 		t.endRefused(ctx, d.Refusal)
-	case node.Cut:
+	case node.AbortAnswer:
 		t.endRefused(ctx, d.Refusal)
-	case node.Replay:
+	case node.ReplayOutcome:
 		t.writeOutcome(ctx, d.Outcome)
 		ctx.Response.Header.Set("X-Replayed", "true")
 		t.finish(core.Code("replayed"))
@@ -187,15 +187,15 @@
 // runAttempt carries out one attempt. It returns true if the answer has started.
 func (t *task) runAttempt(ctx *fasthttp.RequestCtx, d node.Dispatch) bool {
 	t.line.addDispatch(d)
-	if d.Record && !t.startRecorded() {
-		t.attemptEnded(node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: node.EndNotRun})
+	if d.BufferAnswer && !t.startRecorded() {
+		t.attemptEnded(node.AttemptEnded{ID: d.ID, Attempt: d.Attempt, Kind: node.EndNotRun})
 		return false
 	}
 	attempt, cancel := t.exchange.StartAttempt(t.ctx)
 	if t.sendAttempt(ctx, d, attempt, cancel) {
 		return true
 	}
-	if d.Record {
+	if d.BufferAnswer {
 		t.endRecorded()
 	}
 	cancel()
@@ -213,10 +213,10 @@
 	}
 	if kind := endOfHeader(d, answer); kind != 0 {
 		answer.Close()
-		t.attemptEnded(node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: kind})
+		t.attemptEnded(node.AttemptEnded{ID: d.ID, Attempt: d.Attempt, Kind: kind})
 		return false
 	}
-	if strings.HasPrefix(answer.ContentType, "text/event-stream") && !d.Record {
+	if strings.HasPrefix(answer.ContentType, "text/event-stream") && !d.BufferAnswer {
 		return t.beginStream(ctx, d, attempt, cancel, answer)
 	}
 	return t.deliver(ctx, d, attempt, cancel, answer)
@@ -235,13 +235,13 @@
 		Class:         d.Class,
 		Fence:         d.Fence,
 		SendBefore:    d.Until,
-		NewConnection: d.Record,
+		NewConnection: d.BufferAnswer,
 	}
 }
 
 // attemptEnded reports the end of an attempt to the node. If the caller has hung up, it
 // waits until the hang-up has been reported.
-func (t *task) attemptEnded(e node.Ended) {
+func (t *task) attemptEnded(e node.AttemptEnded) {
 	t.mu.Lock()
 	wait := t.hungUp && !t.recording
 	t.mu.Unlock()
@@ -252,8 +252,8 @@
 }
 
 // endOfError returns how an attempt without a complete answer ended.
-func endOfError(d node.Dispatch, attempt context.Context, err error) node.Ended {
-	e := node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: node.EndFailed}
+func endOfError(d node.Dispatch, attempt context.Context, err error) node.AttemptEnded {
+	e := node.AttemptEnded{ID: d.ID, Attempt: d.Attempt, Kind: node.EndFailed}
 	switch {
 	case upstream.NotReached.Has(err):
 		e.Kind = node.EndNotRun
@@ -272,7 +272,7 @@
 	engine := d.Adapter != (core.AdapterRef{})
 	switch {
 	case engine && a.Status == http.StatusNotFound:
-		return node.EndMissing
+		return node.EndAdapterMissing
 	case a.NotRun && a.Status >= http.StatusBadRequest:
 		return node.EndNotRun
 	case !engine:
@@ -293,13 +293,13 @@
 		return false
 	}
 	outcome := core.Outcome{Status: answer.Status, ContentType: answer.ContentType, Body: body}
-	e := node.Ended{ID: d.ID, Attempt: d.Attempt, Kind: node.EndOK}
+	e := node.AttemptEnded{ID: d.ID, Attempt: d.Attempt, Kind: node.EndOK}
 	t.countTokens(&e, jsonUsage(body), t.request.arrival.MaxTokens)
-	if d.Record {
+	if d.BufferAnswer {
 		e.Outcome = outcome
 	}
 	t.attemptEnded(e)
-	if d.Record {
+	if d.BufferAnswer {
 		t.endRecorded()
 	}
 	cancel()
@@ -308,7 +308,7 @@
 	if answer.RetryAfter != "" {
 		ctx.Response.Header.Set("Retry-After", answer.RetryAfter)
 	}
-	t.line.usedTokens = e.Used
+	t.line.usedTokens = e.TokensUsed
 	t.finish(outcomeOK)
 	return true
 }
@@ -316,17 +316,17 @@
 // countTokens sets the tokens that an attempt used: from the upstream's report u, or,
 // without one, the prompt's estimate plus generated, the number of generated tokens or
 // its maximum.
-func (t *task) countTokens(e *node.Ended, u *usage, generated core.Tokens) {
+func (t *task) countTokens(e *node.AttemptEnded, u *usage, generated core.Tokens) {
 	if t.request.completion == nil {
 		return
 	}
-	e.Received = generated
-	e.Used = t.request.arrival.Prompt + generated
+	e.TokensReceived = generated
+	e.TokensUsed = t.request.arrival.PromptTokens + generated
 	if u == nil {
 		return
 	}
-	e.Received = u.Generated
-	e.Used = u.Prompt + u.Generated
+	e.TokensReceived = u.Generated
+	e.TokensUsed = u.Prompt + u.Generated
 	e.Counted = true
 }
 
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -60,7 +60,7 @@
 			return false
 		}
 	}
-	t.server.node.Notify(node.FirstByte{ID: d.ID, Attempt: d.Attempt})
+	t.server.node.Notify(node.FirstByteSent{ID: d.ID, Attempt: d.Attempt})
 	t.line.recordFirstByte()
 	ctx.SetStatusCode(answer.Status)
 	ctx.SetContentType(answer.ContentType)
@@ -138,10 +138,10 @@
 		return
 	}
 	s.ended = true
-	e := node.Ended{ID: s.dispatch.ID, Attempt: s.dispatch.Attempt, Kind: kind}
+	e := node.AttemptEnded{ID: s.dispatch.ID, Attempt: s.dispatch.Attempt, Kind: kind}
 	e.Crashed = kind == node.EndBroken && upstream.ConnectionClosed(err)
 	s.task.countTokens(&e, s.events.usage, s.events.generated)
-	s.task.line.usedTokens = e.Used
+	s.task.line.usedTokens = e.TokensUsed
 	if kind == node.EndOK {
 		s.answer.CloseAfterDrain()
 	} else {
--- a/internal/host/exchange.go
+++ b/internal/host/exchange.go
@@ -26,7 +26,7 @@
 
 // Begin passes a request to the node. If the event queue is full, the exchange
 // receives a refusal.
-func (h *Host) Begin(a node.Arrive) *Exchange {
+func (h *Host) Begin(a node.RequestArrived) *Exchange {
 	x := &Exchange{ID: a.ID, Decisions: make(chan node.Effect, decisionBuffer), host: h}
 	h.mu.Lock()
 	h.exchanges[a.ID] = x
@@ -70,7 +70,7 @@
 	case node.Cancel:
 		x.cancelAttempt(nil)
 		return
-	case node.Cut:
+	case node.AbortAnswer:
 		x.cancelAttempt(e.Refusal)
 	}
 	select {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -81,7 +81,7 @@
 func (h *Host) Now() core.Instant { return core.Instant(time.Since(h.start)) }
 
 // Left reports that the host may exit.
-type Left = node.Left
+type Left = node.LeaveCompleted
 
 // Left returns a channel that gives one value once the host may exit.
 func (h *Host) Left() <-chan Left { return h.left }
@@ -97,7 +97,7 @@
 // FromPeer enqueues a message from a link. If the queue is full, the message is
 // dropped and counted; the node copes with lost messages.
 func (h *Host) FromPeer(from core.HostID, m node.PeerMessage) {
-	if !h.Offer(node.FromPeer{From: from, Message: m}) {
+	if !h.Offer(node.MessageReceived{From: from, Message: m}) {
 		h.count(MetricPeerDropped)
 	}
 }
@@ -171,25 +171,25 @@
 		h.deliverDecision(x.ID, x)
 	case node.Refuse:
 		h.deliverDecision(x.ID, x)
-	case node.Replay:
+	case node.ReplayOutcome:
 		h.deliverDecision(x.ID, x)
-	case node.Cut:
+	case node.AbortAnswer:
 		h.deliverDecision(x.ID, x)
 	case node.Cancel:
 		h.deliverDecision(x.ID, x)
-	case node.Order:
+	case node.SendOrder:
 		h.executeOrder(x.AdapterOrder)
-	case node.Object:
+	case node.CallObject:
 		h.callObject(x.Call)
-	case node.Poll:
+	case node.PollUpstream:
 		h.poll(x)
 	case node.ListHosts:
 		h.listHosts()
-	case node.ToPeer:
+	case node.SendToPeer:
 		h.executors.Links.Send(x.To, x.Address, x.Message)
-	case node.Note:
+	case node.LogDecision:
 		h.logDecision(x)
-	case node.Left:
+	case node.LeaveCompleted:
 		h.left <- x // the node emits it once
 	default:
 		log.WithField("effect", fmt.Sprintf("%T", effect)).Error("effect has no executor and is dropped")
@@ -224,13 +224,13 @@
 	}
 }
 
-func (h *Host) poll(p node.Poll) {
+func (h *Host) poll(p node.PollUpstream) {
 	h.polls.submit(func(ctx context.Context) {
 		sent := h.Now()
 		report := h.executors.Polls.Poll(ctx, p.Upstream, p.Address)
 		report.Upstream = p.Upstream
 		report.Sent = sent
-		h.Notify(node.Report{UpstreamReport: report})
+		h.Notify(node.ReportReceived{UpstreamReport: report})
 	})
 }
 
@@ -241,12 +241,12 @@
 			log.WithError(err).Debug("could not read the host list; the former one stays")
 			return
 		}
-		h.Notify(node.HostsListed{Hosts: hosts})
+		h.Notify(node.HostListRead{Hosts: hosts})
 	})
 }
 
 // logDecision counts a decision by its name and reason and logs it at debug level.
-func (h *Host) logDecision(n node.Note) {
+func (h *Host) logDecision(n node.LogDecision) {
 	name := decisionPrefix + metricName(n.Name)
 	if n.Reason != "" {
 		name += "." + n.Reason
--- a/internal/measure/overhead/alone.go
+++ b/internal/measure/overhead/alone.go
@@ -14,7 +14,7 @@
 type immediate struct{ engine string }
 
 // StartRequest implements entry.Node.
-func (n immediate) StartRequest(a node.Arrive) entry.Exchange {
+func (n immediate) StartRequest(a node.RequestArrived) entry.Exchange {
 	x := instant{decisions: make(chan node.Effect, 1)}
 	x.decisions <- node.Dispatch{
 		ID: a.ID, Attempt: 1, Upstream: "usual", Address: n.engine, Workspace: "w",
--- a/internal/wiring/convert.go
+++ b/internal/wiring/convert.go
@@ -59,13 +59,13 @@
 
 func nodeSettings(h *settings.Host) node.Settings {
 	return node.Settings{
-		Lease:     lease.Settings{Term: h.Timings.LeaseTerm.Value(), RenewInterval: h.Timings.LeaseRenew.Value()},
-		Feed:      feed.Settings{PingInterval: h.Timings.FeedPing.Value(), HeadReadInterval: h.Timings.FeedRead.Value(), FreshnessBound: h.Timings.FeedBound.Value()},
-		PollEvery: h.Timings.Poll.Value(),
-		ListEvery: h.Timings.List.Value(),
-		KeepTime:  h.Shutdown.Keep.Value(),
-		Drain:     h.Shutdown.Drain.Value(),
-		Capacity:  h.Limits.InFlight,
+		Lease:               lease.Settings{Term: h.Timings.LeaseTerm.Value(), RenewInterval: h.Timings.LeaseRenew.Value()},
+		Feed:                feed.Settings{PingInterval: h.Timings.FeedPing.Value(), HeadReadInterval: h.Timings.FeedRead.Value(), FreshnessBound: h.Timings.FeedBound.Value()},
+		PollInterval:        h.Timings.Poll.Value(),
+		ListInterval:        h.Timings.List.Value(),
+		RequestRefusalDelay: h.Shutdown.Keep.Value(),
+		DrainTimeout:        h.Shutdown.Drain.Value(),
+		Capacity:            h.Limits.InFlight,
 	}
 }
 
