--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -34,7 +34,9 @@
 type hostNode struct{ *host.Host }
 
 // StartRequest implements Node.
-func (h hostNode) StartRequest(a node.RequestArrived) Exchange { return hostExchange{h.Host.Begin(a)} }
+func (h hostNode) StartRequest(a node.RequestArrived) Exchange {
+	return hostExchange{h.Host.StartRequest(a)}
+}
 
 type hostExchange struct{ *host.Exchange }
 
--- a/internal/host/exchange.go
+++ b/internal/host/exchange.go
@@ -24,9 +24,9 @@
 	abortRefusal *core.Refusal
 }
 
-// Begin passes a request to the node. If the event queue is full, the exchange
+// StartRequest passes a request to the node. If the event queue is full, the exchange
 // receives a refusal.
-func (h *Host) Begin(a node.RequestArrived) *Exchange {
+func (h *Host) StartRequest(a node.RequestArrived) *Exchange {
 	x := &Exchange{ID: a.ID, Decisions: make(chan node.Effect, decisionBuffer), host: h}
 	h.mu.Lock()
 	h.exchanges[a.ID] = x
--- a/internal/host/executors.go
+++ b/internal/host/executors.go
@@ -32,8 +32,8 @@
 	Poll(ctx context.Context, u core.UpstreamID, address string) core.UpstreamReport
 }
 
-// Listing reads the platform's host list, which lags behind.
-type Listing interface {
+// HostLister reads the platform's host list, which lags behind.
+type HostLister interface {
 	List(ctx context.Context) ([]node.ListedHost, error)
 }
 
@@ -42,12 +42,12 @@
 	Send(to core.HostID, address string, m node.PeerMessage)
 }
 
-// Carriers are the executors of a node's effects.
-type Carriers struct {
+// Executors are the executors of a node's effects.
+type Executors struct {
 	Orders  Orders
 	Objects Objects
 	Polls   Polls
-	Listing Listing
+	Hosts   HostLister
 	Links   Links
 }
 
--- a/internal/host/gauges.go
+++ b/internal/host/gauges.go
@@ -12,20 +12,20 @@
 
 // Names of a host's gauges. A boolean gauge is 1 for true.
 const (
-	GaugeReady         = "host.ready"
-	GaugeInFlight      = "host.in_flight"
-	GaugeMembers       = "members.hosts"
-	GaugeView          = "members.view"
-	GaugeSettled       = "members.settled"
-	GaugeHolding       = "members.lease_held"
-	GaugeOutage        = "members.store_outage"
-	GaugeCutOff        = "config.cut_off"
-	GaugeConfiguration = "config.version"
-	GaugeFresh         = "config.age_ms"
-	GaugeOwned         = "placement.upstreams_owned"
-	GaugeGranted       = "limit.granted"
-	GaugeLimited       = "limit.refused"
-	GaugeLoans         = "limit.borrowed"
+	GaugeReady            = "host.ready"
+	GaugeInFlight         = "host.in_flight"
+	GaugeMembers          = "members.hosts"
+	GaugeView             = "members.view"
+	GaugeSettled          = "members.settled"
+	GaugeLeaseHeld        = "members.lease_held"
+	GaugeStoreOutage      = "members.store_outage"
+	GaugeCutOff           = "config.cut_off"
+	GaugeConfiguration    = "config.version"
+	GaugeConfigurationAge = "config.age_ms"
+	GaugeUpstreamsOwned   = "placement.upstreams_owned"
+	GaugeLimitGranted     = "limit.granted"
+	GaugeLimitRefused     = "limit.refused"
+	GaugeLimitBorrowed    = "limit.borrowed"
 )
 
 // updateGauges sets the gauges from the node's state and the queues. Only the
@@ -37,15 +37,15 @@
 	h.gauge(GaugeMembers, int64(v.Members))
 	h.gauge(GaugeView, int64(v.View))
 	h.gauge(GaugeSettled, int64(v.LowestAppliedView))
-	h.gauge(GaugeHolding, exposition.Truth(v.LeaseValid))
-	h.gauge(GaugeOutage, exposition.Truth(v.StoreOutage))
+	h.gauge(GaugeLeaseHeld, exposition.Truth(v.LeaseValid))
+	h.gauge(GaugeStoreOutage, exposition.Truth(v.StoreOutage))
 	h.gauge(GaugeCutOff, exposition.Truth(v.CutOff))
 	h.gauge(GaugeConfiguration, int64(v.Configuration))
-	h.gauge(GaugeFresh, v.ConfigurationAge.Milliseconds())
-	h.gauge(GaugeOwned, int64(v.OwnedUpstreams))
-	h.gauge(GaugeGranted, int64(v.RequestsGranted))
-	h.gauge(GaugeLimited, int64(v.RequestsLimited))
-	h.gauge(GaugeLoans, int64(v.RequestsByLoan))
+	h.gauge(GaugeConfigurationAge, v.ConfigurationAge.Milliseconds())
+	h.gauge(GaugeUpstreamsOwned, int64(v.OwnedUpstreams))
+	h.gauge(GaugeLimitGranted, int64(v.RequestsGranted))
+	h.gauge(GaugeLimitRefused, int64(v.RequestsLimited))
+	h.gauge(GaugeLimitBorrowed, int64(v.RequestsByLoan))
 	for _, p := range []*pool{h.objects, h.orders, h.polls} {
 		s := p.ring.Stats()
 		h.gauge("ring."+metricName(s.Name)+".length", int64(s.Length))
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -37,7 +37,7 @@
 // Host owns a node and its event queue.
 type Host struct {
 	node        *node.Node
-	executors   Carriers
+	executors   Executors
 	metrics     metrics.Registry
 	events      *supervise.Ring[node.Event]
 	objects     *pool
@@ -46,14 +46,14 @@
 	localEvents []node.Event // used by the node's worker only
 	ticks       int          // used by the node's worker only
 	start       time.Time
-	left        chan Left
+	left        chan LeaveCompleted
 
 	mu        sync.Mutex
 	exchanges map[core.RequestID]*Exchange
 }
 
 // New returns a host whose workers are not started. Register adds them to a tree.
-func New(n *node.Node, c Carriers, registry metrics.Registry, start time.Time) *Host {
+func New(n *node.Node, c Executors, registry metrics.Registry, start time.Time) *Host {
 	return &Host{
 		node:      n,
 		executors: c,
@@ -63,7 +63,7 @@
 		orders:    newPool("adapter orders", orderWorkers),
 		polls:     newPool("polls", pollWorkers),
 		start:     start,
-		left:      make(chan Left, 1),
+		left:      make(chan LeaveCompleted, 1),
 		exchanges: map[core.RequestID]*Exchange{},
 	}
 }
@@ -80,11 +80,11 @@
 // Now is the host's monotonic clock.
 func (h *Host) Now() core.Instant { return core.Instant(time.Since(h.start)) }
 
-// Left reports that the host may exit.
-type Left = node.LeaveCompleted
+// LeaveCompleted reports that the host may exit.
+type LeaveCompleted = node.LeaveCompleted
 
-// Left returns a channel that gives one value once the host may exit.
-func (h *Host) Left() <-chan Left { return h.left }
+// Done returns a channel that gives one value once the host may exit.
+func (h *Host) Done() <-chan LeaveCompleted { return h.left }
 
 // Notify enqueues an event and blocks while the queue is full: an event that ends
 // something must not be lost. The node's worker must not call it, as it would block
@@ -94,9 +94,9 @@
 // Offer enqueues an event. It returns false if the queue is full.
 func (h *Host) Offer(e node.Event) bool { return h.events.TryPush(e) }
 
-// FromPeer enqueues a message from a link. If the queue is full, the message is
+// ReceiveFromPeer enqueues a message from a link. If the queue is full, the message is
 // dropped and counted; the node copes with lost messages.
-func (h *Host) FromPeer(from core.HostID, m node.PeerMessage) {
+func (h *Host) ReceiveFromPeer(from core.HostID, m node.PeerMessage) {
 	if !h.Offer(node.MessageReceived{From: from, Message: m}) {
 		h.count(MetricPeerDropped)
 	}
@@ -236,7 +236,7 @@
 
 func (h *Host) listHosts() {
 	h.polls.submit(func(ctx context.Context) {
-		hosts, err := h.executors.Listing.List(ctx)
+		hosts, err := h.executors.Hosts.List(ctx)
 		if err != nil {
 			log.WithError(err).Debug("could not read the host list; the former one stays")
 			return
--- a/internal/wiring/executors.go
+++ b/internal/wiring/executors.go
@@ -52,17 +52,17 @@
 			log.WithField("peer", string(from)).WithError(err).Warn("peer message not decoded")
 			return
 		}
-		h.FromPeer(from, m)
+		h.ReceiveFromPeer(from, m)
 	}
 }
 
 // newExecutors returns the executors of a host's effects.
-func newExecutors(p *platform.Client, u *upstream.Client, l *lateBoundLinks, now func() core.Instant) host.Carriers {
-	return host.Carriers{
+func newExecutors(p *platform.Client, u *upstream.Client, l *lateBoundLinks, now func() core.Instant) host.Executors {
+	return host.Executors{
 		Orders:  upstream.OrderClient{Client: u, Now: now},
 		Objects: p,
 		Polls:   u,
-		Listing: hostLister{client: p},
+		Hosts:   hostLister{client: p},
 		Links:   l,
 	}
 }
--- a/internal/wiring/host.go
+++ b/internal/wiring/host.go
@@ -183,10 +183,10 @@
 	done := make(chan error, 1)
 	go func() { done <- r.tree.Serve(all) }()
 	log.WithFields(log.Fields{"host": string(r.ID), "callers": r.Address}).Info("serving")
-	var left host.Left
+	var left host.LeaveCompleted
 	select {
 	case <-ctx.Done():
-	case left = <-r.Host.Left():
+	case left = <-r.Host.Done():
 	}
 	cancel()
 	<-done
