--- a/cmd/gentiancroft/relay.go
+++ b/cmd/gentiancroft/relay.go
@@ -72,12 +72,12 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // a reader of the log that goes away must not end the host
-	r, err := wiring.NewRelay(s, wiring.Adapter{
-		Carriers:    platform.Executors,
-		Dialect:     platform.Headers{},
-		PathReady:   platform.PathReady,
-		PathResolve: platform.PathResolve,
-		Resolved:    platform.EncodeAddresses,
+	r, err := wiring.NewRelay(s, wiring.PlatformAdapter{
+		Executors:       platform.Executors,
+		Dialect:         platform.Headers{},
+		PathReady:       platform.PathReady,
+		PathResolve:     platform.PathResolve,
+		EncodeAddresses: platform.EncodeAddresses,
 	})
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 
 // reload reads the settings again at SIGHUP, and when the file has changed.
 // Settings that can't be used change nothing.
-func reload(ctx context.Context, hangups <-chan os.Signal, file string, r *wiring.Relaying) {
+func reload(ctx context.Context, hangups <-chan os.Signal, file string, r *wiring.RelayHost) {
 	ticker := time.NewTicker(reloadEvery)
 	defer ticker.Stop()
 	last, err := os.ReadFile(file)
--- a/cmd/gentiancroft/serve.go
+++ b/cmd/gentiancroft/serve.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := wiring.From(h)
+			s, err := wiring.SettingsFrom(h)
 			if err != nil {
 				return err
 			}
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -69,7 +69,7 @@
 
 // entryHost is one running host.
 type entryHost struct {
-	*wiring.Running
+	*wiring.ServeHost
 	domain core.Domain
 	kill   context.CancelFunc
 	done   chan error
@@ -249,7 +249,7 @@
 		return err
 	}
 	own, kill := context.WithCancel(ctx)
-	h := &entryHost{Running: r, domain: core.Domain(domain), kill: kill, done: make(chan error, 1)}
+	h := &entryHost{ServeHost: r, domain: core.Domain(domain), kill: kill, done: make(chan error, 1)}
 	d.hosts = append(d.hosts, h)
 	go func() { h.done <- r.Run(own) }()
 	return nil
--- a/internal/wiring/convert.go
+++ b/internal/wiring/convert.go
@@ -14,9 +14,9 @@
 	"gentiancroft/internal/settings"
 )
 
-// From converts the settings of a process into those of a host. It returns an error
+// SettingsFrom converts the settings of a process into those of a host. It returns an error
 // if the key secret or the certificates can't be read.
-func From(h *settings.Host) (Settings, error) {
+func SettingsFrom(h *settings.Host) (Settings, error) {
 	secret, err := h.KeySecret()
 	if err != nil {
 		return Settings{}, err
--- a/internal/wiring/host.go
+++ b/internal/wiring/host.go
@@ -22,8 +22,8 @@
 	"gentiancroft/internal/upstream"
 )
 
-// Running is an assembled host.
-type Running struct {
+// ServeHost is an assembled host.
+type ServeHost struct {
 	ID      core.HostID
 	Address string // callers' ip:port
 	Host    *host.Host
@@ -44,7 +44,7 @@
 func (s clockStart) now() core.Instant { return core.Instant(time.Since(time.Time(s))) }
 
 // New assembles a host and binds its sockets. Run starts it.
-func New(s Settings) (*Running, error) {
+func New(s Settings) (*ServeHost, error) {
 	c := dig.New()
 	constructors := []any{
 		func() Settings { return s },
@@ -67,8 +67,8 @@
 			return nil, Error.Wrap(err)
 		}
 	}
-	var r *Running
-	if err := c.Invoke(func(built *Running) { r = built }); err != nil {
+	var r *ServeHost
+	if err := c.Invoke(func(built *ServeHost) { r = built }); err != nil {
 		return nil, Error.Wrap(dig.RootCause(err))
 	}
 	return r, nil
@@ -162,8 +162,8 @@
 	return entry.New(h, s.KeySecret, options...)
 }
 
-func newRunning(s Settings, id identity, h *host.Host, t *supervise.Tree, l *peer.Links, e *entry.Server, ln net.Listener, p *platform.Client, u *upstream.Client, r metrics.Registry) *Running {
-	return &Running{
+func newRunning(s Settings, id identity, h *host.Host, t *supervise.Tree, l *peer.Links, e *entry.Server, ln net.Listener, p *platform.Client, u *upstream.Client, r metrics.Registry) *ServeHost {
+	return &ServeHost{
 		ID: id.host, Address: ln.Addr().String(), Host: h, Metrics: r,
 		settings: s, tree: t, links: l, entry: e, listener: ln, platform: p, upstream: u,
 	}
@@ -172,7 +172,7 @@
 // Run serves until ctx ends, which stops the host at once, or until the graceful
 // shutdown that Leave starts is complete. It returns a Fenced error if the host has
 // lost its lease.
-func (r *Running) Run(ctx context.Context) error {
+func (r *ServeHost) Run(ctx context.Context) error {
 	all, cancel := context.WithCancel(ctx)
 	defer cancel()
 	callers, stop := context.WithCancel(all)
@@ -201,4 +201,4 @@
 }
 
 // Leave starts a graceful shutdown; Run returns once it is complete.
-func (r *Running) Leave() { r.Host.Notify(node.Leave{}) }
+func (r *ServeHost) Leave() { r.Host.Notify(node.Leave{}) }
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -25,19 +25,19 @@
 	"gentiancroft/internal/upstream"
 )
 
-// Adapter holds the platform's parts of a relaying host.
-type Adapter struct {
-	Carriers    func(store string, client *upstream.Client) gateway.Executors
-	Dialect     relay.Dialect
-	PathReady   string
-	PathResolve string
-	Resolved    func(addresses []string, keep time.Duration) ([]byte, error)
+// PlatformAdapter holds the platform's parts of a relaying host.
+type PlatformAdapter struct {
+	Executors       func(store string, client *upstream.Client) gateway.Executors
+	Dialect         relay.Dialect
+	PathReady       string
+	PathResolve     string
+	EncodeAddresses func(addresses []string, keep time.Duration) ([]byte, error)
 }
 
-// Relaying is an assembled relaying host.
-type Relaying struct {
+// RelayHost is an assembled relaying host.
+type RelayHost struct {
 	settings atomic.Pointer[settings.Relay]
-	adapter  Adapter
+	adapter  PlatformAdapter
 	registry metrics.Registry
 	tree     *supervise.Tree
 	gateway  *gateway.Gateway
@@ -73,11 +73,11 @@
 }
 
 // NewRelay assembles a relaying host. Run opens its listeners and starts it.
-func NewRelay(s *settings.Relay, a Adapter) (*Relaying, error) {
+func NewRelay(s *settings.Relay, a PlatformAdapter) (*RelayHost, error) {
 	c := dig.New()
 	constructors := []any{
 		func() *settings.Relay { return s },
-		func() Adapter { return a },
+		func() PlatformAdapter { return a },
 		func() identity { return newIdentity(s.Host.Name) },
 		metrics.NewRegistry,
 		func(r metrics.Registry) *supervise.Tree { return supervise.NewTree(s.Host.Name, r) },
@@ -95,8 +95,8 @@
 			return nil, Error.Wrap(err)
 		}
 	}
-	var r *Relaying
-	if err := c.Invoke(func(built *Relaying) { r = built }); err != nil {
+	var r *RelayHost
+	if err := c.Invoke(func(built *RelayHost) { r = built }); err != nil {
 		return nil, Error.Wrap(dig.RootCause(err))
 	}
 	return r, nil
@@ -157,8 +157,8 @@
 	return l.links.Send(to, address, payload)
 }
 
-func newGateway(s *settings.Relay, a Adapter, m *direct.Machine, client *upstream.Client, late *lateBoundSender, k *linkCertificate, r metrics.Registry) *gateway.Gateway {
-	carriers := a.Carriers(s.Store, client)
+func newGateway(s *settings.Relay, a PlatformAdapter, m *direct.Machine, client *upstream.Client, late *lateBoundSender, k *linkCertificate, r metrics.Registry) *gateway.Gateway {
+	carriers := a.Executors(s.Store, client)
 	carriers.Links = late
 	g := gateway.New(m, carriers, newBootClock(), r)
 	k.trust = g.Trusted
@@ -174,7 +174,7 @@
 	return l, nil
 }
 
-func newRelayServer(s *settings.Relay, a Adapter, g *gateway.Gateway, client *upstream.Client, r metrics.Registry) *relay.Server {
+func newRelayServer(s *settings.Relay, a PlatformAdapter, g *gateway.Gateway, client *upstream.Client, r metrics.Registry) *relay.Server {
 	d := relay.DefaultLimits
 	limits := relay.Limits{
 		MaxBodyBytes:   s.Limits.Body.Or(d.MaxBodyBytes),
@@ -186,15 +186,15 @@
 	return relay.New(g, client, a.Dialect, limits, r)
 }
 
-func newRelaying(s *settings.Relay, a Adapter, r metrics.Registry, t *supervise.Tree, g *gateway.Gateway, l *peer.Links, server *relay.Server) *Relaying {
-	running := &Relaying{adapter: a, registry: r, tree: t, gateway: g, links: l, server: server}
+func newRelaying(s *settings.Relay, a PlatformAdapter, r metrics.Registry, t *supervise.Tree, g *gateway.Gateway, l *peer.Links, server *relay.Server) *RelayHost {
+	running := &RelayHost{adapter: a, registry: r, tree: t, gateway: g, links: l, server: server}
 	running.settings.Store(s)
 	return running
 }
 
 // Run serves until the shutdown that Leave starts is complete, then returns nil, or
 // until the supervisor tree ends, as it does when ctx ends, then returns its error.
-func (r *Relaying) Run(ctx context.Context) error {
+func (r *RelayHost) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	listeners, err := r.listen()
@@ -219,11 +219,11 @@
 }
 
 // Leave starts a graceful shutdown.
-func (r *Relaying) Leave() { r.gateway.Leave() }
+func (r *RelayHost) Leave() { r.gateway.Leave() }
 
 type relayListeners struct{ callers, ready, directory, metrics net.Listener }
 
-func (r *Relaying) listen() (relayListeners, error) {
+func (r *RelayHost) listen() (relayListeners, error) {
 	var l relayListeners
 	s := r.settings.Load().Listen
 	for _, x := range []struct {
@@ -257,19 +257,19 @@
 	return func(context.Context) error { return server.Serve(l) }
 }
 
-func (r *Relaying) ready(ctx *fasthttp.RequestCtx) {
+func (r *RelayHost) ready(ctx *fasthttp.RequestCtx) {
 	if !r.gateway.Ready() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
 
-func (r *Relaying) resolve(ctx *fasthttp.RequestCtx) {
+func (r *RelayHost) resolve(ctx *fasthttp.RequestCtx) {
 	addresses := r.gateway.Addresses()
 	if len(addresses) == 0 {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	body, err := r.adapter.Resolved(addresses, r.settings.Load().Keep.Value())
+	body, err := r.adapter.EncodeAddresses(addresses, r.settings.Load().Keep.Value())
 	if err != nil {
 		log.WithError(err).Error("could not encode the directory answer; it is answered with status 500")
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
@@ -279,7 +279,7 @@
 	ctx.SetBody(body)
 }
 
-func (r *Relaying) metrics(ctx *fasthttp.RequestCtx) {
+func (r *RelayHost) metrics(ctx *fasthttp.RequestCtx) {
 	r.gateway.UpdateMetrics()
 	ctx.SetContentType(exposition.ContentType)
 	ctx.SetBody(exposition.Text(r.registry))
--- a/internal/wiring/reload.go
+++ b/internal/wiring/reload.go
@@ -12,7 +12,7 @@
 
 // Apply applies changed settings. It returns the sorted names of the changed
 // sections that take effect only at the next start.
-func (r *Relaying) Apply(s *settings.Relay) (afterRestart []string) {
+func (r *RelayHost) Apply(s *settings.Relay) (afterRestart []string) {
 	old := r.settings.Load()
 	if s.Log != "" {
 		log.SetLevelFromString(s.Log)
