--- a/internal/core/limit/bench_test.go
+++ b/internal/core/limit/bench_test.go
@@ -11,7 +11,7 @@
 // idleMachine returns a machine that owns n workspaces with open ledgers and no use.
 func idleMachine(n int) (*Machine, *fakeOwnership) {
 	own := &fakeOwnership{self: "o", owner: "o", acting: true, grant: core.Grant{Fence: 1, Until: 1 << 60}, hosts: members}
-	m := New(Settings{Self: "o", Settle: -1}, core.NewRand(1))
+	m := New(Settings{Self: "o", StartDelay: -1}, core.NewRand(1))
 	var limits []Limit
 	for i := range n {
 		limits = append(limits, Limit{core.WorkspaceID(fmt.Sprintf("ws%05d", i)), 1_000_000_000, 4_000_000_000})
@@ -25,9 +25,9 @@
 
 func answerOpeningCalls(m *Machine, own *fakeOwnership, calls []core.ObjectCall) {
 	for _, c := range calls {
-		r := m.Object(1, own, core.ObjectResult{Tag: c.Tag, Status: core.ObjectNotFound})
+		r := m.HandleObject(1, own, core.ObjectResult{Tag: c.Tag, Status: core.ObjectNotFound})
 		for _, w := range r.Calls {
-			m.Object(1, own, core.ObjectResult{Tag: w.Tag, Status: core.ObjectOK, Object: core.Object{Version: 1}})
+			m.HandleObject(1, own, core.ObjectResult{Tag: w.Tag, Status: core.ObjectOK, Object: core.Object{Version: 1}})
 		}
 	}
 }
--- a/internal/core/limit/handoff.go
+++ b/internal/core/limit/handoff.go
@@ -12,37 +12,37 @@
 // handoffState is a ledger as handed over to a successor. Durations count from the
 // handoff, so after a slow handoff they end later, never earlier.
 type handoffState struct {
-	Fence   core.Fence     `cbor:"1,keyasint"`
-	Seq     uint64         `cbor:"2,keyasint"`
-	Rate    int64          `cbor:"3,keyasint"` // of the pool
-	Burst   int64          `cbor:"4,keyasint"`
-	Level   int64          `cbor:"5,keyasint"`
-	Shares  []handoffEntry `cbor:"6,keyasint"`
-	Unheard []core.HostID  `cbor:"7,keyasint,omitempty"`
-	Held    time.Duration  `cbor:"8,keyasint,omitempty"`  // the pool is withheld for this long
-	Own     [2]int64       `cbor:"9,keyasint"`            // own rate and burst at the takeover
-	Flying  int64          `cbor:"10,keyasint,omitempty"` // lent from the pool and possibly not received yet
+	Fence       core.Fence     `cbor:"1,keyasint"`
+	Seq         uint64         `cbor:"2,keyasint"`
+	Rate        int64          `cbor:"3,keyasint"` // of the pool
+	Burst       int64          `cbor:"4,keyasint"`
+	Level       int64          `cbor:"5,keyasint"`
+	Shares      []handoffEntry `cbor:"6,keyasint"`
+	NotRestated []core.HostID  `cbor:"7,keyasint,omitempty"`
+	WithheldFor time.Duration  `cbor:"8,keyasint,omitempty"`  // the pool is withheld for this long
+	Own         [2]int64       `cbor:"9,keyasint"`            // own rate and burst at the takeover
+	InFlight    int64          `cbor:"10,keyasint,omitempty"` // lent from the pool and possibly not received yet
 }
 
 // handoffEntry is one entry of a handed-over ledger.
 type handoffEntry struct {
-	Host    core.HostID   `cbor:"1,keyasint"`
-	Seq     uint64        `cbor:"2,keyasint"`
-	Rate    int64         `cbor:"3,keyasint"`
-	Burst   int64         `cbor:"4,keyasint"`
-	ToRate  int64         `cbor:"5,keyasint"`
-	ToBurst int64         `cbor:"6,keyasint"`
-	Added   int64         `cbor:"7,keyasint"`
-	Open    bool          `cbor:"8,keyasint,omitempty"`
-	Left    time.Duration `cbor:"9,keyasint"`
-	Demand  core.Tokens   `cbor:"10,keyasint"`
-	Largest core.Tokens   `cbor:"11,keyasint"`
+	Host           core.HostID   `cbor:"1,keyasint"`
+	Seq            uint64        `cbor:"2,keyasint"`
+	Rate           int64         `cbor:"3,keyasint"`
+	Burst          int64         `cbor:"4,keyasint"`
+	TargetRate     int64         `cbor:"5,keyasint"`
+	TargetBurst    int64         `cbor:"6,keyasint"`
+	AddedLevel     int64         `cbor:"7,keyasint"`
+	Unacknowledged bool          `cbor:"8,keyasint,omitempty"`
+	Remaining      time.Duration `cbor:"9,keyasint"`
+	Demand         core.Tokens   `cbor:"10,keyasint"`
+	Largest        core.Tokens   `cbor:"11,keyasint"`
 }
 
-// Departing closes the ledger of a workspace and returns it encoded for the
+// HandOff closes the ledger of a workspace and returns it encoded for the
 // successor; nil if this host has none open. From then on this host spends nothing
 // of the pool and grants nothing.
-func (m *Machine) Departing(now core.Instant, ws core.WorkspaceID) []byte {
+func (m *Machine) HandOff(now core.Instant, ws core.WorkspaceID) []byte {
 	led := m.ledgers[ws]
 	if led == nil || led.phase != phaseOpen {
 		return nil
@@ -52,17 +52,17 @@
 	led.pool.advance(now)
 	a := handoffState{
 		Fence: led.fence, Seq: led.lastSeq, Level: int64(max(led.pool.level, 0)),
-		Rate: int64(led.pool.rate), Burst: int64(led.pool.burst), Flying: int64(led.pool.inFlight),
+		Rate: int64(led.pool.rate), Burst: int64(led.pool.burst), InFlight: int64(led.pool.inFlight),
 		Own: [2]int64{int64(led.ownRate), int64(led.ownBurst)},
 	}
 	if led.withheld {
-		a.Unheard, a.Held = led.notRestated, max(led.withheldUntil.Sub(now), 0)
+		a.NotRestated, a.WithheldFor = led.notRestated, max(led.withheldUntil.Sub(now), 0)
 	}
 	for _, e := range led.entries {
 		a.Shares = append(a.Shares, handoffEntry{
 			Host: e.host, Seq: e.seq, Rate: int64(e.rate), Burst: int64(e.burst),
-			ToRate: int64(e.targetRate), ToBurst: int64(e.targetBurst), Added: int64(e.addedLevel),
-			Open: e.unacknowledged, Left: max(e.expires.Sub(now), 0), Demand: e.demand, Largest: e.largest,
+			TargetRate: int64(e.targetRate), TargetBurst: int64(e.targetBurst), AddedLevel: int64(e.addedLevel),
+			Unacknowledged: e.unacknowledged, Remaining: max(e.expires.Sub(now), 0), Demand: e.demand, Largest: e.largest,
 		})
 	}
 	state, err := cbor.Marshal(a)
@@ -91,8 +91,8 @@
 		left := max(h.bucket.level, 0)
 		h.bucket.reset()
 		a := m.shareRequest(now, ws, h)
-		a.Left, a.Only = int64(left), true
-		r.Send(owner, Message{Ask: &a})
+		a.Returned, a.Acknowledgement = int64(left), true
+		r.Send(owner, Message{ShareRequest: &a})
 	}
 	return r
 }
@@ -112,19 +112,19 @@
 		},
 		ownRate: microtokenRate(a.Own[0]), ownBurst: nanotokens(a.Own[1]),
 	}
-	if len(a.Unheard) > 0 {
-		f.withheld, f.notRestated = true, a.Unheard
-		f.withheldUntil = now.Add(extendedByDrift(a.Held, m.settings.DriftPPM))
+	if len(a.NotRestated) > 0 {
+		f.withheld, f.notRestated = true, a.NotRestated
+		f.withheldUntil = now.Add(extendedByDrift(a.WithheldFor, m.settings.DriftPPM))
 	}
 	for _, s := range a.Shares {
 		e := f.addEntry(s.Host)
-		e.seq, e.unacknowledged, e.addedLevel = s.Seq, s.Open, nanotokens(s.Added)
+		e.seq, e.unacknowledged, e.addedLevel = s.Seq, s.Unacknowledged, nanotokens(s.AddedLevel)
 		e.rate, e.burst = microtokenRate(s.Rate), nanotokens(s.Burst)
-		e.targetRate, e.targetBurst = microtokenRate(s.ToRate), nanotokens(s.ToBurst)
-		e.expires = now.Add(extendedByDrift(s.Left, m.settings.DriftPPM))
+		e.targetRate, e.targetBurst = microtokenRate(s.TargetRate), nanotokens(s.TargetBurst)
+		e.expires = now.Add(extendedByDrift(s.Remaining, m.settings.DriftPPM))
 		e.demand, e.largest, e.statedAt = s.Demand, s.Largest, now
 	}
-	m.addInFlight(now, ws, &f.pool, nanotokens(max(a.Flying, 0)))
+	m.addInFlight(now, ws, &f.pool, nanotokens(max(a.InFlight, 0)))
 	m.adopted[ws] = f
 }
 
@@ -138,7 +138,7 @@
 	m.lastTag++
 	id := core.RequestID(fmt.Sprintf("%s%d", inFlightPrefix, m.lastTag))
 	m.loans[id] = loan{workspace: ws, amount: n, fromPool: true, generation: s.generation}
-	m.timers.add(timer{at: now.Add(extendedByDrift(m.settings.BorrowBound, m.settings.DriftPPM)), kind: timerInheritedFlightEnd, request: id})
+	m.timers.add(timer{at: now.Add(extendedByDrift(m.settings.LoanTimeout, m.settings.DriftPPM)), kind: timerInheritedFlightEnd, request: id})
 }
 
 // inFlightPrefix starts the ids of loans that were taken over; no request id has it.
--- a/internal/core/limit/holder_list.go
+++ b/internal/core/limit/holder_list.go
@@ -81,8 +81,8 @@
 	m.sendCall(led, core.ObjectCall{Op: op, Value: value, IfVersion: led.objectVersion}, &l, r)
 }
 
-// Object handles the result of an object call.
-func (m *Machine) Object(now core.Instant, own core.Ownership, res core.ObjectResult) Result {
+// HandleObject handles the result of an object call.
+func (m *Machine) HandleObject(now core.Instant, own core.Ownership, res core.ObjectResult) Result {
 	var r Result
 	c, ok := m.calls[res.Tag]
 	delete(m.calls, res.Tag)
@@ -191,7 +191,7 @@
 	led.previous = nil
 	led.queryAll = true
 	if led.withheld && led.withheldUntil == 0 {
-		led.withheldUntil = now.Add(extendedByDrift(m.settings.Horizon, m.settings.DriftPPM))
+		led.withheldUntil = now.Add(extendedByDrift(m.settings.OutageHorizon, m.settings.DriftPPM))
 		m.stats.Withheld++
 	}
 	m.absorbOwnShare(now, led)
@@ -231,7 +231,7 @@
 
 // addToList adds a member host to the stored list, if there is room.
 func (m *Machine) addToList(own core.Ownership, led *ledger, host core.HostID, r *Result) {
-	if led.frozen || !isMember(own, host) || len(led.listed)+len(led.toList) >= 2*m.settings.Homes {
+	if led.frozen || !isMember(own, host) || len(led.listed)+len(led.toList) >= 2*m.settings.MaxHomes {
 		return
 	}
 	led.toList = union(led.toList, []core.HostID{host})
@@ -290,12 +290,12 @@
 
 // homes returns the hosts that may hold shares of a workspace from the start.
 func (m *Machine) homes(own core.Ownership, ws core.WorkspaceID) []core.HostID {
-	return Homes(own.Members(), ws, m.settings.Homes)
+	return HomeHosts(own.Members(), ws, m.settings.MaxHomes)
 }
 
-// Homes returns up to n hosts, sorted, that a workspace's callers should use. Hosts
+// HomeHosts returns up to n hosts, sorted, that a workspace's callers should use. Hosts
 // that are leaving are left out.
-func Homes(members []core.Member, ws core.WorkspaceID, n int) []core.HostID {
+func HomeHosts(members []core.Member, ws core.WorkspaceID, n int) []core.HostID {
 	hosts := make([]core.HostID, 0, len(members))
 	for _, x := range members {
 		if !x.Leaving {
--- a/internal/core/limit/ledger.go
+++ b/internal/core/limit/ledger.go
@@ -46,7 +46,7 @@
 	starved        []core.HostID // got less than their target, because others hold more than theirs
 	lastRebalance  core.Instant
 	queryNext      []core.HostID // starved hosts whose state to request at the next check
-	queuedLoans    []Borrow      // received before the ledger was open
+	queuedLoans    []LoanRequest // received before the ledger was open
 	checkScheduled bool
 }
 
@@ -138,7 +138,7 @@
 		led.frozen = false
 		return led
 	}
-	if !own.Serving(now, shardOf(ws)) || !now.Before(led.actingUntil.Add(m.settings.Horizon)) {
+	if !own.Serving(now, shardOf(ws)) || !now.Before(led.actingUntil.Add(m.settings.OutageHorizon)) {
 		return nil
 	}
 	if !led.frozen {
@@ -206,7 +206,7 @@
 func (m *Machine) rebalance(now core.Instant, led *ledger, r *Result) {
 	m.requestState(led, led.queryNext, r)
 	led.queryNext = nil
-	if led.frozen || led.withheld || now.Sub(led.lastRebalance) < m.settings.Urgent {
+	if led.frozen || led.withheld || now.Sub(led.lastRebalance) < m.settings.MinRequestInterval {
 		return
 	}
 	if len(led.starved) == 0 && !m.poolStarved(now, led) {
@@ -232,13 +232,13 @@
 func (m *Machine) requestState(led *ledger, hosts []core.HostID, r *Result) {
 	for _, h := range hosts {
 		if h != m.settings.Self {
-			r.Send(h, Message{Recall: &Recall{Workspace: led.workspace, Fence: led.fence}})
+			r.Send(h, Message{StateRequest: &StateRequest{Workspace: led.workspace, Fence: led.fence}})
 		}
 	}
 }
 
 // onShareRequest records what a holder states and answers with its share.
-func (m *Machine) onShareRequest(now core.Instant, own core.Ownership, from core.HostID, a Ask, r *Result) {
+func (m *Machine) onShareRequest(now core.Instant, own core.Ownership, from core.HostID, a ShareRequest, r *Result) {
 	led := m.openLedger(now, own, a.Workspace, r)
 	if led == nil || a.Fence > led.fence {
 		return
@@ -254,7 +254,7 @@
 		m.sendEmptyShare(led, from, a, r)
 		return
 	}
-	if a.Only {
+	if a.Acknowledgement {
 		return
 	}
 	m.assignShare(now, led, e)
@@ -273,7 +273,7 @@
 // if the host is not listed yet, so must not be granted anything. For a host without
 // an entry the stated share counts only if its restatement was awaited; otherwise
 // that share has expired and the request is late.
-func (m *Machine) recordRequest(now core.Instant, led *ledger, from core.HostID, a Ask, restated bool) *entry {
+func (m *Machine) recordRequest(now core.Instant, led *ledger, from core.HostID, a ShareRequest, restated bool) *entry {
 	e := led.entry(from)
 	if e == nil {
 		if _, ok := slices.BinarySearch(led.listed, from); !ok {
@@ -286,7 +286,7 @@
 			e.rate, e.burst = microtokenRate(max(a.Rate, 0)), nanotokens(max(a.Burst, 0))
 		}
 		e.targetRate, e.targetBurst = e.rate, e.burst
-		e.expires = now.Add(extendedByDrift(m.settings.Term, m.settings.DriftPPM))
+		e.expires = now.Add(extendedByDrift(m.settings.ShareTTL, m.settings.DriftPPM))
 		led.updatePool(now)
 	}
 	led.confirm(now, e, a)
@@ -297,7 +297,7 @@
 
 // confirm lowers an entry to what its holder states once the holder has applied the
 // last share, and adds the level released with that share to the pool.
-func (led *ledger) confirm(now core.Instant, e *entry, a Ask) {
+func (led *ledger) confirm(now core.Instant, e *entry, a ShareRequest) {
 	if a.Applied != e.seq {
 		return
 	}
@@ -305,7 +305,7 @@
 	freed := e.burst - burst
 	e.rate, e.burst = rate, burst
 	led.updatePool(now)
-	level := max(nanotokens(a.Left), 0)
+	level := max(nanotokens(a.Returned), 0)
 	if e.unacknowledged {
 		e.unacknowledged = false
 		level += max(nanotokens(a.Released), 0)
@@ -316,7 +316,7 @@
 
 // sendShare sends a holder its recorded share. Sending it again changes nothing.
 func (m *Machine) sendShare(now core.Instant, own core.Ownership, led *ledger, e *entry, echo core.Instant, r *Result) {
-	term := min(m.settings.Term, led.actingUntil.Add(m.settings.Horizon).Sub(now))
+	term := min(m.settings.ShareTTL, led.actingUntil.Add(m.settings.OutageHorizon).Sub(now))
 	if term <= 0 {
 		return
 	}
@@ -326,15 +326,15 @@
 	e.expires = max(e.expires, now.Add(extendedByDrift(term, m.settings.DriftPPM)))
 	r.Send(e.host, Message{Share: &Share{
 		Workspace: led.workspace, Fence: led.fence, Seq: e.seq,
-		Rate: int64(e.targetRate), Burst: int64(e.targetBurst), Added: int64(e.addedLevel),
+		Rate: int64(e.targetRate), Burst: int64(e.targetBurst), AddedLevel: int64(e.addedLevel),
 		TotalRate: led.limit.Rate, TotalBurst: led.limit.Burst, Echo: echo, Term: term,
 	}})
 }
 
 // sendEmptyShare answers a host that holds nothing and gets nothing now.
-func (m *Machine) sendEmptyShare(led *ledger, to core.HostID, a Ask, r *Result) {
+func (m *Machine) sendEmptyShare(led *ledger, to core.HostID, a ShareRequest, r *Result) {
 	r.Send(to, Message{Share: &Share{
 		Workspace: led.workspace, Fence: led.fence, Seq: a.Applied, TotalRate: led.limit.Rate,
-		TotalBurst: led.limit.Burst, Echo: a.Sent, Term: m.settings.Term,
+		TotalBurst: led.limit.Burst, Echo: a.Sent, Term: m.settings.ShareTTL,
 	}})
 }
--- a/internal/core/limit/loan.go
+++ b/internal/core/limit/loan.go
@@ -52,15 +52,15 @@
 		m.refuse(r, id, core.CodeRateLimited, m.retryAfter(now, ws, n, led), "the workspace's rate is used up")
 		return
 	}
-	if len(m.pendingLoans) >= m.settings.Pending {
+	if len(m.pendingLoans) >= m.settings.MaxPendingLoans {
 		m.refuse(r, id, core.CodeOverloaded, time.Second, "too many requests are waiting for the workspace's limit")
 		return
 	}
-	p := &pendingLoan{workspace: ws, tokens: n, expires: now.Add(m.settings.BorrowBound), askedHost: to}
+	p := &pendingLoan{workspace: ws, tokens: n, expires: now.Add(m.settings.LoanTimeout), askedHost: to}
 	m.pendingLoans[id] = p
-	m.timers.add(timer{at: now.Add(m.settings.BorrowBound / resendDivisor), kind: timerPendingLoan, request: id})
-	r.Send(to, Message{Borrow: &Borrow{Workspace: ws, ID: id, Tokens: n, Entry: m.settings.Self}})
-	if now.Sub(h.lastRequest) >= m.settings.Urgent && led == nil && (h.bucket.burst > 0 || h.lastRequest == 0) {
+	m.timers.add(timer{at: now.Add(m.settings.LoanTimeout / resendDivisor), kind: timerPendingLoan, request: id})
+	r.Send(to, Message{LoanRequest: &LoanRequest{Workspace: ws, ID: id, Tokens: n, Entry: m.settings.Self}})
+	if now.Sub(h.lastRequest) >= m.settings.MinRequestInterval && led == nil && (h.bucket.burst > 0 || h.lastRequest == 0) {
 		m.requestShare(now, own, ws, h, r)
 	}
 }
@@ -136,13 +136,13 @@
 // onLoanRequest lends from the share or the pool, or forwards the request to the
 // holder that should have enough. The source is debited before the answer is sent,
 // and only once per id.
-func (m *Machine) onLoanRequest(now core.Instant, own core.Ownership, from core.HostID, q Borrow, r *Result) {
+func (m *Machine) onLoanRequest(now core.Instant, own core.Ownership, from core.HostID, q LoanRequest, r *Result) {
 	if q.Tokens <= 0 || q.Tokens > MaxTokens {
 		return
 	}
 	if l, ok := m.loans[q.ID]; ok {
 		if !l.flightEnded {
-			r.Send(q.Entry, Message{Lend: &Lend{Workspace: q.Workspace, ID: q.ID, Granted: true}})
+			r.Send(q.Entry, Message{LoanReply: &LoanReply{Workspace: q.Workspace, ID: q.ID, Granted: true}})
 		}
 		return
 	}
@@ -154,21 +154,21 @@
 		led.loanDemand.record(q.Tokens) // loans to other hosts are demand on the pool
 	}
 	if m.lend(now, own, q, led) {
-		r.Send(q.Entry, Message{Lend: &Lend{Workspace: q.Workspace, ID: q.ID, Granted: true}})
+		r.Send(q.Entry, Message{LoanReply: &LoanReply{Workspace: q.Workspace, ID: q.ID, Granted: true}})
 		return
 	}
 	if led != nil && !q.Forwarded {
-		if q.Again {
+		if q.Repeated {
 			led.markUnresponsive(led.bestLender(now, toNanotokens(q.Tokens), q.Entry))
 		}
 		if to := led.bestLender(now, toNanotokens(q.Tokens), q.Entry); to != "" {
 			q.Forwarded = true
-			r.Send(to, Message{Borrow: &q})
+			r.Send(to, Message{LoanRequest: &q})
 			return
 		}
 	}
 	retry := m.retryAfter(now, q.Workspace, q.Tokens, led)
-	r.Send(q.Entry, Message{Lend: &Lend{Workspace: q.Workspace, ID: q.ID, Retry: retry, Most: led.largestLoan(now)}})
+	r.Send(q.Entry, Message{LoanReply: &LoanReply{Workspace: q.Workspace, ID: q.ID, RetryAfter: retry, LargestLoan: led.largestLoan(now)}})
 }
 
 // largestLoan returns the most that one host could lend now; 0 without a ledger.
@@ -188,7 +188,7 @@
 
 // queueLoanRequest keeps a loan request until the ledger is open, and reports whether
 // it did.
-func (m *Machine) queueLoanRequest(q Borrow) bool {
+func (m *Machine) queueLoanRequest(q LoanRequest) bool {
 	led := m.ledgers[q.Workspace]
 	if led == nil || led.phase == phaseOpen || len(led.queuedLoans) >= maxQueuedLoans {
 		return false
@@ -208,8 +208,8 @@
 // lend debits a loan and reports whether it could. The amount occupies burst until
 // it has arrived for certain or can't be accepted any more. A loan is made only if
 // its flight ends within the share's term or the owner's own right to act.
-func (m *Machine) lend(now core.Instant, own core.Ownership, q Borrow, led *ledger) bool {
-	flight := extendedByDrift(m.settings.BorrowBound, m.settings.DriftPPM)
+func (m *Machine) lend(now core.Instant, own core.Ownership, q LoanRequest, led *ledger) bool {
+	flight := extendedByDrift(m.settings.LoanTimeout, m.settings.DriftPPM)
 	n := toNanotokens(q.Tokens)
 	h := m.holderOf(now, q.Workspace)
 	m.dropExpired(now, h)
@@ -263,7 +263,7 @@
 
 // onLoanReply accepts a loan once, and only while the request still waits. A loan
 // that comes later is returned.
-func (m *Machine) onLoanReply(now core.Instant, own core.Ownership, from core.HostID, l Lend, r *Result) {
+func (m *Machine) onLoanReply(now core.Instant, own core.Ownership, from core.HostID, l LoanReply, r *Result) {
 	p := m.pendingLoans[l.ID]
 	if p == nil {
 		return
@@ -271,7 +271,7 @@
 	if p.abandoned || !now.Before(p.expires) {
 		if l.Granted {
 			delete(m.pendingLoans, l.ID)
-			r.Send(from, Message{Return: &Return{Workspace: p.workspace, ID: l.ID, Unused: p.tokens}})
+			r.Send(from, Message{LoanReturn: &LoanReturn{Workspace: p.workspace, ID: l.ID, Unused: p.tokens}})
 		}
 		return
 	}
@@ -290,19 +290,19 @@
 
 // onLoanRefused requests the loan from the owner if another host refused it, and
 // otherwise refuses the request.
-func (m *Machine) onLoanRefused(now core.Instant, own core.Ownership, from core.HostID, l Lend, p *pendingLoan, h *shareHolder, r *Result) {
+func (m *Machine) onLoanRefused(now core.Instant, own core.Ownership, from core.HostID, l LoanReply, p *pendingLoan, h *shareHolder, r *Result) {
 	owner, ok := own.Owner(shardOf(p.workspace))
 	if h.lastLender == from {
 		h.lastLender = ""
 	}
 	if ok && from != owner && p.askedHost == from && !p.askedOwner && owner != m.settings.Self {
 		p.askedOwner, p.askedHost = true, owner
-		r.Send(owner, Message{Borrow: &Borrow{Workspace: p.workspace, ID: l.ID, Tokens: p.tokens, Entry: m.settings.Self}})
+		r.Send(owner, Message{LoanRequest: &LoanRequest{Workspace: p.workspace, ID: l.ID, Tokens: p.tokens, Entry: m.settings.Self}})
 		return
 	}
 	delete(m.pendingLoans, l.ID)
-	retry := min(max(l.Retry, minRetryAfter), maxRetryAfter)
-	h.exhausted.refused(now, l, m.settings.DryMax)
+	retry := min(max(l.RetryAfter, minRetryAfter), maxRetryAfter)
+	h.exhausted.refused(now, l, m.settings.MaxExhaustedTTL)
 	m.refuse(r, l.ID, core.CodeRateLimited, retry, "the workspace's rate is used up")
 }
 
@@ -318,7 +318,7 @@
 	if owner, ok := own.Owner(shardOf(p.workspace)); ok && owner != m.settings.Self {
 		p.askedHost = owner
 	}
-	r.Send(p.askedHost, Message{Borrow: &Borrow{Workspace: p.workspace, ID: id, Tokens: p.tokens, Entry: m.settings.Self, Again: true}})
+	r.Send(p.askedHost, Message{LoanRequest: &LoanRequest{Workspace: p.workspace, ID: id, Tokens: p.tokens, Entry: m.settings.Self, Repeated: true}})
 }
 
 // onPendingTimer repeats a loan request, and refuses the request if no loan came in
@@ -341,12 +341,12 @@
 	if h := m.holders[p.workspace]; h != nil && h.lastLender == p.askedHost {
 		h.lastLender = ""
 	}
-	m.stats.Unanswered++
+	m.stats.LoanTimeouts++
 	m.refuse(r, id, core.CodeRateLimited, time.Second, "the host that keeps the workspace's limit did not answer in time")
 }
 
 // onLoanReturn takes the unused part of a loan back, once.
-func (m *Machine) onLoanReturn(now core.Instant, t Return) {
+func (m *Machine) onLoanReturn(now core.Instant, t LoanReturn) {
 	l, ok := m.loans[t.ID]
 	if !ok || l.workspace != t.Workspace {
 		return
@@ -357,7 +357,7 @@
 	unused := min(toNanotokens(t.Unused), l.amount)
 	s := m.sourceBucket(l.workspace, l.fromPool, l.generation)
 	if s == nil {
-		m.stats.Forgone += t.Unused
+		m.stats.LateReturns += t.Unused
 		return
 	}
 	s.settle(now, l.mark, unused)
--- a/internal/core/limit/machine.go
+++ b/internal/core/limit/machine.go
@@ -16,33 +16,33 @@
 
 // Settings of a machine. Zero durations and counts take the defaults.
 type Settings struct {
-	Self        core.HostID
-	Term        time.Duration // how long a share is valid, counted from its holder's last answered request
-	Renew       time.Duration // interval of share requests
-	Urgent      time.Duration // minimum time between share requests of a host whose share is too small, and between rebalances
-	Horizon     time.Duration // longest store outage for which shares are renewed
-	BorrowBound time.Duration // how long a request waits for a loan
-	DryMax      time.Duration // maximum time for which a refused loan also refuses later ones
-	DriftPPM    int64         // maximum clock drift, parts per million
-	Homes       int           // maximum number of hosts that get shares of a workspace from the start
-	Pending     int           // maximum number of requests that wait for a loan
-	Settle      time.Duration // after its start a host opens ledgers only on demand, since owners move often while a fleet forms; negative: no delay
-	EvenPart    int           // 1/EvenPart of the rate is weight spread evenly over the hosts; negative: none
+	Self               core.HostID
+	ShareTTL           time.Duration // how long a share is valid, counted from its holder's last answered request
+	RenewInterval      time.Duration // interval of share requests
+	MinRequestInterval time.Duration // minimum time between share requests of a host whose share is too small, and between rebalances
+	OutageHorizon      time.Duration // longest store outage for which shares are renewed
+	LoanTimeout        time.Duration // how long a request waits for a loan
+	MaxExhaustedTTL    time.Duration // maximum time for which a refused loan also refuses later ones
+	DriftPPM           int64         // maximum clock drift, parts per million
+	MaxHomes           int           // maximum number of hosts that get shares of a workspace from the start
+	MaxPendingLoans    int           // maximum number of requests that wait for a loan
+	StartDelay         time.Duration // after its start a host opens ledgers only on demand, since owners move often while a fleet forms; negative: no delay
+	EvenDivisor        int           // 1/EvenPart of the rate is weight spread evenly over the hosts; negative: none
 }
 
 // Defaults of Settings.
 const (
-	DefaultTerm        = 45 * time.Second
-	DefaultRenew       = 15 * time.Second
-	DefaultUrgent      = 5 * time.Second
-	DefaultHorizon     = 15 * time.Minute
-	DefaultBorrowBound = 100 * time.Millisecond
-	DefaultDryMax      = 5 * time.Second
-	DefaultDriftPPM    = 200
-	DefaultHomes       = 16
-	DefaultPending     = 1024
-	DefaultEvenPart    = 16
-	DefaultSettle      = 3 * time.Second
+	DefaultShareTTL           = 45 * time.Second
+	DefaultRenewInterval      = 15 * time.Second
+	DefaultMinRequestInterval = 5 * time.Second
+	DefaultOutageHorizon      = 15 * time.Minute
+	DefaultLoanTimeout        = 100 * time.Millisecond
+	DefaultMaxExhaustedTTL    = 5 * time.Second
+	DefaultDriftPPM           = 200
+	DefaultMaxHomes           = 16
+	DefaultMaxPendingLoans    = 1024
+	DefaultEvenDivisor        = 16
+	DefaultStartDelay         = 3 * time.Second
 )
 
 func (s Settings) withDefaults() Settings {
@@ -51,26 +51,26 @@
 			*d = def
 		}
 	}
-	set(&s.Term, DefaultTerm)
-	set(&s.Renew, DefaultRenew)
-	set(&s.Urgent, DefaultUrgent)
-	set(&s.Horizon, DefaultHorizon)
-	set(&s.BorrowBound, DefaultBorrowBound)
-	set(&s.DryMax, DefaultDryMax)
+	set(&s.ShareTTL, DefaultShareTTL)
+	set(&s.RenewInterval, DefaultRenewInterval)
+	set(&s.MinRequestInterval, DefaultMinRequestInterval)
+	set(&s.OutageHorizon, DefaultOutageHorizon)
+	set(&s.LoanTimeout, DefaultLoanTimeout)
+	set(&s.MaxExhaustedTTL, DefaultMaxExhaustedTTL)
 	if s.DriftPPM <= 0 {
 		s.DriftPPM = DefaultDriftPPM
 	}
-	if s.Homes <= 0 {
-		s.Homes = DefaultHomes
+	if s.MaxHomes <= 0 {
+		s.MaxHomes = DefaultMaxHomes
 	}
-	if s.Settle == 0 {
-		s.Settle = DefaultSettle
+	if s.StartDelay == 0 {
+		s.StartDelay = DefaultStartDelay
 	}
-	if s.EvenPart == 0 {
-		s.EvenPart = DefaultEvenPart
+	if s.EvenDivisor == 0 {
+		s.EvenDivisor = DefaultEvenDivisor
 	}
-	if s.Pending <= 0 {
-		s.Pending = DefaultPending
+	if s.MaxPendingLoans <= 0 {
+		s.MaxPendingLoans = DefaultMaxPendingLoans
 	}
 	return s
 }
@@ -90,16 +90,16 @@
 
 // Stats are counters since the machine's start.
 type Stats struct {
-	Granted    uint64
-	Refused    uint64
-	Borrowed   uint64      // granted by a loan
-	Unanswered uint64      // refused because no loan came in time
-	Lapsed     uint64      // own shares that expired without renewal
-	Reclaimed  uint64      // expired shares that owners took back into the pool
-	Takeovers  uint64      // ledgers that this host began to open as new owner
-	Withheld   uint64      // of those, opened with a part withheld until other hosts restate their shares
-	Overrun    core.Tokens // tokens used beyond a reservation
-	Forgone    core.Tokens // tokens returned too late to be credited
+	Granted      uint64
+	Refused      uint64
+	Borrowed     uint64      // granted by a loan
+	LoanTimeouts uint64      // refused because no loan came in time
+	Expired      uint64      // own shares that expired without renewal
+	Reclaimed    uint64      // expired shares that owners took back into the pool
+	Takeovers    uint64      // ledgers that this host began to open as new owner
+	Withheld     uint64      // of those, opened with a part withheld until other hosts restate their shares
+	Overrun      core.Tokens // tokens used beyond a reservation
+	LateReturns  core.Tokens // tokens returned too late to be credited
 }
 
 // Machine holds one host's shares, and the ledgers of the workspaces it owns. It
@@ -154,7 +154,7 @@
 		return
 	}
 	if m.takeOverFrom == 0 {
-		m.takeOverFrom = now.Add(m.settings.Settle)
+		m.takeOverFrom = now.Add(m.settings.StartDelay)
 	}
 	m.version = version
 	old := m.limits
@@ -221,29 +221,29 @@
 	case timerFlightEnd:
 		m.endLoanInFlight(now, t.request)
 	case timerLoanExpiry:
-		m.onLoanReturn(now, Return{ID: t.request, Workspace: m.loans[t.request].workspace})
+		m.onLoanReturn(now, LoanReturn{ID: t.request, Workspace: m.loans[t.request].workspace})
 	case timerInheritedFlightEnd:
 		m.endLoanInFlight(now, t.request)
 		delete(m.loans, t.request)
 	}
 }
 
-// Peer handles a message from another host.
-func (m *Machine) Peer(now core.Instant, own core.Ownership, from core.HostID, msg Message) Result {
+// HandleMessage handles a message from another host.
+func (m *Machine) HandleMessage(now core.Instant, own core.Ownership, from core.HostID, msg Message) Result {
 	var r Result
 	switch {
-	case msg.Ask != nil:
-		m.onShareRequest(now, own, from, *msg.Ask, &r)
+	case msg.ShareRequest != nil:
+		m.onShareRequest(now, own, from, *msg.ShareRequest, &r)
 	case msg.Share != nil:
 		m.onShare(now, own, from, *msg.Share, &r)
-	case msg.Recall != nil:
-		m.onStateRequest(now, from, *msg.Recall, &r)
-	case msg.Borrow != nil:
-		m.onLoanRequest(now, own, from, *msg.Borrow, &r)
-	case msg.Lend != nil:
-		m.onLoanReply(now, own, from, *msg.Lend, &r)
-	case msg.Return != nil:
-		m.onLoanReturn(now, *msg.Return)
+	case msg.StateRequest != nil:
+		m.onStateRequest(now, from, *msg.StateRequest, &r)
+	case msg.LoanRequest != nil:
+		m.onLoanRequest(now, own, from, *msg.LoanRequest, &r)
+	case msg.LoanReply != nil:
+		m.onLoanReply(now, own, from, *msg.LoanReply, &r)
+	case msg.LoanReturn != nil:
+		m.onLoanReturn(now, *msg.LoanReturn)
 	}
 	return r
 }
--- a/internal/core/limit/machine_test.go
+++ b/internal/core/limit/machine_test.go
@@ -49,7 +49,7 @@
 func newPairWith(t *testing.T, even int) *pair {
 	p := &pair{is: is.New(t), now: 1}
 	limits := []Limit{{ws, 100, 1000}}
-	p.owner, p.holder = New(Settings{Self: "o", Settle: -1, EvenPart: even}, core.NewRand(1)), New(Settings{Self: "h", Settle: -1, EvenPart: even}, core.NewRand(2))
+	p.owner, p.holder = New(Settings{Self: "o", StartDelay: -1, EvenDivisor: even}, core.NewRand(1)), New(Settings{Self: "h", StartDelay: -1, EvenDivisor: even}, core.NewRand(2))
 	p.owner.Configure(p.now, 1, limits)
 	p.holder.Configure(p.now, 1, limits)
 	p.ownerView = &fakeOwnership{self: "o", owner: "o", acting: true, grant: core.Grant{Fence: 1, Until: 1 << 60}, hosts: members}
@@ -64,7 +64,7 @@
 	for _, res := range results {
 		p.is.Equal(len(r.Calls), 1)
 		res.Tag = r.Calls[0].Tag
-		r = p.owner.Object(p.now, p.ownerView, res)
+		r = p.owner.HandleObject(p.now, p.ownerView, res)
 	}
 	p.collect("o", r)
 }
@@ -86,10 +86,10 @@
 		in, out := p.toOwner, p.toHolder
 		p.toOwner, p.toHolder = nil, nil
 		for _, m := range in {
-			p.collect("o", p.owner.Peer(p.now, p.ownerView, "h", m))
+			p.collect("o", p.owner.HandleMessage(p.now, p.ownerView, "h", m))
 		}
 		for _, m := range out {
-			p.collect("h", p.holder.Peer(p.now, p.holderView, "o", m))
+			p.collect("h", p.holder.HandleMessage(p.now, p.holderView, "o", m))
 		}
 	}
 }
@@ -126,7 +126,7 @@
 }
 
 func TestHostWithoutDemandGetsAShare(t *testing.T) {
-	p := newPairWith(t, DefaultEvenPart)
+	p := newPairWith(t, DefaultEvenDivisor)
 	p.deliver()
 	p.is.Equal(p.holder.holderOf(p.now, ws).bucket.burst, toNanotokens(500))
 	p.ownerView.acting = false // the owner is lost
@@ -153,12 +153,12 @@
 	p.deliver()
 	p.reserveAtHolder("r1", 500)
 	p.toOwner = nil // lost
-	p.now = p.now.Add(DefaultBorrowBound / 2)
+	p.now = p.now.Add(DefaultLoanTimeout / 2)
 	p.collect("h", p.holder.Tick(p.now, p.holderView))
 	p.is.Equal(len(p.toOwner), 1) // repeated
 	held := p.toOwner
 	p.toOwner = nil
-	p.now = p.now.Add(DefaultBorrowBound)
+	p.now = p.now.Add(DefaultLoanTimeout)
 	p.collect("h", p.holder.Tick(p.now, p.holderView))
 	p.is.Equal(len(p.decisions), 1)
 	p.is.True(p.decisions[0].Refusal != nil)
@@ -194,14 +194,14 @@
 	p.is.True(burst <= toNanotokens(1000))
 	h := p.holder.holders[ws]
 	asked := h.lastRequest
-	p.is.Equal(h.expires, asked.Add(DefaultTerm)) // not counted from when the share arrived
+	p.is.Equal(h.expires, asked.Add(DefaultShareTTL)) // not counted from when the share arrived
 	p.holder.dropExpired(h.expires, h)
 	p.is.Equal(h.bucket.burst, nanotokens(0))
-	p.now = asked.Add(DefaultTerm) // the owner waits longer
+	p.now = asked.Add(DefaultShareTTL) // the owner waits longer
 	p.collect("o", p.owner.Tick(p.now, p.ownerView))
 	p.is.Equal(len(p.owner.ledgers[ws].entries), 1)
 	for range 3 {
-		p.now = p.now.Add(DefaultTerm)
+		p.now = p.now.Add(DefaultShareTTL)
 		p.collect("o", p.owner.Tick(p.now, p.ownerView))
 	}
 	p.is.Equal(len(p.owner.ledgers[ws].entries), 0)
@@ -214,11 +214,11 @@
 	h := p.holder.holders[ws]
 	late := Share{
 		Workspace: ws, Fence: 1, Seq: h.applied, Rate: int64(h.bucket.rate), Burst: int64(h.bucket.burst),
-		Echo: h.lastRequest, Term: DefaultTerm,
+		Echo: h.lastRequest, Term: DefaultShareTTL,
 	}
-	p.now = h.lastRequest.Add(DefaultTerm - time.Second)
-	p.holder.Peer(p.now, p.holderView, "o", Message{Share: &late})
-	p.is.Equal(h.expires, h.lastRequest.Add(DefaultTerm))
+	p.now = h.lastRequest.Add(DefaultShareTTL - time.Second)
+	p.holder.HandleMessage(p.now, p.holderView, "o", Message{Share: &late})
+	p.is.Equal(h.expires, h.lastRequest.Add(DefaultShareTTL))
 }
 
 func TestLoweredLimitShrinksSharesAtOnce(t *testing.T) {
@@ -242,9 +242,9 @@
 	p.grantShare()
 	h := p.holder.holders[ws]
 	p.holder.Configure(p.now, 2, []Limit{{ws, 50, 500}})
-	p.holder.Peer(p.now, p.holderView, "o", Message{Share: &Share{
+	p.holder.HandleMessage(p.now, p.holderView, "o", Message{Share: &Share{
 		Workspace: ws, Fence: 1, Seq: h.applied + 1, Rate: int64(toMicrotokenRate(100)), Burst: int64(toNanotokens(1000)),
-		TotalRate: 100, TotalBurst: 1000, Echo: p.now, Term: DefaultTerm,
+		TotalRate: 100, TotalBurst: 1000, Echo: p.now, Term: DefaultShareTTL,
 	}})
 	p.is.Equal(h.bucket.burst, toNanotokens(500))
 	p.is.Equal(h.bucket.rate, toMicrotokenRate(50))
@@ -261,7 +261,7 @@
 		p.is.Equal(r.Decisions[0].Refusal.Code, c.code)
 	}
 	for _, n := range []core.Tokens{0, -7, math.MinInt64, math.MaxInt64} { // from a hostile or broken peer
-		p.is.Equal(len(p.owner.Peer(p.now, p.ownerView, "h", Message{Borrow: &Borrow{Workspace: ws, ID: "x", Tokens: n, Entry: "h"}}).Sends), 0)
+		p.is.Equal(len(p.owner.HandleMessage(p.now, p.ownerView, "h", Message{LoanRequest: &LoanRequest{Workspace: ws, ID: "x", Tokens: n, Entry: "h"}}).Sends), 0)
 	}
 	p.is.Equal(p.poolLevel(), toNanotokens(1000))
 }
@@ -294,8 +294,8 @@
 	until := h.expires
 	for _, burst := range []nanotokens{0, h.bucket.burst - 1} {
 		p.now = p.now.Add(time.Second)
-		p.holder.Peer(p.now, p.holderView, "o", Message{Share: &Share{
-			Workspace: ws, Fence: 1, Seq: h.applied, Rate: int64(h.bucket.rate), Burst: int64(burst), Echo: p.now, Term: DefaultTerm,
+		p.holder.HandleMessage(p.now, p.holderView, "o", Message{Share: &Share{
+			Workspace: ws, Fence: 1, Seq: h.applied, Rate: int64(h.bucket.rate), Burst: int64(burst), Echo: p.now, Term: DefaultShareTTL,
 		}})
 		p.is.Equal(h.expires, until)
 	}
--- a/internal/core/limit/reserve.go
+++ b/internal/core/limit/reserve.go
@@ -133,12 +133,12 @@
 func (m *Machine) returnTokens(now core.Instant, v reservation, id core.RequestID, unused, over core.Tokens, r *Result) {
 	if v.source == sourceLoan {
 		// also if nothing is unused, so that the lender deletes the loan
-		r.Send(v.lender, Message{Return: &Return{Workspace: v.workspace, ID: id, Unused: unused}})
+		r.Send(v.lender, Message{LoanReturn: &LoanReturn{Workspace: v.workspace, ID: id, Unused: unused}})
 		return
 	}
 	s := m.sourceBucket(v.workspace, v.source == sourcePool, v.generation)
 	if s == nil {
-		m.stats.Forgone += unused
+		m.stats.LateReturns += unused
 		return
 	}
 	s.settle(now, v.mark, toNanotokens(unused))
--- a/internal/core/limit/share_holder.go
+++ b/internal/core/limit/share_holder.go
@@ -39,10 +39,10 @@
 	refusalsForAnySize = 3 // refusals from which loans of any size are covered
 )
 
-func (e *exhaustion) refused(now core.Instant, l Lend, most time.Duration) {
+func (e *exhaustion) refused(now core.Instant, l LoanReply, most time.Duration) {
 	e.refusals = min(e.refusals+1, maxRefusals)
-	e.available = l.Most
-	e.until = now.Add(min(max(l.Retry, minExhausted<<e.refusals), most))
+	e.available = l.LargestLoan
+	e.until = now.Add(min(max(l.RetryAfter, minExhausted<<e.refusals), most))
 }
 
 // covers reports whether a loan of n would certainly be refused too. After
@@ -108,7 +108,7 @@
 func (m *Machine) dropExpired(now core.Instant, h *shareHolder) {
 	if h.bucket.burst > 0 && !now.Before(h.expires) {
 		h.bucket.reset()
-		m.stats.Lapsed++
+		m.stats.Expired++
 	}
 }
 
@@ -166,7 +166,7 @@
 		h.denials = 0
 		return
 	}
-	at := now.Add(m.settings.Urgent << h.denials)
+	at := now.Add(m.settings.MinRequestInterval << h.denials)
 	h.denials = min(h.denials+1, maxDenials)
 	m.rescheduleRequest(at, s.Workspace, h)
 }
@@ -177,24 +177,24 @@
 // requestShare states what this host holds to the owner and asks for its renewal.
 func (m *Machine) requestShare(now core.Instant, own core.Ownership, ws core.WorkspaceID, h *shareHolder, r *Result) {
 	owner, ok := own.Owner(shardOf(ws))
-	next := m.settings.Renew
+	next := m.settings.RenewInterval
 	if ok && owner != m.settings.Self {
 		if !h.answered && h.bucket.burst > 0 {
 			next = requestRetryInterval
 		}
 		a := m.shareRequest(now, ws, h)
-		r.Send(owner, Message{Ask: &a})
+		r.Send(owner, Message{ShareRequest: &a})
 		h.lastRequest, h.answered = now, false
-		h.demand.decayLargest(now, m.settings.Renew)
+		h.demand.decayLargest(now, m.settings.RenewInterval)
 	}
 	m.rescheduleRequest(now.Add(next), ws, h)
 }
 
 // shareRequest returns the statement of what this host holds and has promised.
-func (m *Machine) shareRequest(now core.Instant, ws core.WorkspaceID, h *shareHolder) Ask {
+func (m *Machine) shareRequest(now core.Instant, ws core.WorkspaceID, h *shareHolder) ShareRequest {
 	m.dropExpired(now, h)
 	h.bucket.advance(now)
-	return Ask{
+	return ShareRequest{
 		Workspace: ws, Fence: h.promisedFence, Applied: h.applied,
 		Rate: int64(h.bucket.rate), Burst: int64(h.bucket.burst), Level: int64(h.bucket.level),
 		Released: int64(h.releasedLevel), Demand: h.demand.updateRate(now), Largest: h.demand.largest, Sent: now,
@@ -202,16 +202,16 @@
 }
 
 // onStateRequest promises the fencing number and answers with what this host holds.
-func (m *Machine) onStateRequest(now core.Instant, from core.HostID, c Recall, r *Result) {
+func (m *Machine) onStateRequest(now core.Instant, from core.HostID, c StateRequest, r *Result) {
 	h := m.holderOf(now, c.Workspace)
 	if c.Fence < h.promisedFence {
 		return
 	}
 	h.promisedFence = c.Fence
 	a := m.shareRequest(now, c.Workspace, h)
-	r.Send(from, Message{Ask: &a})
+	r.Send(from, Message{ShareRequest: &a})
 	h.lastRequest, h.answered = now, false
-	m.rescheduleRequest(now.Add(m.settings.Renew), c.Workspace, h)
+	m.rescheduleRequest(now.Add(m.settings.RenewInterval), c.Workspace, h)
 }
 
 // onShare applies a share: its rate and burst once, its term always.
@@ -239,8 +239,8 @@
 	m.applyShare(now, h, s)
 	if h.releasedLevel > 0 {
 		a := m.shareRequest(now, s.Workspace, h)
-		a.Only = true
-		r.Send(from, Message{Ask: &a})
+		a.Acknowledgement = true
+		r.Send(from, Message{ShareRequest: &a})
 	}
 }
 
@@ -264,7 +264,7 @@
 	if rate < b.rate || burst < b.burst {
 		h.releasedLevel = b.shrink(now, rate, burst)
 	}
-	b.grow(now, max(rate-b.rate, 0), max(burst-b.burst, 0), max(nanotokens(s.Added), 0))
+	b.grow(now, max(rate-b.rate, 0), max(burst-b.burst, 0), max(nanotokens(s.AddedLevel), 0))
 	h.scaleDown(now, basis, m.limits[s.Workspace])
 	if b.burst == 0 && b.outstanding == 0 {
 		b.reset()
--- a/internal/core/limit/single.go
+++ b/internal/core/limit/single.go
@@ -15,8 +15,8 @@
 	return &Single{bucket{rate: toMicrotokenRate(rate), burst: toNanotokens(burst), level: toNanotokens(burst), last: now}}
 }
 
-// NewEmpty returns a limit whose burst has yet to accrue.
-func NewEmpty(now core.Instant, rate, burst core.Tokens) *Single {
+// NewEmptySingle returns a limit whose burst has yet to accrue.
+func NewEmptySingle(now core.Instant, rate, burst core.Tokens) *Single {
 	s := NewSingle(now, rate, burst)
 	s.bucket.level = 0
 	return s
@@ -52,11 +52,11 @@
 	s.bucket.grow(now, 0, toNanotokens(n), toNanotokens(n))
 }
 
-// Shift returns burst that Move removed, without tokens.
-func (s *Single) Shift(now core.Instant, n core.Tokens) { s.bucket.grow(now, 0, toNanotokens(n), 0) }
+// AddBurst returns burst that Move removed, without tokens.
+func (s *Single) AddBurst(now core.Instant, n core.Tokens) { s.bucket.grow(now, 0, toNanotokens(n), 0) }
 
-// Retry returns the time until n tokens will have accrued.
-func (s *Single) Retry(now core.Instant, n core.Tokens) time.Duration {
+// TimeUntil returns the time until n tokens will have accrued.
+func (s *Single) TimeUntil(now core.Instant, n core.Tokens) time.Duration {
 	s.bucket.advance(now)
 	return accrualTime(toNanotokens(n)-s.bucket.level, s.bucket.rate)
 }
--- a/internal/core/limit/successor_test.go
+++ b/internal/core/limit/successor_test.go
@@ -12,11 +12,11 @@
 	p.grantShare()
 	stale := p.holder.shareRequest(p.now, ws, p.holder.holders[ws])
 	stale.Demand = 50
-	p.now = p.now.Add(3 * DefaultTerm)
+	p.now = p.now.Add(3 * DefaultShareTTL)
 	p.collect("o", p.owner.Tick(p.now, p.ownerView)) // reclaims the share
 	led := p.owner.ledgers[ws]
 	p.is.Equal(len(led.entries), 0)
-	p.collect("o", p.owner.Peer(p.now, p.ownerView, "h", Message{Ask: &stale}))
+	p.collect("o", p.owner.HandleMessage(p.now, p.ownerView, "h", Message{ShareRequest: &stale}))
 	sum := led.pool.burst
 	for _, e := range led.entries {
 		sum += e.burst
@@ -47,13 +47,13 @@
 	p := newPair(t)
 	p.grantShare()
 	before := p.poolLevel()
-	state := p.owner.Departing(p.now, ws)
+	state := p.owner.HandOff(p.now, ws)
 	p.is.True(state != nil)
-	p.is.True(p.owner.Departing(p.now, ws) == nil)
+	p.is.True(p.owner.HandOff(p.now, ws) == nil)
 	r := p.owner.Reserve(p.now, p.ownerView, "mine", ws, 1)
 	p.is.True(len(r.Decisions) == 0 || !r.Decisions[0].Granted)             // spends nothing any more
 	p.is.Equal(len(r.Calls)+len(p.owner.Tick(p.now, p.ownerView).Calls), 0) // and claims nothing under the same fencing number
-	next := New(Settings{Self: "n", Settle: -1}, core.NewRand(3))
+	next := New(Settings{Self: "n", StartDelay: -1}, core.NewRand(3))
 	next.Configure(p.now, 1, []Limit{{ws, 100, 1000}})
 	next.Adopt(p.now, ws, state, "o")
 	own := &fakeOwnership{self: "n", owner: "n", acting: true, grant: core.Grant{Fence: 2, Until: 1 << 60}, hosts: members}
@@ -71,8 +71,8 @@
 func TestStaleHandoffIsNotUsed(t *testing.T) {
 	p := newPair(t)
 	p.grantShare()
-	state := p.owner.Departing(p.now, ws)
-	next := New(Settings{Self: "n", Settle: -1}, core.NewRand(3))
+	state := p.owner.HandOff(p.now, ws)
+	next := New(Settings{Self: "n", StartDelay: -1}, core.NewRand(3))
 	next.Configure(p.now, 1, []Limit{{ws, 100, 1000}})
 	next.Adopt(p.now, ws, state, "o")
 	own := &fakeOwnership{self: "n", owner: "n", acting: true, grant: core.Grant{Fence: 5, Until: 1 << 60}, hosts: members}
@@ -86,12 +86,12 @@
 // A write that was applied when its writer could not act any more opens no ledger.
 func TestLateListWriteOpensNoLedger(t *testing.T) {
 	p := newPair(t)
-	late := New(Settings{Self: "o", Settle: -1}, core.NewRand(4))
+	late := New(Settings{Self: "o", StartDelay: -1}, core.NewRand(4))
 	late.Configure(p.now, 1, []Limit{{ws, 100, 1000}})
 	r := late.Tick(p.now, p.ownerView)
-	r = late.Object(p.now, p.ownerView, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectNotFound})
+	r = late.HandleObject(p.now, p.ownerView, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectNotFound})
 	p.ownerView.acting = false
-	late.Object(p.now, p.ownerView, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectOK, Object: core.Object{Version: 1}})
+	late.HandleObject(p.now, p.ownerView, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectOK, Object: core.Object{Version: 1}})
 	p.is.True(late.ledgers[ws] == nil)
 }
 
@@ -113,7 +113,7 @@
 	p.grantShare()
 	p.ownerView.acting = false
 	for range 6 {
-		p.now = p.now.Add(DefaultTerm / 2)
+		p.now = p.now.Add(DefaultShareTTL / 2)
 		p.collect("o", p.owner.Tick(p.now, p.ownerView))
 		p.toHolder = nil // the holder is cut off, and may hold a share of a successor
 	}
@@ -125,7 +125,7 @@
 func TestSuccessorIgnoresRequestsWithoutItsFence(t *testing.T) {
 	p := newPair(t)
 	p.grantShare()
-	next := New(Settings{Self: "n", Settle: -1}, core.NewRand(3))
+	next := New(Settings{Self: "n", StartDelay: -1}, core.NewRand(3))
 	next.Configure(p.now, 1, []Limit{{ws, 100, 1000}})
 	own := &fakeOwnership{self: "n", owner: "n", acting: true, grant: core.Grant{Fence: 2, Until: 1 << 60}, hosts: members}
 	q := &pair{is: p.is, now: p.now, owner: next, ownerView: own, holder: p.holder, holderView: &fakeOwnership{self: "h", owner: "n", hosts: members}}
@@ -135,9 +135,9 @@
 	led := next.ledgers[ws]
 	p.is.Equal(led.notRestated, []core.HostID{"h"})
 	early := p.holder.shareRequest(p.now, ws, p.holder.holders[ws])
-	r := next.Peer(p.now, own, "h", Message{Ask: &early})
+	r := next.HandleMessage(p.now, own, "h", Message{ShareRequest: &early})
 	p.is.Equal(led.notRestated, []core.HostID{"h"})
-	p.is.True(r.Sends[0].Message.Recall != nil)
+	p.is.True(r.Sends[0].Message.StateRequest != nil)
 	held := p.holder.holders[ws].bucket.burst
 	q.collect("o", r)
 	q.deliver()
@@ -149,9 +149,9 @@
 	rate, burst := q.totals()
 	p.is.True(rate <= toMicrotokenRate(100) && burst <= toNanotokens(1000))
 	p.is.True(burst > toNanotokens(990)) // nothing is withheld any more
-	stale := Share{Workspace: ws, Fence: 1, Seq: 99, Rate: 1, Burst: 1, Echo: q.now, Term: DefaultTerm}
+	stale := Share{Workspace: ws, Fence: 1, Seq: 99, Rate: 1, Burst: 1, Echo: q.now, Term: DefaultShareTTL}
 	before := p.holder.holders[ws].applied
-	p.holder.Peer(q.now, q.holderView, "o", Message{Share: &stale}) // from the old owner
+	p.holder.HandleMessage(q.now, q.holderView, "o", Message{Share: &stale}) // from the old owner
 	p.is.Equal(p.holder.holders[ws].applied, before)
 }
 
@@ -160,13 +160,13 @@
 	p := newPair(t)
 	p.deliver()
 	p.ownerView.hosts = append([]core.Member{{Host: "x"}}, members...)
-	r := p.owner.Peer(p.now, p.ownerView, "x", Message{Ask: &Ask{Workspace: ws, Fence: 1, Demand: 90, Largest: 10, Sent: 1}})
+	r := p.owner.HandleMessage(p.now, p.ownerView, "x", Message{ShareRequest: &ShareRequest{Workspace: ws, Fence: 1, Demand: 90, Largest: 10, Sent: 1}})
 	p.is.Equal(len(r.Calls), 1) // lists it first
 	p.is.Equal(r.Sends[0].Message.Share.Burst, int64(0))
 	p.is.True(p.owner.ledgers[ws].entry("x") == nil)
 	p.ownerView.acting = false // the write ends too late: a successor may have read the list before
-	p.owner.Object(p.now, p.ownerView, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectOK, Object: core.Object{Version: 2}})
-	r = p.owner.Peer(p.now, p.ownerView, "x", Message{Ask: &Ask{Workspace: ws, Fence: 1, Demand: 90, Largest: 10, Sent: 2}})
+	p.owner.HandleObject(p.now, p.ownerView, core.ObjectResult{Tag: r.Calls[0].Tag, Status: core.ObjectOK, Object: core.Object{Version: 2}})
+	r = p.owner.HandleMessage(p.now, p.ownerView, "x", Message{ShareRequest: &ShareRequest{Workspace: ws, Fence: 1, Demand: 90, Largest: 10, Sent: 2}})
 	p.is.Equal(r.Sends[0].Message.Share.Burst, int64(0))
 	p.is.True(p.owner.ledgers[ws].entry("x") == nil)
 }
--- a/internal/core/limit/targets.go
+++ b/internal/core/limit/targets.go
@@ -29,8 +29,8 @@
 	h := m.holderOf(now, led.workspace)
 	own := int64(h.demand.updateRate(now))
 	lent := int64(led.loanDemand.updateRate(now))
-	led.loanDemand.decayLargest(now, m.settings.Renew)
-	h.demand.decayLargest(now, m.settings.Renew)
+	led.loanDemand.decayLargest(now, m.settings.RenewInterval)
+	h.demand.decayLargest(now, m.settings.RenewInterval)
 	largest := max(h.demand.largest, led.loanDemand.largest)
 	all := make([]candidate, 0, len(led.entries)+1)
 	total := own + lent
@@ -77,10 +77,10 @@
 // baseWeight returns a host's weight without any demand, so that each holds a part
 // when it takes over for another host or during a store outage.
 func (m *Machine) baseWeight(led *ledger) int64 {
-	if m.settings.EvenPart < 0 {
+	if m.settings.EvenDivisor < 0 {
 		return 0
 	}
-	return int64(led.limit.Rate)/int64(m.settings.EvenPart*(len(led.entries)+1)) + 1
+	return int64(led.limit.Rate)/int64(m.settings.EvenDivisor*(len(led.entries)+1)) + 1
 }
 
 // newCandidate weighs a host by its demand and by the rate that would fill the
--- a/internal/core/node/outputs.go
+++ b/internal/core/node/outputs.go
@@ -53,7 +53,7 @@
 	case machineFeed:
 		n.applyFeedOutput(n.feed.HandleObject(n.now, r))
 	case machineLimit:
-		n.applyLimitResult(n.limit.Object(n.now, n.lease, r))
+		n.applyLimitResult(n.limit.HandleObject(n.now, n.lease, r))
 	case machineOnce:
 		n.applyOnceResult(n.once.HandleObject(n.now, r))
 	}
--- a/internal/core/node/peer.go
+++ b/internal/core/node/peer.go
@@ -27,7 +27,7 @@
 	case m.Feed != nil:
 		n.applyFeedOutput(n.feed.HandleMessage(n.now, e.From, *m.Feed))
 	case m.Limit != nil:
-		n.applyLimitResult(n.limit.Peer(n.now, n.lease, e.From, *m.Limit))
+		n.applyLimitResult(n.limit.HandleMessage(n.now, n.lease, e.From, *m.Limit))
 	case m.Placement != nil:
 		n.applyPlacementResult(n.placement.HandleMessage(n.now, n.lease, e.From, *m.Placement))
 	case m.Suspect != nil:
--- a/internal/core/node/propagate.go
+++ b/internal/core/node/propagate.go
@@ -174,7 +174,7 @@
 // releaseShard stops acting for a shard and returns its state for the next owner.
 func (n *Node) releaseShard(s core.Shard) []byte {
 	if s.Kind == core.ShardWorkspace {
-		return n.limit.Departing(n.now, core.WorkspaceID(s.Name))
+		return n.limit.HandOff(n.now, core.WorkspaceID(s.Name))
 	}
 	return n.placement.HandOff(n.now, s)
 }
--- a/internal/measure/limits/adversary_test.go
+++ b/internal/measure/limits/adversary_test.go
@@ -35,7 +35,7 @@
 }
 
 // Times short enough for a run to see terms, horizons and takeovers end.
-var hastySettings = limit.Settings{Term: 16 * time.Second, Renew: 5 * time.Second, Urgent: 2 * time.Second, Horizon: 45 * time.Second}
+var hastySettings = limit.Settings{ShareTTL: 16 * time.Second, RenewInterval: 5 * time.Second, MinRequestInterval: 2 * time.Second, OutageHorizon: 45 * time.Second}
 
 func newAdversary(t *rapid.T, hosts int, ppm int64) *adversary {
 	loop := &Loop{Rand: core.NewRand(rapid.Uint64().Draw(t, "seed"))}
--- a/internal/measure/limits/baselines.go
+++ b/internal/measure/limits/baselines.go
@@ -53,7 +53,7 @@
 	}
 	n := core.Tokens(s.w.Trace.Hosts)
 	for _, t := range s.w.Trace.Tenants { // a fresh host starts empty
-		s.buckets[key{f.Slot, t.Limit.Workspace}] = limit.NewEmpty(s.w.Loop.Now, t.Limit.Rate/n, t.Limit.Burst/n)
+		s.buckets[key{f.Slot, t.Limit.Workspace}] = limit.NewEmptySingle(s.w.Loop.Now, t.Limit.Rate/n, t.Limit.Burst/n)
 	}
 }
 
@@ -168,7 +168,7 @@
 	p.owner = s.w.slot(p.owner)
 	p.ready = s.w.Loop.Now.Add(leaseTerm + leaseWait)
 	p.term++
-	p.bucket = limit.NewEmpty(p.ready, p.limit.Rate, p.limit.Burst)
+	p.bucket = limit.NewEmptySingle(p.ready, p.limit.Rate, p.limit.Burst)
 }
 
 func (s *short) Messages() uint64 { return s.w.Links.Sent }
@@ -236,7 +236,7 @@
 
 // spend charges moved tokens; the burst they came with goes back without them.
 func (p *peers) spend(_ int, _ Arrival, n core.Tokens, from *limit.Single, decide func(bool)) {
-	from.Shift(p.w.Loop.Now, n)
+	from.AddBurst(p.w.Loop.Now, n)
 	decide(true)
 }
 
@@ -248,7 +248,7 @@
 			slot = 0
 			p.w.Alive[slot] = false
 		}
-		p.gone[slot] = p.w.Loop.Now.Add(limit.DefaultHorizon)
+		p.gone[slot] = p.w.Loop.Now.Add(limit.DefaultOutageHorizon)
 	case "replace":
 		p.static.Fault(f)
 	}
--- a/internal/measure/limits/ours.go
+++ b/internal/measure/limits/ours.go
@@ -113,7 +113,7 @@
 	for _, s := range r.Sends {
 		f.links.Carry(n.ID, s.To, func() {
 			if to := f.nodes[s.To]; to != nil {
-				f.run(to, func() limit.Result { return to.Machine.Peer(to.now(f), to.Own, n.ID, s.Message) })
+				f.run(to, func() limit.Result { return to.Machine.HandleMessage(to.now(f), to.Own, n.ID, s.Message) })
 			}
 		})
 	}
@@ -133,7 +133,7 @@
 			}
 		}
 		f.loop.After(storeTrip/2, func() {
-			f.run(n, func() limit.Result { return n.Machine.Object(n.now(f), n.Own, res) })
+			f.run(n, func() limit.Result { return n.Machine.HandleObject(n.now(f), n.Own, res) })
 		})
 	})
 }
@@ -141,7 +141,7 @@
 func (f *Fleet) handover(from, to core.HostID, s core.Shard) {
 	a, b := f.nodes[from], f.nodes[to]
 	ws := core.WorkspaceID(s.Name)
-	state := a.Machine.Departing(a.now(f), ws)
+	state := a.Machine.HandOff(a.now(f), ws)
 	if state != nil {
 		f.links.Carry(from, to, func() {
 			f.run(b, func() limit.Result {
