--- a/internal/admin/apply.go
+++ b/internal/admin/apply.go
@@ -35,7 +35,7 @@
 	h.Version = p.Base.Head.Version + 1
 	h.By = who.Name
 	h.At = s.now().UTC()
-	h.Token = newToken()
+	h.WriteID = newToken()
 	if h.Version%collectEvery == 0 {
 		_, _ = s.Collect(ctx) // best effort: the next round finds what is left
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return InDoubt.New("%v", err)
 	}
-	if now.Head.Token == h.Token {
+	if now.Head.WriteID == h.WriteID {
 		return nil
 	}
 	if now.Head.Version <= p.Base.Head.Version {
@@ -116,7 +116,7 @@
 		if err != nil {
 			return InDoubt.New("%v", err)
 		}
-		if len(after) == 1 && after[0].Token == h.Token {
+		if len(after) == 1 && after[0].Token == h.WriteID {
 			return nil
 		}
 	}
--- a/internal/admin/audit.go
+++ b/internal/admin/audit.go
@@ -45,9 +45,9 @@
 func newRecord(who Operator, p *Plan, h config.Head) Record {
 	r := Record{
 		Version:   h.Version,
-		Token:     h.Token,
+		Token:     h.WriteID,
 		From:      p.Base.Head.Version,
-		FromToken: p.Base.Head.Token,
+		FromToken: p.Base.Head.WriteID,
 		By:        h.By,
 		Via:       who.Via,
 		At:        h.At,
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	want, token := head.Head.Version, head.Head.Token
+	want, token := head.Head.Version, head.Head.WriteID
 	to = min(to, want)
 	if from == 0 {
 		from = 1
--- a/internal/core/config/bench_test.go
+++ b/internal/core/config/bench_test.go
@@ -99,7 +99,7 @@
 	s := NewSnapshot(1, largeDocument())
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, _, r := s.Resolve("adapter-00777@2", "workspace-177"); r != nil {
+		if _, _, r := s.ResolveModel("adapter-00777@2", "workspace-177"); r != nil {
 			b.Fatal(r)
 		}
 	}
--- a/internal/core/config/chunks.go
+++ b/internal/core/config/chunks.go
@@ -102,8 +102,8 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Missing returns the chunks of a head for which have returns false.
-func Missing(h Head, have func(hash string) bool) []string {
+// MissingChunks returns the chunks of a head for which have returns false.
+func MissingChunks(h Head, have func(hash string) bool) []string {
 	var out []string
 	for _, x := range h.Chunks {
 		if !have(x) {
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -40,7 +40,7 @@
 
 func parse(t *testing.T, text string) *Document {
 	t.Helper()
-	d, err := Parse([]byte(text))
+	d, err := ParseYAML([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	d := parse(t, sample)
 	is.Equal(Validate(d), nil)
 	s := NewSnapshot(3, d)
-	ref, _, refusal := s.Resolve("quotes", "big")
+	ref, _, refusal := s.ResolveModel("quotes", "big")
 	is.Equal(refusal, nil)
 	is.Equal(ref, core.AdapterRef{ID: "quotes", Version: 2})
 }
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	text := strings.Replace(sample, "weight: 4", "wieght: 4", 1)
 	text = strings.Replace(text, "rate: 100,", "rate: many,", 1)
-	_, err := Parse([]byte(text))
+	_, err := ParseYAML([]byte(text))
 	var invalid *InvalidError
 	is.True(errors.As(err, &invalid))
 	is.Equal(len(invalid.Problems), 2)
@@ -72,7 +72,7 @@
 	is.Equal(invalid.Problems[1].Reason, ReasonSyntax)
 	is.Equal(invalid.Problems[1].Line, 6)
 	for _, bad := range []string{"extra: 1", "workspaces: 7", "adapters: {", "- a", "keys: [1]"} {
-		_, err := Parse([]byte(bad))
+		_, err := ParseYAML([]byte(bad))
 		is.True(errors.As(err, &invalid))
 	}
 }
@@ -211,15 +211,15 @@
 		is.Equal(Patch(a, Diff(a, b)), Canonical(b)) // a diff converts one to the other
 		is.Equal(len(Diff(a, a)), 0)
 
-		text, err := Text(a)
+		text, err := EncodeYAML(a)
 		is.NoErr(err)
-		read, err := Parse(text)
+		read, err := ParseYAML(text)
 		is.NoErr(err)
 		is.Equal(Canonical(read), Canonical(a)) // the text parses to the same document
 
 		s := NewSnapshot(1, back)
 		for _, x := range a.Adapters {
-			ref, _, refusal := s.Resolve(string(x.ID), "any")
+			ref, _, refusal := s.ResolveModel(string(x.ID), "any")
 			is.Equal(refusal, nil)
 			is.Equal(ref.Version, x.Default)
 		}
@@ -232,7 +232,7 @@
 	f.Add([]byte("adapters:\n- &x {id: a, versions: [1]}\n- *x"))
 	f.Add([]byte("keys: [{id: [}]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		d, err := Parse(text)
+		d, err := ParseYAML(text)
 		if err != nil {
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) || len(invalid.Problems) == 0 {
--- a/internal/core/config/examples_test.go
+++ b/internal/core/config/examples_test.go
@@ -13,7 +13,7 @@
 			is := is.New(t)
 			text, err := os.ReadFile("../../../examples/documents/" + name + ".yaml")
 			is.NoErr(err)
-			d, err := Parse(text)
+			d, err := ParseYAML(text)
 			is.NoErr(err)
 			is.Equal(Validate(d), nil)
 			is.Equal(len(d.Adapters), 3000)
--- a/internal/core/config/head.go
+++ b/internal/core/config/head.go
@@ -21,7 +21,7 @@
 	Chunks  []string  `cbor:"3,keyasint"` // hex SHA-256 of each chunk's content, in order
 	By      string    `cbor:"4,keyasint"` // the operator
 	At      time.Time `cbor:"5,keyasint"`
-	Token   string    `cbor:"6,keyasint"` // random, identifies the writer's own write if its result is unknown
+	WriteID string    `cbor:"6,keyasint"` // random, identifies the writer's own write if its result is unknown
 }
 
 // EncodeHead returns the stored form of a head.
--- a/internal/core/config/parse.go
+++ b/internal/core/config/parse.go
@@ -32,10 +32,10 @@
 	Upstreams  []listItem[Upstream]  `yaml:"upstreams"`
 }
 
-// Parse parses a document's YAML strictly: an unknown field or a wrong type is a
+// ParseYAML parses a document's YAML strictly: an unknown field or a wrong type is a
 // problem with its line. The result keeps the order of the text and is not
 // validated. The error is an *InvalidError.
-func Parse(b []byte) (*Document, error) {
+func ParseYAML(b []byte) (*Document, error) {
 	if len(b) > maxDocumentBytes {
 		return nil, &InvalidError{[]Problem{{Path: "document", Reason: ReasonRange, Why: "longer than " + strconv.Itoa(maxDocumentBytes) + " bytes"}}}
 	}
@@ -91,8 +91,8 @@
 	return p
 }
 
-// Text returns a document's YAML in canonical form.
-func Text(d *Document) ([]byte, error) {
+// EncodeYAML returns a document's YAML in canonical form.
+func EncodeYAML(d *Document) ([]byte, error) {
 	b, err := yaml.Marshal(Canonical(d))
 	return b, Error.Wrap(err)
 }
--- a/internal/core/config/snapshot.go
+++ b/internal/core/config/snapshot.go
@@ -91,10 +91,10 @@
 // Adapter returns an adapter by its identity, or nil.
 func (s *Snapshot) Adapter(id core.AdapterID) *Adapter { return s.adapters[id] }
 
-// Resolve returns the exact version that a model name means, "adapter" or
+// ResolveModel returns the exact version that a model name means, "adapter" or
 // "adapter@version", and a refusal if the workspace may not use it or it doesn't
 // exist.
-func (s *Snapshot) Resolve(model string, ws core.WorkspaceID) (core.AdapterRef, *Adapter, *core.Refusal) {
+func (s *Snapshot) ResolveModel(model string, ws core.WorkspaceID) (core.AdapterRef, *Adapter, *core.Refusal) {
 	name, version, versioned := strings.Cut(model, "@")
 	a := s.adapters[core.AdapterID(name)]
 	if a == nil {
--- a/internal/core/node/admit.go
+++ b/internal/core/node/admit.go
@@ -105,7 +105,7 @@
 	if r.route.Kind == config.RouteService {
 		return nil
 	}
-	ref, adapter, refusal := n.snapshot.Resolve(r.arrival.Model, r.workspace.ID)
+	ref, adapter, refusal := n.snapshot.ResolveModel(r.arrival.Model, r.workspace.ID)
 	if refusal != nil {
 		return refusal
 	}
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	d.document, err = config.Parse(b)
+	d.document, err = config.ParseYAML(b)
 	if err != nil {
 		return err
 	}
--- a/internal/demo/tour.go
+++ b/internal/demo/tour.go
@@ -76,7 +76,7 @@
 
 func snapshotOf(d *deployment, adapter string) (*config.Snapshot, *config.Adapter) {
 	s := config.NewSnapshot(1, d.document)
-	_, a, _ := s.Resolve(adapter, d.workspace)
+	_, a, _ := s.ResolveModel(adapter, d.workspace)
 	return s, a
 }
 
@@ -173,7 +173,7 @@
 func (d *deployment) adapterOf(ws core.WorkspaceID) string {
 	s := config.NewSnapshot(1, d.document)
 	for _, a := range d.document.Adapters {
-		if _, _, refusal := s.Resolve(string(a.ID), ws); refusal == nil {
+		if _, _, refusal := s.ResolveModel(string(a.ID), ws); refusal == nil {
 			return string(a.ID)
 		}
 	}
--- a/internal/wiring/status.go
+++ b/internal/wiring/status.go
@@ -79,7 +79,7 @@
 func models(s *config.Snapshot, ws core.WorkspaceID) []entry.Model {
 	var all []entry.Model
 	for _, a := range s.Document.Adapters {
-		if _, _, refusal := s.Resolve(string(a.ID), ws); refusal != nil {
+		if _, _, refusal := s.ResolveModel(string(a.ID), ws); refusal != nil {
 			continue
 		}
 		all = append(all, entry.Model{ID: string(a.ID), Base: a.Base})
