--- a/cmd/gentiancroft/audit.go
+++ b/cmd/gentiancroft/audit.go
@@ -11,7 +11,7 @@
 	"gentiancroft/internal/admin"
 )
 
-// defaultAuditVersions is how many changes audit shows.
+// defaultAuditVersions is how many of the newest versions audit shows by default.
 const defaultAuditVersions = 50
 
 func auditCommand() *cobra.Command {
@@ -19,17 +19,17 @@
 	var from, to uint64
 	c := &cobra.Command{
 		Use:   "audit",
-		Short: "Tell who changed the configuration, when, and what",
+		Short: "Show who changed the configuration, when, and what was changed",
 		Example: `  gentiancroft audit --platform 10.0.0.5:7000
   gentiancroft audit --platform 10.0.0.5:7000 --from 1200 --to 1300 --output json
   gentiancroft audit --platform 10.0.0.5:7000 --key-file ana.key`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, ctx, leave, err := o.connect(c.Context())
+			s, ctx, closeClient, err := o.connect(c.Context())
 			if err != nil {
 				return err
 			}
-			defer leave()
+			defer closeClient()
 			if from == 0 {
 				now, err := s.Load(ctx)
 				if err != nil {
@@ -44,11 +44,11 @@
 			}
 			key := ""
 			if o.keyFile != "" {
-				who, err := (&adminOptions{operator: "-", keyFile: o.keyFile}).who()
+				operator, err := (&adminOptions{operator: "-", keyFile: o.keyFile}).operatorFromFlags()
 				if err != nil {
 					return err
 				}
-				key = who.Key
+				key = operator.Key
 			}
 			return o.printAudit(c.OutOrStdout(), records, key)
 		},
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// signature tells what a record's signature is worth to the holder of a key.
+// signature describes a record's signature: whether it has one, and whether key made it.
+// It returns "" for an unsigned record.
 func signature(r admin.Record, key string) string {
 	switch {
 	case r.Signature == "":
--- a/cmd/gentiancroft/cert.go
+++ b/cmd/gentiancroft/cert.go
@@ -21,28 +21,28 @@
 func certCommand() *cobra.Command {
 	var directory string
 	var hosts []string
-	var term time.Duration
+	var validity time.Duration
 	c := &cobra.Command{
 		Use:   "cert",
-		Short: "Make a test authority and host certificates for the links between hosts",
-		Long: "Make a test authority and host certificates for the links between hosts.\n" +
+		Short: "Create a test authority and host certificates for the links between hosts",
+		Long: "Create a test certificate authority and host certificates for the links between hosts.\n" +
 			"Writes authority.pem, and HOST.pem and HOST-key.pem for each host. The authority's\n" +
-			"private key is not kept: every run makes a new authority.",
+			"private key is not stored: every run creates a new authority.",
 		Example: "  gentiancroft cert --dir ./certs --host sofia-a-0 --host sofia-b-0",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return writeCerts(directory, hosts, term)
+			return writeCerts(directory, hosts, validity)
 		},
 	}
 	c.Flags().StringVar(&directory, "dir", "certs", "directory to write to")
 	c.Flags().StringSliceVar(&hosts, "host", nil, "name of a host; may be repeated")
-	c.Flags().DurationVar(&term, "valid", 30*24*time.Hour, "how long the certificates are valid")
+	c.Flags().DurationVar(&validity, "valid", 30*24*time.Hour, "how long the certificates are valid")
 	_ = c.MarkFlagRequired("host")
 	return c
 }
 
-func writeCerts(directory string, hosts []string, term time.Duration) error {
-	authority, err := peer.NewAuthority("gentiancroft test authority", term)
+func writeCerts(directory string, hosts []string, validity time.Duration) error {
+	authority, err := peer.NewAuthority("gentiancroft test authority", validity)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 		if host == "" || strings.ContainsAny(host, `/\`) {
 			return peer.MaterialError.New("--host %q is not a host name", host)
 		}
-		id, err := authority.Issue(host, term)
+		id, err := authority.Issue(host, validity)
 		if err != nil {
 			return err
 		}
--- a/cmd/gentiancroft/config.go
+++ b/cmd/gentiancroft/config.go
@@ -32,12 +32,13 @@
 func (o *adminOptions) register(c *cobra.Command) {
 	f := c.PersistentFlags()
 	f.StringVar(&o.platform, "platform", "", "the platform's address, ip:port")
-	f.StringVar(&o.operator, "operator", "", "who is asking; goes to the audit trail")
+	f.StringVar(&o.operator, "operator", "", "name of the operator, for the audit trail")
 	f.StringVar(&o.keyFile, "key-file", "", "file with the operator's key, which signs the audit record")
 	f.StringVar(&o.output, "output", "text", "text or json")
 }
 
-// connect returns the service at the platform and how to leave it.
+// connect returns the administration service on the platform, a context that ends after
+// commandTimeout, and a function that releases both.
 func (o *adminOptions) connect(ctx context.Context) (*admin.Service, context.Context, func(), error) {
 	if o.platform == "" {
 		return nil, nil, nil, admin.Invalid.New("--platform must be given")
@@ -50,20 +51,20 @@
 	return admin.New(client), ctx, func() { cancel(); client.Close() }, nil
 }
 
-// who returns the operator that the flags name.
-func (o *adminOptions) who() (admin.Operator, error) {
+// operatorFromFlags returns the operator that the flags name.
+func (o *adminOptions) operatorFromFlags() (admin.Operator, error) {
 	if o.operator == "" {
-		return admin.Operator{}, admin.Invalid.New("--operator must be given: the audit trail names who changes something")
+		return admin.Operator{}, admin.Invalid.New("--operator must be given: the audit trail records who made a change")
 	}
-	who := admin.Operator{Name: o.operator, Via: "command line"}
+	operator := admin.Operator{Name: o.operator, Via: "command line"}
 	if o.keyFile != "" {
 		b, err := os.ReadFile(o.keyFile)
 		if err != nil {
 			return admin.Operator{}, admin.Invalid.Wrap(err)
 		}
-		who.Key = strings.TrimSpace(string(b))
+		operator.Key = strings.TrimSpace(string(b))
 	}
-	return who, nil
+	return operator, nil
 }
 
 func configCommand() *cobra.Command {
@@ -81,8 +82,9 @@
 	return c
 }
 
-// readDocument reads and checks a file, "-" for standard input. The version
-// that it was made from is 0 where it does not say.
+// readDocument reads and validates a document from a file, or from standard input if
+// the name is "-". from is the version on which the document is based, 0 if the document
+// doesn't state one.
 func readDocument(c *cobra.Command, name string) (d *config.Document, from uint64, err error) {
 	var text []byte
 	if name == "-" {
@@ -99,19 +101,19 @@
 	if err != nil {
 		return nil, 0, admin.Invalid.Wrap(err)
 	}
-	if m := fromLine.FindSubmatch(text); m != nil {
+	if m := versionLine.FindSubmatch(text); m != nil {
 		from, err = strconv.ParseUint(string(m[1]), 10, 64)
 	}
 	return d, from, admin.Invalid.Wrap(err)
 }
 
-// fromLine is how a shown document says which version it is.
-var fromLine = regexp.MustCompile(`(?m)^# gentiancroft configuration version (\d+)\b`)
+// versionLine matches the comment in which config show states the version.
+var versionLine = regexp.MustCompile(`(?m)^# gentiancroft configuration version (\d+)\b`)
 
 func checkCommand(o *adminOptions) *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Tell everything that is wrong with a document",
+		Short:   "List every error in a document",
 		Example: "  gentiancroft config check examples/documents/parapet.yaml",
 		Args:    oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -125,10 +127,10 @@
 	}
 }
 
-// oneFile makes a wrong number of arguments a usage error.
+// oneFile returns a usage error unless there is exactly one argument.
 func oneFile(_ *cobra.Command, args []string) error {
 	if len(args) != 1 {
-		return admin.Invalid.New("one file must be named, - for standard input")
+		return admin.Invalid.New("exactly one file must be given; - is standard input")
 	}
 	return nil
 }
@@ -136,7 +138,7 @@
 func diffCommand(o *adminOptions) *cobra.Command {
 	return &cobra.Command{
 		Use:     "diff FILE",
-		Short:   "Tell what a document would change, and what that would break",
+		Short:   "Show what a document would change and the warnings that this raises",
 		Example: "  gentiancroft config diff document.yaml --platform 10.0.0.5:7000 --output json",
 		Args:    oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
@@ -144,11 +146,11 @@
 			if err != nil {
 				return err
 			}
-			s, ctx, leave, err := o.connect(c.Context())
+			s, ctx, closeClient, err := o.connect(c.Context())
 			if err != nil {
 				return err
 			}
-			defer leave()
+			defer closeClient()
 			base, err := s.Load(ctx)
 			if err != nil {
 				return err
@@ -164,46 +166,46 @@
 
 func applyCommand(o *adminOptions) *cobra.Command {
 	var from uint64
-	var anyway bool
+	var acceptWarnings bool
 	c := &cobra.Command{
 		Use:   "apply FILE",
 		Short: "Make a document the accepted configuration",
 		Long: `Make a document the accepted configuration.
 
-The document must say which version it was made from: config show writes that
-as a comment, or give --from. Where another operator changed something since,
-nothing is applied and the command tells who changed what.`,
+The document must state the version on which it is based: config show writes it
+as a comment, and --from overrides it. If the configuration has changed since that
+version, nothing is applied and the error lists who changed what.`,
 		Example: `  gentiancroft config apply document.yaml --platform 10.0.0.5:7000 --operator ana
   gentiancroft config apply first.yaml --from 0 --platform 10.0.0.5:7000 --operator ana`,
 		Args: oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
-			next, said, err := readDocument(c, args[0])
+			next, baseVersion, err := readDocument(c, args[0])
 			if err != nil {
 				return err
 			}
 			if c.Flags().Changed("from") {
-				said = from
-			} else if said == 0 {
-				return admin.Invalid.New("the document does not say which version it was made from; give --from (0 for the first)")
+				baseVersion = from
+			} else if baseVersion == 0 {
+				return admin.Invalid.New("the document does not say which version it was made from; give --from (0 for the first document)")
 			}
-			return o.apply(c, next, said, anyway)
+			return o.apply(c, next, baseVersion, acceptWarnings)
 		},
 	}
-	c.Flags().Uint64Var(&from, "from", 0, "the version that the document was made from")
-	c.Flags().BoolVar(&anyway, "accept-warnings", false, "apply although something would break")
+	c.Flags().Uint64Var(&from, "from", 0, "version on which the document is based")
+	c.Flags().BoolVar(&acceptWarnings, "accept-warnings", false, "apply despite warnings")
 	return c
 }
 
-func (o *adminOptions) apply(c *cobra.Command, next *config.Document, from uint64, anyway bool) error {
-	who, err := o.who()
+func (o *adminOptions) apply(c *cobra.Command, next *config.Document, from uint64, acceptWarnings bool) error {
+	operator, err := o.operatorFromFlags()
 	if err != nil {
 		return err
 	}
-	s, ctx, leave, err := o.connect(c.Context())
+	s, ctx, closeClient, err := o.connect(c.Context())
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer closeClient()
 	base, err := s.Load(ctx)
 	if err != nil {
 		return err
@@ -215,13 +217,13 @@
 	if err != nil {
 		return err
 	}
-	if len(plan.Warnings) > 0 && !anyway {
+	if len(plan.Warnings) > 0 && !acceptWarnings {
 		if err := o.print(c.OutOrStdout(), summary{Version: base.Head.Version, Changes: plan.Changes, Warnings: plan.Warnings}, ""); err != nil {
 			return err
 		}
-		return admin.Invalid.New("%d warning(s); apply with --accept-warnings if that is meant", len(plan.Warnings))
+		return admin.Invalid.New("%d warning(s), so nothing was applied; --accept-warnings applies the document anyway", len(plan.Warnings))
 	}
-	h, err := s.Apply(ctx, who, plan)
+	h, err := s.Apply(ctx, operator, plan)
 	if err != nil {
 		return err
 	}
@@ -231,21 +233,21 @@
 func showCommand(o *adminOptions) *cobra.Command {
 	return &cobra.Command{
 		Use:     "show",
-		Short:   "Print the accepted document, ready to be edited and applied",
+		Short:   "Print the accepted document, for editing and applying",
 		Example: "  gentiancroft config show --platform 10.0.0.5:7000 > document.yaml",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, ctx, leave, err := o.connect(c.Context())
+			s, ctx, closeClient, err := o.connect(c.Context())
 			if err != nil {
 				return err
 			}
-			defer leave()
+			defer closeClient()
 			now, err := s.Load(ctx)
 			if err != nil {
 				return err
 			}
 			if o.output == "json" {
-				return admin.Damaged.Wrap(json.NewEncoder(c.OutOrStdout()).Encode(shown{now.Head.Version, now.Head.Hash, now.Head.By, now.Head.At, now.Document}))
+				return admin.Damaged.Wrap(json.NewEncoder(c.OutOrStdout()).Encode(showOutput{now.Head.Version, now.Head.Hash, now.Head.By, now.Head.At, now.Document}))
 			}
 			text, err := config.Text(now.Document)
 			if err != nil {
@@ -257,8 +259,8 @@
 	}
 }
 
-// shown is the accepted document with its version.
-type shown struct {
+// showOutput is the JSON output of config show: the accepted document with its version.
+type showOutput struct {
 	Version  uint64           `json:"version"`
 	Hash     string           `json:"hash"`
 	By       string           `json:"by"`
--- a/cmd/gentiancroft/config_test.go
+++ b/cmd/gentiancroft/config_test.go
@@ -41,7 +41,7 @@
 	is.True(strings.Contains(out, "valid"))
 
 	_, err = execute(configCommand(), "apply", parapet, at, "--operator=ana")
-	is.True(admin.Invalid.Has(err)) // made from which version?
+	is.True(admin.Invalid.Has(err)) // neither a version comment nor --from
 	out, err = execute(configCommand(), "apply", parapet, at, "--operator=ana", "--from=0", "--key-file="+keyFile)
 	is.NoErr(err)
 	is.True(strings.Contains(out, "accepted as version 1"))
@@ -57,11 +57,11 @@
 	is.True(strings.Contains(out, "~ workspaces/care-homes rate: 6000 -> 0"))
 	is.True(strings.Contains(out, "warning: workspaces/care-homes"))
 	_, err = execute(configCommand(), "apply", file, at, "--operator=ben")
-	is.True(admin.Invalid.Has(err)) // warned
+	is.True(admin.Invalid.Has(err)) // warnings not accepted
 	_, err = execute(configCommand(), "apply", file, at, "--operator=ben", "--accept-warnings")
 	is.NoErr(err)
 	_, err = execute(configCommand(), "apply", file, at, "--operator=ana", "--accept-warnings")
-	is.True(admin.Conflict.Has(err)) // the file was made from version 1
+	is.True(admin.Conflict.Has(err)) // the file is based on version 1
 	is.True(strings.Contains(err.Error(), "by ben"))
 
 	out, err = execute(auditCommand(), at, "--key-file="+keyFile)
@@ -71,7 +71,7 @@
 	is.True(strings.Contains(out, "signed with this key"))
 }
 
-func TestBadDocumentIsBadUse(t *testing.T) {
+func TestInvalidDocumentIsUsageError(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "document.yaml")
 	is.NoErr(os.WriteFile(file, []byte("workspaces:\n- {id: a, rate: 1, burst: 1, weight: 0}\n- {id: a, rate: -1, burst: 1, weight: 1}\n"), 0o600))
--- a/cmd/gentiancroft/demo.go
+++ b/cmd/gentiancroft/demo.go
@@ -14,8 +14,8 @@
 	c := &cobra.Command{
 		Use:   "demo",
 		Short: "Run a whole deployment in one process and show what it does",
-		Long: `Run stand-ins for the platform, engines and services, and three hosts over real links, all on
-loopback, and walk through what the product promises. Ends with 0 only if every step held.`,
+		Long: `Run emulators of the platform, engines and services and three hosts with real links, all on
+loopback, and demonstrate the product's guarantees step by step. The exit code is 0 only if every step succeeds.`,
 		Example: "  gentiancroft demo\n  gentiancroft demo --deployment embalse --output json\n  gentiancroft demo --keep",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -29,7 +29,7 @@
 	}
 	c.Flags().StringVar(&options.Deployment, "deployment", "parapet", "sample deployment: parapet or embalse")
 	c.Flags().StringVar(&options.Output, "output", "text", "text or json")
-	c.Flags().BoolVar(&options.Keep, "keep", false, "leave the deployment running and print curl lines")
+	c.Flags().BoolVar(&options.Keep, "keep", false, "leave the deployment running and print curl commands")
 	c.Flags().BoolVar(&logs, "logs", false, "write the hosts' log lines to standard error")
 	return c
 }
--- a/cmd/gentiancroft/explain.go
+++ b/cmd/gentiancroft/explain.go
@@ -9,9 +9,9 @@
 func explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST",
-		Short: "Tell from log lines why a request ended as it did",
-		Long: `Read the log lines of a fleet's relaying hosts from standard input, show those of one request in the order of
-their times, and name the cause that they show. REQUEST is the caller's id of it.`,
+		Short: "Show from log lines why a request ended as it did",
+		Long: `Read the log lines of a fleet's relaying hosts from standard input, print those of one request sorted by
+time, and name the cause of its end. REQUEST is the request id that the caller sent.`,
 		Example: "  cat logs/*.jsonl | gentiancroft explain 75af2882d9988168",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/gentiancroft/load.go
+++ b/cmd/gentiancroft/load.go
@@ -15,14 +15,14 @@
 	var prefix, output string
 	c := &cobra.Command{
 		Use:   "load",
-		Short: "Offer an open-loop load to hosts on this machine",
-		Long: "Offer an open-loop load to hosts on this machine: Poisson arrivals, adapters by Zipf's law,\n" +
-			"and a share of callers that hang up. Latencies count from when a request was due.",
+		Short: "Generate open-loop load on hosts on this machine",
+		Long: "Generate open-loop load on hosts on this machine: Poisson arrivals, adapters by Zipf's law,\n" +
+			"and a fraction of callers that hang up. Latency counts from the scheduled start of a request.",
 		Example: "  gentiancroft load --target 127.0.0.2:8080 --key k1 --key k2 --rate 50 --duration 30s --cancel 0.6",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if output != "text" && output != "json" {
-				return load.Invalid.New("output: %q is neither text nor json", output)
+				return load.Invalid.New("--output is text or json, not %q", output)
 			}
 			for i := range adapters {
 				o.Adapters = append(o.Adapters, fmt.Sprintf("%s%d", prefix, i))
@@ -40,20 +40,20 @@
 	f := c.Flags()
 	f.StringSliceVar(&o.Targets, "target", nil, "ip:port of a host on this machine; may be repeated")
 	f.StringSliceVar(&o.Keys, "key", nil, "a caller's key; may be repeated")
-	f.StringVar(&o.Path, "path", "/v1/completions", "path of completions")
-	f.Float64Var(&o.Rate, "rate", 10, "requests a second")
-	f.IntVar(&o.Requests, "requests", 100_000, "most requests")
-	f.DurationVar(&o.Duration, "duration", 10*time.Second, "longest time in which requests start")
-	f.DurationVar(&o.Timeout, "timeout", time.Minute, "longest time of one request")
-	f.IntVar(&adapters, "adapters", 0, "so many adapters, named by --adapter-prefix and a number from 0")
-	f.StringVar(&prefix, "adapter-prefix", "adapter-", "start of the adapters' names")
+	f.StringVar(&o.Path, "path", "/v1/completions", "path of the completions endpoint")
+	f.Float64Var(&o.Rate, "rate", 10, "requests per second")
+	f.IntVar(&o.Requests, "requests", 100_000, "maximum number of requests")
+	f.DurationVar(&o.Duration, "duration", 10*time.Second, "maximum time during which requests are started")
+	f.DurationVar(&o.Timeout, "timeout", time.Minute, "timeout of one request")
+	f.IntVar(&adapters, "adapters", 0, "number of adapters, named --adapter-prefix and a number from 0")
+	f.StringVar(&prefix, "adapter-prefix", "adapter-", "prefix of the adapters' names")
 	f.StringSliceVar(&o.Adapters, "adapter", nil, "an adapter by name, the most popular first; may be repeated")
 	f.Float64Var(&o.Skew, "skew", 1.1, "exponent of Zipf's law, above 1")
-	f.IntVar(&o.MaxTokens, "max-tokens", 64, "tokens asked for")
+	f.IntVar(&o.MaxTokens, "max-tokens", 64, "max_tokens of a request")
 	f.IntVar(&o.Prompt, "prompt", 512, "bytes of the prompt")
-	f.Float64Var(&o.Cancel, "cancel", 0, "share of callers that hang up")
+	f.Float64Var(&o.Cancel, "cancel", 0, "fraction of callers that hang up")
 	f.DurationVar(&o.CancelAfter, "cancel-after", time.Second, "mean time until a hang-up")
-	f.BoolVar(&o.Follow, "follow", true, "ask GET /v1/entries and use its answer as long as told")
+	f.BoolVar(&o.Follow, "follow", true, "get the hosts' addresses from GET /v1/entries and refresh them when that answer expires")
 	f.Uint64Var(&o.Seed, "seed", defaultSeed, "seed of arrivals, adapters and hang-ups")
 	f.StringVar(&output, "output", "text", "text or json")
 	return c
--- a/cmd/gentiancroft/main.go
+++ b/cmd/gentiancroft/main.go
@@ -1,4 +1,6 @@
-// Command gentiancroft serves LoRA adapters to callers.
+// Command gentiancroft runs the hosts of a serving layer for LoRA adapters, and the
+// commands that configure, test and measure them. This package parses flags and maps
+// errors to exit codes; the work is in the internal packages.
 package main
 
 import (
@@ -24,12 +26,12 @@
 	exitUsage  = 2
 )
 
-// usage is the class of wrong flags and arguments.
-var usage = errs.Class("usage")
+// errUsage is the class of errors for invalid flags and arguments.
+var errUsage = errs.Class("usage")
 
-const longHelp = `gentiancroft serves very many LoRA adapters on shared base models.
+const longHelp = `gentiancroft serves many LoRA adapters on shared base models.
 
-Exit codes: 0 good, 1 failed, 2 bad use or bad settings.`
+Exit codes: 0 success, 1 failure, 2 invalid flags, arguments, settings or documents.`
 
 func main() { os.Exit(run()) }
 
@@ -56,7 +58,7 @@
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage.Wrap(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return errUsage.Wrap(err) })
 	root.AddCommand(
 		demoCommand(),
 		serveCommand(),
@@ -74,10 +76,11 @@
 	return root
 }
 
-// isUsage reports whether an error is the user's: flags, arguments, settings or
-// a document.
+// isUsage reports whether invalid input caused an error: flags, arguments, settings,
+// key material or a document. Cobra's own errors have no type, so their first words
+// are matched.
 func isUsage(err error) bool {
-	if usage.Has(err) || demo.Usage.Has(err) || settings.Invalid.Has(err) || admin.Invalid.Has(err) || load.Invalid.Has(err) || peer.MaterialError.Has(err) {
+	if errUsage.Has(err) || demo.Usage.Has(err) || settings.Invalid.Has(err) || admin.Invalid.Has(err) || load.Invalid.Has(err) || peer.MaterialError.Has(err) {
 		return true
 	}
 	for _, prefix := range []string{"unknown command", "accepts ", "requires at least", "required flag"} {
--- a/cmd/gentiancroft/measure.go
+++ b/cmd/gentiancroft/measure.go
@@ -34,7 +34,7 @@
 	var output string
 	c := &cobra.Command{
 		Use:     "measure",
-		Short:   "Measure the policies beside their baselines",
+		Short:   "Measure the policies against their baselines",
 		Example: "  gentiancroft measure limits --output json\n  gentiancroft measure all",
 	}
 	c.PersistentFlags().Uint64Var(&seed, "seed", defaultSeed, "seed of the run")
@@ -69,7 +69,7 @@
 	case "json":
 		write = measure.WriteJSON
 	default:
-		return usage.New("--output is text or json, not %q", output)
+		return errUsage.New("--output is text or json, not %q", output)
 	}
 	for _, m := range all {
 		r, err := m.Run(seed)
@@ -96,7 +96,7 @@
 		},
 	}
 	c.Flags().Uint64Var(&seed, "seed", defaultSeed, "seed of the runs")
-	c.Flags().StringVar(&file, "file", "report.html", "where the page goes")
+	c.Flags().StringVar(&file, "file", "report.html", "file to write the page to")
 	return c
 }
 
--- a/cmd/gentiancroft/relay.go
+++ b/cmd/gentiancroft/relay.go
@@ -18,23 +18,23 @@
 	"gentiancroft/platform"
 )
 
-// Part of a relaying host's memory that the collector aims to stay within, and
-// how much garbage it lets grow between two collections.
+// Garbage collector settings of a relaying host: the soft memory limit as a fraction of
+// the memory setting, and the heap growth between two collections in percent (GOGC).
 const (
-	memoryPart     = 0.6
-	garbagePercent = 25
+	memoryFraction = 0.6
+	gcPercent      = 25
 )
 
 func relayCommand() *cobra.Command {
 	var file string
 	c := &cobra.Command{
 		Use:   "relay",
-		Short: "Run one host that passes requests through, on the users' platform",
-		Long: `Run one host that passes requests through until it is told to leave.
+		Short: "Run one relaying host, which forwards requests to replicas on the users' platform",
+		Long: `Run one relaying host until a signal ends it.
 
-The first SIGTERM or SIGINT begins a graceful shutdown: callers are no longer told of the host, it serves
-those who still come, finishes what is in flight, hands over and exits. SIGHUP, or a change of the file, has the
-settings read again.`,
+The first SIGTERM or SIGINT starts a graceful shutdown: the host is no longer advertised to callers, serves
+those that still connect, finishes requests in flight, hands off what it owns and exits. SIGHUP, or a change
+of the file, reloads the settings.`,
 		Example: "  gentiancroft relay --settings relay.yaml",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -50,28 +50,28 @@
 	return c
 }
 
-func runRelay(leave context.Context, file string, s *settings.Relay) error {
+func runRelay(leaveCtx context.Context, file string, s *settings.Relay) error {
 	sink := logs.New(os.Stdout, time.Now)
 	log.SetHandler(sink)
 	go func() {
 		if err := sink.Run(context.Background()); err != nil {
-			log.WithError(err).Error("log lines are written no more")
+			log.WithError(err).Error("writing log lines failed; no more are written")
 		}
 	}()
 	defer sink.Flush()
 	if s.Log != "" {
 		log.SetLevelFromString(s.Log)
 	}
-	if err := os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true"); err != nil { // its line is no JSON
+	if err := os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true"); err != nil { // quic-go would write plain text
 		log.WithError(err).Warn("the links may write a line that is no JSON")
 	}
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 	if memory := s.Memory.Value(); memory > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(memory)))
+		debug.SetMemoryLimit(int64(memoryFraction * float64(memory)))
 	}
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // a reader of the log that goes away must not end the host
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the host
 	r, err := wiring.NewRelay(s, wiring.Adapter{
 		Carriers:    platform.Carriers,
 		Dialect:     platform.Headers{},
@@ -83,42 +83,42 @@
 		return err
 	}
 	log.WithField("host", s.Host.Name).Info("started")
-	stop := context.AfterFunc(leave, r.Leave)
+	stop := context.AfterFunc(leaveCtx, r.Leave)
 	defer stop()
-	go reload(leave, hangups, file, r)
+	go reload(leaveCtx, hangups, file, r)
 	err = r.Run(context.Background())
 	log.WithField("host", s.Host.Name).Info("stopped")
 	return err
 }
 
-// reloadEvery is how often the settings file is looked at for a change.
-const reloadEvery = time.Second
+// reloadInterval is how often the settings file is checked for changes.
+const reloadInterval = time.Second
 
-// reload reads the settings again at SIGHUP, and when the file has changed.
-// Settings that can't be used change nothing.
+// reload reloads the settings on SIGHUP and when the file's contents have changed.
+// Invalid settings are logged and change nothing.
 func reload(ctx context.Context, hangups <-chan os.Signal, file string, r *wiring.Relaying) {
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	last, err := os.ReadFile(file)
 	if err != nil {
-		log.WithError(err).Warn("settings not read")
+		log.WithError(err).Warn("settings file not readable; trying again")
 	}
 	for {
-		asked := false
+		signaled := false
 		select {
 		case <-ctx.Done():
-			// The signal is still taken while the host leaves: it must not end it.
+			// SIGHUP is received and ignored while the host leaves: it must not end the process.
 			<-hangups
 			continue
 		case <-hangups:
-			asked = true
+			signaled = true
 		case <-ticker.C:
 		}
-		now, err := os.ReadFile(file)
-		if err != nil || !asked && bytes.Equal(now, last) {
-			continue // a file that is being replaced is there the next time
+		current, err := os.ReadFile(file)
+		if err != nil || !signaled && bytes.Equal(current, last) {
+			continue // a file that is missing while it is replaced is read at the next tick
 		}
-		last = now
+		last = current
 		s, err := settings.LoadRelay(file)
 		if err != nil {
 			log.WithError(err).Warn("settings not usable; the former ones stay")
--- a/cmd/gentiancroft/serve.go
+++ b/cmd/gentiancroft/serve.go
@@ -19,10 +19,11 @@
 	c := &cobra.Command{
 		Use:   "serve",
 		Short: "Run one host",
-		Long: `Run one host until it is told to leave.
+		Long: `Run one host until a signal ends it.
 
-The first SIGTERM or SIGINT begins a graceful shutdown: the host leaves the directory, serves callers who
-keep its address, finishes what is in flight, hands over and exits. A second one stops it at once.`,
+The first SIGTERM or SIGINT starts a graceful shutdown: the host is no longer advertised to callers, serves
+those that still use its address, finishes requests in flight, hands off what it owns and exits. A second
+signal stops it at once.`,
 		Example: "  gentiancroft serve --settings examples/host-a.yaml",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -49,31 +50,32 @@
 	log.SetLevelFromString(level)
 }
 
-// serve runs a host, under a new identity after each fencing, until it has left.
-func serve(leave context.Context, s wiring.Settings) error {
+// serve runs a host until it has left. A host whose identity was fenced restarts under a
+// new one.
+func serve(leaveCtx context.Context, s wiring.Settings) error {
 	for {
-		err := serveOnce(leave, s)
-		if !wiring.Fenced.Has(err) || leave.Err() != nil {
+		err := serveOnce(leaveCtx, s)
+		if !wiring.Fenced.Has(err) || leaveCtx.Err() != nil {
 			return err
 		}
 		log.Warn("identity fenced; rejoining under a new one")
 	}
 }
 
-func serveOnce(leave context.Context, s wiring.Settings) error {
+func serveOnce(leaveCtx context.Context, s wiring.Settings) error {
 	r, err := wiring.New(s)
 	if err != nil {
 		return err
 	}
-	now, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	stop := context.AfterFunc(leave, func() {
+	stop := context.AfterFunc(leaveCtx, func() {
 		r.Leave()
-		second, done := signal.NotifyContext(now, syscall.SIGINT, syscall.SIGTERM)
+		second, done := signal.NotifyContext(runCtx, syscall.SIGINT, syscall.SIGTERM)
 		defer done()
 		<-second.Done()
 		cancel()
 	})
 	defer stop()
-	return r.Run(now)
+	return r.Run(runCtx)
 }
--- a/cmd/gentiancroft/soak.go
+++ b/cmd/gentiancroft/soak.go
@@ -11,10 +11,9 @@
 	"gentiancroft/platform/platformtest/soak"
 )
 
-// errSoak is a run that broke a promise.
+// errSoak is the class of errors for soak runs that failed or violated a guarantee.
 var errSoak = errs.Class("soak")
 
-// soakCommand runs real hosts under faults.
 func soakCommand() *cobra.Command {
 	var seed uint64
 	var seeds int
@@ -35,18 +34,19 @@
 				}
 			}
 			if failed > 0 {
-				return errSoak.New("%d of %d seeds broke a promise", failed, seeds)
+				return errSoak.New("%d of %d seeds violated a guarantee", failed, seeds)
 			}
 			return nil
 		},
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "first seed; it settles the plan of faults")
+	c.Flags().Uint64Var(&seed, "seed", 1, "first seed; a seed determines the plan of faults")
 	c.Flags().IntVar(&seeds, "seeds", 1, "how many seeds to run, one after the other")
 	c.Flags().DurationVar(&length, "length", 20*time.Second, "how long callers send requests")
 	return c
 }
 
-// soakOne runs one seed. The hosts' logs are kept where it failed.
+// soakOne runs one seed and reports whether it passed. If it failed, the hosts' logs are
+// kept.
 func soakOne(c *cobra.Command, seed uint64, length time.Duration) (ok bool, err error) {
 	program, err := os.Executable()
 	if err != nil {
--- a/cmd/gentiancroft/standin.go
+++ b/cmd/gentiancroft/standin.go
@@ -13,7 +13,7 @@
 	var file string
 	c := &cobra.Command{
 		Use:     "standin",
-		Short:   "Run stand-ins for the platform, engines and plain services",
+		Short:   "Run emulators of the platform, engines and plain services",
 		Example: "  gentiancroft standin --settings examples/standins.yaml",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -28,7 +28,7 @@
 			return fleet.Run(c.Context(), s)
 		},
 	}
-	c.Flags().StringVar(&file, "settings", "", "YAML file of the stand-ins")
+	c.Flags().StringVar(&file, "settings", "", "YAML file with the emulators' settings")
 	_ = c.MarkFlagRequired("settings")
 	return c
 }
