--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -14,16 +14,16 @@
 	"github.com/zeebo/errs"
 )
 
-// Invalid is the class of settings that can't be used. Each message names the
-// file, the line, the field and why.
+// Invalid is the class of errors for invalid settings. Each message names the file, the
+// line, the field and the broken rule.
 var Invalid = errs.Class("settings")
 
-// maxFile is the longest settings file in bytes.
-const maxFile = 1 << 20
+// maxFileBytes is the maximum size of a settings file.
+const maxFileBytes = 1 << 20
 
-var checks = newChecks()
+var validate = newValidator()
 
-func newChecks() *validator.Validate {
+func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
@@ -39,7 +39,7 @@
 	}))
 	must(v.RegisterValidation("ip_port", func(l validator.FieldLevel) bool {
 		_, err := netip.ParseAddrPort(l.Field().String())
-		return err == nil // no names: nothing here waits for a name server
+		return err == nil // no host names: no address depends on DNS
 	}))
 	return v
 }
@@ -50,24 +50,26 @@
 	}
 }
 
-// Decode reads settings strictly: an unknown or repeated key, a value of the
-// wrong kind or one that breaks its rule is an error.
+// Decode parses YAML settings strictly: an unknown or repeated key, a value of the wrong
+// kind or one that breaks its validate tag is an error of class Invalid. file is used in
+// messages only.
 func Decode[T any](file string, b []byte) (*T, error) {
-	if len(b) > maxFile {
-		return nil, Invalid.New("%s: over %d bytes", file, maxFile)
+	if len(b) > maxFileBytes {
+		return nil, Invalid.New("%s: over %d bytes", file, maxFileBytes)
 	}
 	var v T
 	if err := yaml.UnmarshalWithOptions(b, &v, yaml.Strict()); err != nil {
-		return nil, Invalid.New("%s:%s", file, located(err))
+		return nil, Invalid.New("%s:%s", file, locateError(err))
 	}
-	if err := checks.Struct(&v); err != nil {
-		return nil, Invalid.New("%s", broken(file, b, err))
+	if err := validate.Struct(&v); err != nil {
+		return nil, Invalid.New("%s", describeViolations(file, b, err))
 	}
 	return &v, nil
 }
 
-// located is a decoding error as "line: message".
-func located(err error) string {
+// locateError formats a decoding error as "line: value: message", or " message" if its
+// position is unknown.
+func locateError(err error) string {
 	var at yaml.Error
 	if errors.As(err, &at) && at.GetToken() != nil && at.GetToken().Position != nil {
 		return fmt.Sprintf("%d: %s: %s", at.GetToken().Position.Line, at.GetToken().Value, at.GetMessage())
@@ -75,8 +77,8 @@
 	return " " + err.Error()
 }
 
-// broken lists every rule that does not hold, one line each.
-func broken(file string, b []byte, err error) string {
+// describeViolations lists every broken rule, one line each.
+func describeViolations(file string, b []byte, err error) string {
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) {
 		return file + ": " + err.Error()
@@ -84,20 +86,20 @@
 	lines := make([]string, 0, len(fields))
 	for _, f := range fields {
 		_, path, _ := strings.Cut(f.Namespace(), ".")
-		lines = append(lines, fmt.Sprintf("%s: %s: %s", place(file, b, path), path, why(f)))
+		lines = append(lines, fmt.Sprintf("%s: %s: %s", fieldLocation(file, b, path), path, ruleText(f)))
 	}
 	return strings.Join(lines, "\n")
 }
 
-// place is "file:line" of a field, or of its nearest ancestor where the field
-// itself is missing.
-func place(file string, b []byte, path string) string {
+// fieldLocation returns "file:line" of a field, or of its nearest ancestor if the field
+// itself is missing; the file alone if it can't be parsed.
+func fieldLocation(file string, b []byte, path string) string {
 	parsed, err := parser.ParseBytes(b, 0)
 	if err != nil {
 		return file
 	}
 	for path != "" {
-		if line, ok := lineOf(parsed, path); ok {
+		if line, ok := fieldLine(parsed, path); ok {
 			return fmt.Sprintf("%s:%d", file, line)
 		}
 		path = path[:max(0, strings.LastIndexByte(path, '.'))]
@@ -105,7 +107,7 @@
 	return file + ":1"
 }
 
-func lineOf(file *ast.File, path string) (int, bool) {
+func fieldLine(file *ast.File, path string) (int, bool) {
 	p, err := yaml.PathString("$." + path)
 	if err != nil {
 		return 0, false
@@ -117,8 +119,8 @@
 	return node.GetToken().Position.Line, true
 }
 
-// why says in words which rule a field breaks.
-func why(f validator.FieldError) string {
+// ruleText describes the rule that a field breaks.
+func ruleText(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
 		return "is missing"
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -1,4 +1,7 @@
-// Package settings reads a process's YAML settings strictly.
+// Package settings defines, parses and validates the YAML settings of hosts and relaying
+// hosts, and reads the key files that they name. Errors name file, line and field. What
+// the values do is left to the packages that use them. docs/settings.md is generated from
+// the struct tags.
 package settings
 
 import (
@@ -10,119 +13,121 @@
 	"gentiancroft/internal/peer"
 )
 
-// Host are the settings of one serving host. The doc tags make docs/settings.md.
+// Host holds the settings of one serving host.
 type Host struct {
-	Host      Identity   `yaml:"host" validate:"required" doc:"who the host is"`
-	Listen    Listen     `yaml:"listen" validate:"required" doc:"where it listens"`
+	Host      Identity   `yaml:"host" validate:"required" doc:"identity of the host"`
+	Listen    Listen     `yaml:"listen" validate:"required" doc:"addresses of the host"`
 	Platform  string     `yaml:"platform" validate:"required,ip_port" doc:"ip:port of the platform's object API"`
 	Secrets   Secrets    `yaml:"secrets" validate:"required" doc:"files with secrets"`
 	TLS       TLS        `yaml:"tls" validate:"required" doc:"key material of the links between hosts"`
-	Limits    Limits     `yaml:"limits" doc:"bounds on callers"`
+	Limits    Limits     `yaml:"limits" doc:"limits for callers"`
 	Timings   Timings    `yaml:"timings" doc:"timings of the protocols between hosts; the same on every host of a deployment"`
 	Shutdown  Shutdown   `yaml:"shutdown" doc:"graceful shutdown"`
-	Operators []Operator `yaml:"operators" validate:"dive" doc:"who may use the console"`
-	Log       string     `yaml:"log" validate:"omitempty,oneof=debug info warn error" default:"info" doc:"least level of log lines"`
+	Operators []Operator `yaml:"operators" validate:"dive" doc:"operators who may use the console"`
+	Log       string     `yaml:"log" validate:"omitempty,oneof=debug info warn error" default:"info" doc:"minimum level of log lines"`
 
 	file   string
 	source []byte
 }
 
-// Identity names a host and its place.
+// Identity is a host's name and location.
 type Identity struct {
-	Name   string `yaml:"name" validate:"required,max=63" doc:"unique in the deployment; each start adds a number of its own"`
+	Name   string `yaml:"name" validate:"required,max=63" doc:"unique in the deployment; each start of the process adds its own number"`
 	Domain string `yaml:"domain" validate:"required,max=63" doc:"failure domain"`
 	Region string `yaml:"region" validate:"required,max=63" doc:"region, a group of failure domains"`
 }
 
-// Listen are a host's own addresses.
+// Listen holds a host's addresses.
 type Listen struct {
 	Callers string `yaml:"callers" validate:"required,ip_port" doc:"ip:port for callers and operators, as they reach it"`
 	Links   string `yaml:"links" validate:"required,ip_port" doc:"ip:port for other hosts (QUIC over UDP), as they reach it"`
 }
 
-// Secrets are files; a relative path is taken from the settings file.
+// Secrets holds paths of files; relative paths start at the settings file's directory.
 type Secrets struct {
 	Keys string `yaml:"keys" validate:"required" doc:"file with the deployment's key that hashes callers' keys, at least 16 bytes"`
 }
 
-// TLS are files; a relative path is taken from the settings file.
+// TLS holds paths of files; relative paths start at the settings file's directory.
 type TLS struct {
 	Authority   string `yaml:"authority" validate:"required" doc:"certificate of the deployment's authority (PEM)"`
 	Certificate string `yaml:"certificate" validate:"required" doc:"this host's certificate (PEM)"`
 	Key         string `yaml:"key" validate:"required" doc:"this host's private key (PEM)"`
 }
 
-// Limits bound what callers may send and take.
+// Limits bounds what callers may send and how slowly they may send and read.
 type Limits struct {
-	Body        Size     `yaml:"body" validate:"size" default:"1MiB" doc:"longest request body"`
-	Header      Size     `yaml:"header" validate:"size" default:"16KiB" doc:"longest request header"`
-	Connections int      `yaml:"connections" validate:"omitempty,min=1,max=1000000" default:"16384" doc:"callers' connections open at once"`
-	InFlight    int      `yaml:"in_flight" validate:"omitempty,min=1,max=1000000" default:"512" doc:"requests in flight at which callers are told to use other hosts"`
-	Read        Duration `yaml:"read" validate:"duration" default:"30s" doc:"for a request to arrive whole"`
-	Idle        Duration `yaml:"idle" validate:"duration" default:"75s" doc:"between two requests on a connection"`
-	Stall       Duration `yaml:"stall" validate:"duration" default:"10s" doc:"for a caller to take what was written to it"`
+	Body        Size     `yaml:"body" validate:"size" default:"1MiB" doc:"maximum size of a request body"`
+	Header      Size     `yaml:"header" validate:"size" default:"16KiB" doc:"maximum size of a request header"`
+	Connections int      `yaml:"connections" validate:"omitempty,min=1,max=1000000" default:"16384" doc:"maximum number of open connections of callers"`
+	InFlight    int      `yaml:"in_flight" validate:"omitempty,min=1,max=1000000" default:"512" doc:"number of requests in flight from which callers are sent to other hosts"`
+	Read        Duration `yaml:"read" validate:"duration" default:"30s" doc:"time limit for receiving a whole request"`
+	Idle        Duration `yaml:"idle" validate:"duration" default:"75s" doc:"maximum time between two requests on a connection"`
+	Stall       Duration `yaml:"stall" validate:"duration" default:"10s" doc:"time limit of a write to a caller"`
 }
 
-// Timings of the protocols between hosts.
+// Timings are the timings of the protocols between hosts.
 type Timings struct {
 	LeaseTerm  Duration `yaml:"lease_term" validate:"duration" doc:"how long a host's lease lasts without a renewal"`
-	LeaseRenew Duration `yaml:"lease_renew" validate:"duration" doc:"between renewals; at most a third of the term"`
-	FeedPing   Duration `yaml:"feed_ping" validate:"duration" default:"500ms" doc:"between signs of freshness on a link"`
-	FeedRead   Duration `yaml:"feed_read" validate:"duration" default:"1s" doc:"between readings of the configuration's head"`
-	FeedBound  Duration `yaml:"feed_bound" validate:"duration" default:"5s" doc:"without freshness for so long, the host is cut off"`
-	Poll       Duration `yaml:"poll" validate:"duration" default:"250ms" doc:"between an owner's polls of an upstream"`
-	List       Duration `yaml:"list" validate:"duration" default:"1s" doc:"between readings of the platform's host list"`
+	LeaseRenew Duration `yaml:"lease_renew" validate:"duration" doc:"interval of lease renewals; at most a third of lease_term"`
+	FeedPing   Duration `yaml:"feed_ping" validate:"duration" default:"500ms" doc:"interval of freshness messages on a link"`
+	FeedRead   Duration `yaml:"feed_read" validate:"duration" default:"1s" doc:"interval at which the head of the configuration is read"`
+	FeedBound  Duration `yaml:"feed_bound" validate:"duration" default:"5s" doc:"maximum time since the configuration in force was known to be the newest; beyond it, the host is cut off"`
+	Poll       Duration `yaml:"poll" validate:"duration" default:"250ms" doc:"interval of an owner's polls of an upstream"`
+	List       Duration `yaml:"list" validate:"duration" default:"1s" doc:"interval at which the platform's host list is read"`
 }
 
 // Shutdown bounds a graceful shutdown.
 type Shutdown struct {
-	Keep  Duration `yaml:"keep" validate:"duration" default:"10s" doc:"how long callers may keep the answer of /v1/entries, and a leaving host still takes requests"`
-	Drain Duration `yaml:"drain" validate:"duration" default:"1h" doc:"most that a leaving host waits for requests in flight"`
+	Keep  Duration `yaml:"keep" validate:"duration" default:"10s" doc:"how long callers may cache the answer of /v1/entries, and how long a leaving host still accepts requests"`
+	Drain Duration `yaml:"drain" validate:"duration" default:"1h" doc:"maximum time that a leaving host waits for requests in flight"`
 }
 
-// Operator may use the console.
+// Operator is someone who may use the console.
 type Operator struct {
-	Name string `yaml:"name" validate:"required,max=63" doc:"as it stands in the audit trail"`
+	Name string `yaml:"name" validate:"required,max=63" doc:"name in the audit trail"`
 	Hash string `yaml:"hash" validate:"required,len=64,hexadecimal" doc:"hash of the operator's key under secrets.keys"`
 }
 
-// leastSecret is the shortest deployment key in bytes.
-const leastSecret = 16
+// minSecretBytes is the minimum length of the deployment's key.
+const minSecretBytes = 16
 
-// renewals is how many renewals must fit a lease's term.
-const renewals = 3
+// minRenewalsPerTerm is how many renewal intervals must fit into a lease's term, so that
+// one lost renewal does not end the lease.
+const minRenewalsPerTerm = 3
 
-// Parse reads a host's settings without opening the files that they name.
+// Parse decodes and validates a host's settings without opening the files that they name.
+// Relative paths in them start at the directory of file.
 func Parse(file string, b []byte) (*Host, error) {
 	h, err := Decode[Host](file, b)
 	if err != nil {
 		return nil, err
 	}
 	h.file, h.source = file, b
-	return h, h.consistent()
+	return h, h.checkConsistency()
 }
 
-// consistent checks what no field alone can break.
-func (h *Host) consistent() error {
+// checkConsistency checks the rules that concern several fields.
+func (h *Host) checkConsistency() error {
 	term, renew := h.Timings.LeaseTerm.Value(), h.Timings.LeaseRenew.Value()
-	if term > 0 && renew > 0 && renew*renewals > term {
-		return h.bad("timings.lease_renew", "more than a third of lease_term, so one lost renewal could end a lease")
+	if term > 0 && renew > 0 && renew*minRenewalsPerTerm > term {
+		return h.invalidField("timings.lease_renew", "more than a third of lease_term, so one lost renewal could end a lease")
 	}
 	read, bound := h.Timings.FeedRead.Value(), h.Timings.FeedBound.Value()
 	if read > 0 && bound > 0 && read >= bound {
-		return h.bad("timings.feed_read", "not below feed_bound, so every host would often be cut off")
+		return h.invalidField("timings.feed_read", "not below feed_bound, so every host would often be cut off")
 	}
 	seen := map[string]bool{}
 	for i, o := range h.Operators {
 		if seen[o.Name] {
-			return h.bad(fmt.Sprintf("operators[%d].name", i), "stands twice")
+			return h.invalidField(fmt.Sprintf("operators[%d].name", i), "is repeated")
 		}
 		seen[o.Name] = true
 	}
 	return nil
 }
 
-// Load reads a host's settings.
+// Load reads and parses a host's settings file.
 func Load(file string) (*Host, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -131,32 +136,34 @@
 	return Parse(file, b)
 }
 
-// KeySecret reads the deployment's key.
+// KeySecret reads the deployment's key and trims surrounding white space. It fails if the
+// file can't be read or the key is shorter than minSecretBytes.
 func (h *Host) KeySecret() ([]byte, error) {
-	b, err := os.ReadFile(h.path(h.Secrets.Keys))
+	b, err := os.ReadFile(h.resolvePath(h.Secrets.Keys))
 	if err != nil {
-		return nil, h.bad("secrets.keys", err.Error())
+		return nil, h.invalidField("secrets.keys", err.Error())
 	}
 	secret := bytes.TrimSpace(b)
-	if len(secret) < leastSecret {
-		return nil, h.bad("secrets.keys", fmt.Sprintf("%s holds less than %d bytes", h.path(h.Secrets.Keys), leastSecret))
+	if len(secret) < minSecretBytes {
+		return nil, h.invalidField("secrets.keys", fmt.Sprintf("%s holds less than %d bytes", h.resolvePath(h.Secrets.Keys), minSecretBytes))
 	}
 	return secret, nil
 }
 
-// Material reads the key material of the links.
+// Material reads the key material of the links. An error names the setting of the file at
+// fault, where one file is.
 func (h *Host) Material() (peer.Material, error) {
 	files := []struct{ field, name string }{
 		{"tls.authority", h.TLS.Authority}, {"tls.certificate", h.TLS.Certificate}, {"tls.key", h.TLS.Key},
 	}
 	for _, f := range files {
-		if _, err := os.Stat(h.path(f.name)); err != nil {
-			return peer.Material{}, h.bad(f.field, err.Error())
+		if _, err := os.Stat(h.resolvePath(f.name)); err != nil {
+			return peer.Material{}, h.invalidField(f.field, err.Error())
 		}
 	}
-	m, err := peer.LoadMaterial(h.path(h.TLS.Authority), h.path(h.TLS.Certificate), h.path(h.TLS.Key))
+	m, err := peer.LoadMaterial(h.resolvePath(h.TLS.Authority), h.resolvePath(h.TLS.Certificate), h.resolvePath(h.TLS.Key))
 	if err != nil {
-		return peer.Material{}, h.bad("tls", err.Error())
+		return peer.Material{}, h.invalidField("tls", err.Error())
 	}
 	return m, nil
 }
@@ -170,7 +177,7 @@
 	return names
 }
 
-// LogLevel is the least level of log lines.
+// LogLevel returns the minimum level of log lines, "info" if none is set.
 func (h *Host) LogLevel() string {
 	if h.Log == "" {
 		return "info"
@@ -178,13 +185,13 @@
 	return h.Log
 }
 
-func (h *Host) path(name string) string {
+func (h *Host) resolvePath(name string) string {
 	if filepath.IsAbs(name) {
 		return name
 	}
 	return filepath.Join(filepath.Dir(h.file), name)
 }
 
-func (h *Host) bad(field, why string) error {
-	return Invalid.New("%s: %s: %s", place(h.file, h.source, field), field, why)
+func (h *Host) invalidField(field, why string) error {
+	return Invalid.New("%s: %s: %s", fieldLocation(h.file, h.source, field), field, why)
 }
--- a/internal/settings/relay.go
+++ b/internal/settings/relay.go
@@ -4,30 +4,31 @@
 	"os"
 )
 
-// Relay are the settings of one host that passes requests through: it keeps no
-// file of its own and finds the other hosts in the store.
+// Relay holds the settings of one relaying host. It needs no other files: it generates the
+// key of its links at its start and finds the other hosts in the store.
 type Relay struct {
-	Host       Identity    `yaml:"host" validate:"required" doc:"who the host is"`
-	Listen     RelayListen `yaml:"listen" validate:"required" doc:"where it listens"`
+	Host       Identity    `yaml:"host" validate:"required" doc:"identity of the host"`
+	Listen     RelayListen `yaml:"listen" validate:"required" doc:"addresses of the host"`
 	Store      string      `yaml:"store" validate:"required,ip_port" doc:"ip:port of the store"`
-	Capacity   Capacity    `yaml:"capacity" doc:"how strong the host is; in a large fleet the strongest serve callers first"`
-	FirstStart bool        `yaml:"first_start" doc:"the whole deployment starts for the first time"`
+	Capacity   Capacity    `yaml:"capacity" doc:"processor capacity of the host; in a large fleet the hosts with the most capacity are active first"`
+	FirstStart bool        `yaml:"first_start" doc:"whether the whole deployment starts for the first time"`
 	Memory     Size        `yaml:"memory" validate:"size" default:"256MiB" doc:"memory that the process may use"`
-	Limits     RelayLimits `yaml:"limits" doc:"bounds on callers"`
-	Retry      Retry       `yaml:"retry" doc:"how much work retries may add, over all hosts"`
-	Version    Duration    `yaml:"version" validate:"duration" default:"5s" doc:"how long an adapter's version may still be used after a newer one is named"`
-	Keep       Duration    `yaml:"keep" validate:"duration" default:"2s" doc:"how long callers may keep the addresses that they are told"`
-	Shutdown   Duration    `yaml:"shutdown" validate:"duration" default:"8s" doc:"from the signal to the end of a graceful shutdown"`
-	Log        string      `yaml:"log" validate:"omitempty,oneof=debug info warn error" default:"info" doc:"least level of log lines"`
+	Limits     RelayLimits `yaml:"limits" doc:"limits for callers"`
+	Retry      Retry       `yaml:"retry" doc:"limit on the extra work of retries, over all hosts"`
+	Version    Duration    `yaml:"version" validate:"duration" default:"5s" doc:"how long an adapter's version may still be used after a newer one is announced"`
+	Keep       Duration    `yaml:"keep" validate:"duration" default:"2s" doc:"how long callers may cache the addresses that they are given"`
+	Shutdown   Duration    `yaml:"shutdown" validate:"duration" default:"8s" doc:"time limit of a graceful shutdown, from the signal to the exit"`
+	Log        string      `yaml:"log" validate:"omitempty,oneof=debug info warn error" default:"info" doc:"minimum level of log lines"`
 }
 
-// Capacity is what a host may use of a processor.
+// Capacity is how much processor time a host may use, and how fast its cores are.
 type Capacity struct {
-	Share float64 `yaml:"share" validate:"gte=0" default:"1" doc:"part of a core that the process may use"`
-	Speed float64 `yaml:"speed" validate:"gte=0" default:"1" doc:"how many times as fast as a usual core it is"`
+	Share float64 `yaml:"share" validate:"gte=0" default:"1" doc:"fraction of a core that the process may use"`
+	Speed float64 `yaml:"speed" validate:"gte=0" default:"1" doc:"speed of the core, as a multiple of a standard core"`
 }
 
-// Cores is the capacity in usual cores; 0 where nothing is said.
+// Cores returns the capacity in standard cores, 0 if no share is set. A speed that is not
+// set counts as 1.
 func (c Capacity) Cores() float64 {
 	if c.Speed == 0 {
 		return c.Share
@@ -35,32 +36,32 @@
 	return c.Share * c.Speed
 }
 
-// RelayListen are a host's own addresses.
+// RelayListen holds a relaying host's addresses.
 type RelayListen struct {
 	Callers   string `yaml:"callers" validate:"required,ip_port" doc:"ip:port for callers"`
-	Ready     string `yaml:"ready" validate:"required,ip_port" doc:"ip:port of the readiness page"`
-	Directory string `yaml:"directory" validate:"required,ip_port" doc:"ip:port of the page that tells callers which addresses to use"`
+	Ready     string `yaml:"ready" validate:"required,ip_port" doc:"ip:port of the readiness endpoint"`
+	Directory string `yaml:"directory" validate:"required,ip_port" doc:"ip:port of the endpoint that gives callers the addresses to use"`
 	Links     string `yaml:"links" validate:"required,ip_port" doc:"ip:port for other hosts (QUIC over UDP)"`
-	Metrics   string `yaml:"metrics" validate:"omitempty,ip_port" doc:"ip:port of the metrics page; none: no page"`
+	Metrics   string `yaml:"metrics" validate:"omitempty,ip_port" doc:"ip:port of the metrics page; no page if it is not set"`
 }
 
-// RelayLimits bound what callers may send and take.
+// RelayLimits bounds what callers may send and how slowly they may send and read.
 type RelayLimits struct {
-	Body   Size     `yaml:"body" validate:"size" default:"4MiB" doc:"longest request body"`
-	Header Size     `yaml:"header" validate:"size" default:"16KiB" doc:"longest request header"`
-	Read   Duration `yaml:"read" validate:"duration" default:"5s" doc:"for a request to arrive whole"`
-	Idle   Duration `yaml:"idle" validate:"duration" default:"30s" doc:"between two requests on a connection"`
-	Stall  Duration `yaml:"stall" validate:"duration" default:"10s" doc:"for a caller to take what was written to it"`
+	Body   Size     `yaml:"body" validate:"size" default:"4MiB" doc:"maximum size of a request body"`
+	Header Size     `yaml:"header" validate:"size" default:"16KiB" doc:"maximum size of a request header"`
+	Read   Duration `yaml:"read" validate:"duration" default:"5s" doc:"time limit for receiving a whole request"`
+	Idle   Duration `yaml:"idle" validate:"duration" default:"30s" doc:"maximum time between two requests on a connection"`
+	Stall  Duration `yaml:"stall" validate:"duration" default:"10s" doc:"time limit of a write to a caller"`
 }
 
-// Retry bounds the sends beyond the first of each request.
+// Retry bounds the attempts after the first of each request.
 type Retry struct {
-	Share  float64  `yaml:"share" validate:"gte=0,lte=1" default:"0.2" doc:"for each first send"`
-	Slack  float64  `yaml:"slack" validate:"gte=0" default:"50" doc:"beyond that, within the window"`
-	Window Duration `yaml:"window" validate:"duration" default:"10s" doc:"window of the slack"`
+	Share  float64  `yaml:"share" validate:"gte=0,lte=1" default:"0.2" doc:"retries allowed per first attempt"`
+	Slack  float64  `yaml:"slack" validate:"gte=0" default:"50" doc:"further retries allowed within the window"`
+	Window Duration `yaml:"window" validate:"duration" default:"10s" doc:"time window of slack"`
 }
 
-// LoadRelay reads a relaying host's settings.
+// LoadRelay reads, parses and validates a relaying host's settings file.
 func LoadRelay(file string) (*Relay, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "write docs/settings.md")
 
-const good = `host:
+const validSettings = `host:
   name: sofia-a-0
   domain: sofia-a
   region: sofia
@@ -34,9 +34,9 @@
   stall: 1500ms
 `
 
-func TestGoodSettingsAreTyped(t *testing.T) {
+func TestValidSettingsAreParsed(t *testing.T) {
 	is := is.New(t)
-	h, err := Parse("host.yaml", []byte(good))
+	h, err := Parse("host.yaml", []byte(validSettings))
 	is.NoErr(err)
 	is.Equal(h.Limits.Body.Value(), 2<<20)
 	is.Equal(h.Limits.Header.Or(7), 7)
@@ -45,7 +45,7 @@
 	is.Equal(h.LogLevel(), "info")
 }
 
-func TestBadSettingsNameFileLineAndField(t *testing.T) {
+func TestInvalidSettingsNameFileLineAndField(t *testing.T) {
 	is := is.New(t)
 	for _, test := range []struct{ old, now, want string }{
 		{"  region: sofia\n", "  region: sofia\n  rack: 7\n", "host.yaml:5: rack: "},
@@ -62,7 +62,7 @@
 		{"limits:\n", "operators: [{name: ana, hash: '12'}]\nlimits:\n", "host.yaml:15: operators[0].hash: is not a hash"},
 		{"limits:\n", "limits: [\n", "host.yaml:"},
 	} {
-		_, err := Parse("host.yaml", []byte(strings.Replace(good, test.old, test.now, 1)))
+		_, err := Parse("host.yaml", []byte(strings.Replace(validSettings, test.old, test.now, 1)))
 		is.True(Invalid.Has(err))
 		if !strings.Contains(err.Error(), test.want) {
 			t.Errorf("%q\n  does not say %q", err, test.want)
@@ -75,7 +75,7 @@
 	dir := t.TempDir()
 	file := filepath.Join(dir, "host.yaml")
 	write := func(name string, b []byte) { is.NoErr(os.WriteFile(filepath.Join(dir, name), b, 0o600)) }
-	write("host.yaml", []byte(good))
+	write("host.yaml", []byte(validSettings))
 	h, err := Load(file)
 	is.NoErr(err)
 	_, err = h.KeySecret()
@@ -100,7 +100,7 @@
 	is.NoErr(err)
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	is := is.New(t)
 	files, err := filepath.Glob("../../examples/host-*.yaml")
 	is.NoErr(err)
@@ -123,7 +123,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("host: [1, {a: b}]"))
 	f.Add([]byte("&a [*a]"))
 	f.Add([]byte("limits: {body: 9999999999999999999GiB}"))
--- a/internal/settings/units.go
+++ b/internal/settings/units.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Duration is a length of time with its unit, such as 250ms or 1h30m.
+// Duration is a positive length of time with its unit, such as 250ms or 1h30m, or "".
 type Duration string
 
-// Value is the duration, 0 where none is set. It may be called once the
-// settings were checked.
+// Value returns the duration, 0 if it is empty. Decode rejects invalid ones; for them
+// Value is undefined.
 func (d Duration) Value() time.Duration {
 	v, _ := parseDuration(string(d))
 	return v
@@ -25,7 +25,7 @@
 	return v, err == nil && v > 0
 }
 
-// Size is a number of bytes with its unit: B, KiB, MiB or GiB.
+// Size is a positive number of bytes with its unit (B, KiB, MiB or GiB), or "".
 type Size string
 
 // sizeUnits are tried in order, so that B does not match the end of KiB.
@@ -34,8 +34,7 @@
 	bytes int
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// Value is the size in bytes, 0 where none is set. It may be called once the
-// settings were checked.
+// Value returns the size in bytes, 0 if it is empty or invalid.
 func (s Size) Value() int {
 	v, _ := parseSize(string(s))
 	return v
@@ -59,7 +58,7 @@
 	return 0, false
 }
 
-// Or returns the duration, or another where none is set.
+// Or returns the duration, or other if none is set.
 func (d Duration) Or(other time.Duration) time.Duration {
 	if v := d.Value(); v > 0 {
 		return v
@@ -67,7 +66,7 @@
 	return other
 }
 
-// Or returns the size in bytes, or another where none is set.
+// Or returns the size in bytes, or other if none is set.
 func (s Size) Or(other int) int {
 	if v := s.Value(); v > 0 {
 		return v
