--- a/internal/supervise/every.go
+++ b/internal/supervise/every.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Every is a duty that calls f at an interval until its context ends.
+// Every returns a worker that calls f at an interval until its context ends.
 func Every(interval time.Duration, f func()) Duty {
 	return func(ctx context.Context) error {
 		ticker := time.NewTicker(interval)
--- a/internal/supervise/ring.go
+++ b/internal/supervise/ring.go
@@ -6,7 +6,7 @@
 	"github.com/zeebo/errs"
 )
 
-// Full is the class of a push refused by a full ring.
+// Full is the class of errors for a push that a full ring refuses.
 var Full = errs.Class("ring full")
 
 // Policy says what a full ring does with a push.
@@ -15,10 +15,10 @@
 // Policies.
 const (
 	Refuse     Policy = iota // the push fails and its caller decides
-	DropOldest               // the oldest item makes room
+	DropOldest               // the oldest item is dropped
 )
 
-// Ring joins two duties with a bounded queue.
+// Ring is a bounded queue between workers.
 type Ring[T any] struct {
 	name    string
 	policy  Policy
@@ -35,7 +35,7 @@
 // Push adds an item under the ring's policy. It fails with Full only under Refuse.
 func (r *Ring[T]) Push(item T) error {
 	if r.policy == DropOldest {
-		r.replace(item)
+		r.pushDroppingOldest(item)
 		return nil
 	}
 	if !r.TryPush(item) {
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// TryPush adds an item unless the ring is full, whatever its policy.
+// TryPush adds an item unless the ring is full, whatever its policy. It reports whether it
+// added it.
 func (r *Ring[T]) TryPush(item T) bool {
 	select {
 	case r.items <- item:
@@ -55,10 +56,11 @@
 	}
 }
 
-// Put waits for room, whatever the ring's policy: for items that must not be lost.
+// Put adds an item, whatever the ring's policy, and blocks while the ring is full: for items
+// that must not be lost.
 func (r *Ring[T]) Put(item T) { r.items <- item }
 
-func (r *Ring[T]) replace(item T) {
+func (r *Ring[T]) pushDroppingOldest(item T) {
 	for !r.TryPush(item) {
 		select {
 		case <-r.items:
@@ -68,10 +70,10 @@
 	}
 }
 
-// Items is the receiving end.
+// Items returns the channel from which items are received.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Stats is what a ring counts.
+// Stats holds a ring's length and its counters since it was created.
 type Stats struct {
 	Name    string
 	Length  int
@@ -80,7 +82,7 @@
 	Refused int64
 }
 
-// Stats returns the ring's counts.
+// Stats returns the ring's present length and counters.
 func (r *Ring[T]) Stats() Stats {
 	return Stats{Name: r.name, Length: len(r.items), Size: cap(r.items), Dropped: r.dropped.Load(), Refused: r.refused.Load()}
 }
--- a/internal/supervise/sleep.go
+++ b/internal/supervise/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d and reports whether ctx was still alive then.
+// Sleep waits for d, or until ctx ends, and reports whether d passed first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -16,7 +16,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func TestPanickingDutyIsRestartedAndCounted(t *testing.T) {
+func TestPanickingWorkerIsRestartedAndCounted(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	registry := metrics.NewRegistry()
@@ -53,6 +53,6 @@
 	is.Equal(refuse.Stats().Refused, int64(1))
 	is.NoErr(drop.Push(2))
 	is.Equal(drop.Stats().Dropped, int64(1))
-	is.Equal(<-drop.Items(), 1) // 0 made room
+	is.Equal(<-drop.Items(), 1) // 0 was dropped
 	is.Equal(<-refuse.Items(), 0)
 }
--- a/internal/supervise/tree.go
+++ b/internal/supervise/tree.go
@@ -1,5 +1,6 @@
-// Package supervise runs a host's duties under a supervisor tree, joins them
-// with bounded rings, and restarts and counts the ones that panic.
+// Package supervise runs a host's workers (long-running goroutines) under a supervisor,
+// which counts and restarts those that panic or return, and provides the bounded queues
+// between them. What to do about a full queue is left to the worker.
 package supervise
 
 import (
@@ -19,18 +20,19 @@
 	MetricBackoffs = "supervise.backoffs"
 )
 
-// Backoff of a duty that keeps failing.
+// Restart policy of workers that keep failing.
 const (
-	failureThreshold = 10              // failures, decayed
+	failureThreshold = 10              // decayed count of failures before restarts are delayed
 	failureDecay     = 30.0            // seconds
 	failureBackoff   = 2 * time.Second // wait before the next restart
-	stopTimeout      = 5 * time.Second // for one duty to end
+	stopTimeout      = 5 * time.Second // for one worker to return
 )
 
-// Duty is one long-running job. It returns when ctx ends.
+// Duty is the function of a worker. It returns when ctx ends; if it returns before, it is
+// restarted.
 type Duty func(ctx context.Context) error
 
-// Tree supervises duties.
+// Tree supervises workers.
 type Tree struct {
 	root    *suture.Supervisor
 	metrics metrics.Registry
@@ -38,11 +40,12 @@
 	tokens  map[string]suture.ServiceToken
 }
 
-// NewTree returns a tree that counts into a registry.
+// NewTree returns a tree without workers that counts panics, restarts and backoffs in a
+// registry.
 func NewTree(name string, registry metrics.Registry) *Tree {
 	t := &Tree{metrics: registry, tokens: map[string]suture.ServiceToken{}}
 	t.root = suture.New(name, suture.Spec{
-		EventHook:                t.event,
+		EventHook:                t.handleEvent,
 		FailureThreshold:         failureThreshold,
 		FailureDecay:             failureDecay,
 		FailureBackoff:           failureBackoff,
@@ -52,30 +55,31 @@
 	return t
 }
 
-// event counts and logs what the supervisor saw.
-func (t *Tree) event(e suture.Event) {
+// handleEvent counts and logs an event of the supervisor.
+func (t *Tree) handleEvent(e suture.Event) {
 	entry := log.WithField("event", e.String())
 	switch e.(type) {
 	case suture.EventServicePanic:
 		metrics.GetOrRegisterCounter(MetricPanics, t.metrics).Inc(1)
-		entry.Error("duty panicked")
+		entry.Error("worker panicked; it is restarted")
 	case suture.EventServiceTerminate:
 		metrics.GetOrRegisterCounter(MetricRestarts, t.metrics).Inc(1)
-		entry.Warn("duty ended and is restarted")
+		entry.Warn("worker returned; it is restarted")
 	case suture.EventBackoff:
 		metrics.GetOrRegisterCounter(MetricBackoffs, t.metrics).Inc(1)
-		entry.Error("duties fail too often")
+		entry.Error("workers fail too often; restarts are delayed")
 	}
 }
 
-// Add puts a duty under supervision.
+// Add adds a worker, which runs while the tree does. name must not be in use.
 func (t *Tree) Add(name string, d Duty) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tokens[name] = t.root.Add(&duty{name: name, run: d})
+	t.tokens[name] = t.root.Add(&service{name: name, run: d})
 }
 
-// Remove stops a duty and waits for its end, at most stopTimeout.
+// Remove stops a worker and waits until it has returned, at most stopTimeout. It does
+// nothing for an unknown name.
 func (t *Tree) Remove(name string) error {
 	t.mu.Lock()
 	token, ok := t.tokens[name]
@@ -90,17 +94,17 @@
 // Serve runs the tree until ctx ends.
 func (t *Tree) Serve(ctx context.Context) error { return t.root.Serve(ctx) }
 
-// ServeBackground runs the tree until ctx ends; its end comes over the channel.
+// ServeBackground runs the tree until ctx ends. The channel gets the result.
 func (t *Tree) ServeBackground(ctx context.Context) <-chan error { return t.root.ServeBackground(ctx) }
 
-// duty adapts a Duty to the supervisor.
-type duty struct {
+// service adapts a worker's function to suture.Service.
+type service struct {
 	name string
 	run  Duty
 }
 
 // Serve implements suture.Service.
-func (d *duty) Serve(ctx context.Context) error { return d.run(ctx) }
+func (d *service) Serve(ctx context.Context) error { return d.run(ctx) }
 
-// String names the duty in events.
-func (d *duty) String() string { return d.name }
+// String returns the worker's name, which suture shows in events.
+func (d *service) String() string { return d.name }
