--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,6 +1,7 @@
-// Package logs writes log lines without ever holding up whoever logs: lines go
-// into a bounded ring that one duty empties. What does not fit is dropped and
-// counted; lines of one kind beyond a rate are summed up in one line a second.
+// Package logs writes log entries as JSON lines without blocking the caller: lines go into
+// a bounded queue, which one goroutine writes out. Lines that don't fit are dropped and
+// counted. Lines of one kind beyond a rate are summed up in one line a second, except for
+// errors.
 package logs
 
 import (
@@ -15,55 +16,54 @@
 	"github.com/apex/log"
 )
 
-// Bounds of the lines.
+// Limits of lines and of the queue.
 const (
-	ringLines  = 2048     // that wait to be written
-	batchBytes = 32 << 10 // written at once
-	lineMost   = 4 << 10  // bytes of one line; a longer one is cut short
-	kindLines  = 100      // of one kind in a window
-	kindsMost  = 256      // kinds that are counted apart in a window
-	window     = time.Second
+	queueLines      = 2048     // that may wait to be written
+	maxBatchBytes   = 32 << 10 // from which a batch takes no more lines
+	maxLineBytes    = 4 << 10  // a longer line is replaced by a short one
+	maxLinesPerKind = 100      // written in a window
+	maxKinds        = 256      // counted separately in a window; further ones count as one kind
+	window          = time.Second
 )
 
-// Sink takes log entries and writes them as JSON lines.
+// Sink is a log handler that writes entries as JSON lines, without blocking.
 type Sink struct {
-	ring    chan []byte
-	writer  io.Writer
-	now     func() time.Time
-	dropped atomic.Int64
-	total   atomic.Int64 // dropped since the start
-
-	mu     sync.Mutex
-	began  time.Time // of the window
-	counts map[string]int
+	queue        chan []byte
+	writer       io.Writer
+	now          func() time.Time
+	dropped      atomic.Int64 // since the last batch
+	totalDropped atomic.Int64 // since the start
+
+	mu          sync.Mutex
+	windowStart time.Time
+	counts      map[string]int
 }
 
-// New returns a sink that writes to w once Run runs.
+// New returns a sink that writes to w while Run runs.
 func New(w io.Writer, now func() time.Time) *Sink {
 	return &Sink{
-		ring:   make(chan []byte, ringLines),
+		queue:  make(chan []byte, queueLines),
 		writer: w,
 		now:    now,
 		counts: map[string]int{},
 	}
 }
 
-// Dropped is how many lines have not been written since the start because the
-// ring was full.
-func (s *Sink) Dropped() int64 { return s.total.Load() }
+// Dropped returns how many lines were dropped since the start because the queue was full.
+func (s *Sink) Dropped() int64 { return s.totalDropped.Load() }
 
-// HandleLog implements log.Handler. It never waits.
+// HandleLog implements log.Handler. It never blocks and returns no error.
 func (s *Sink) HandleLog(e *log.Entry) error {
 	now := s.now()
 	for _, line := range s.admit(now, e) {
-		s.push(line)
+		s.enqueue(line)
 	}
 	return nil
 }
 
-// kind is what lines are counted by: the message, and the decision where the
-// line tells of one.
-func kind(e *log.Entry) string {
+// kindOf returns the key by which lines are counted: the message, with decision and reason
+// if the entry has them.
+func kindOf(e *log.Entry) string {
 	k := e.Message
 	for _, name := range []string{"decision", "reason"} {
 		if v, ok := e.Fields[name].(string); ok {
@@ -73,22 +73,22 @@
 	return k
 }
 
-// admit returns the lines to write for an entry: the entry itself unless there
-// are too many of its kind, and the sums of a window that has ended.
+// admit returns the lines to write for an entry: the summaries of a window that has ended,
+// and the entry itself unless there are too many of its kind.
 func (s *Sink) admit(now time.Time, e *log.Entry) [][]byte {
-	k := kind(e)
+	k := kindOf(e)
 	s.mu.Lock()
 	var lines [][]byte
-	if now.Sub(s.began) >= window || now.Before(s.began) {
-		lines = s.sums(now)
-		s.began = now
+	if now.Sub(s.windowStart) >= window || now.Before(s.windowStart) {
+		lines = s.summaries(now)
+		s.windowStart = now
 		clear(s.counts)
 	}
-	if _, there := s.counts[k]; !there && len(s.counts) >= kindsMost {
+	if _, there := s.counts[k]; !there && len(s.counts) >= maxKinds {
 		k = "other"
 	}
 	s.counts[k]++
-	over := s.counts[k] > kindLines
+	over := s.counts[k] > maxLinesPerKind
 	s.mu.Unlock()
 	if over && e.Level < log.ErrorLevel {
 		return lines
@@ -96,32 +96,34 @@
 	return append(lines, encode(now, e.Level, e.Message, e.Fields))
 }
 
-// sums tells, for each kind that had too many lines, how many were not written.
-func (s *Sink) sums(now time.Time) [][]byte {
+// summaries returns a line for each kind that exceeded maxLinesPerKind, with the number of
+// lines in excess.
+func (s *Sink) summaries(now time.Time) [][]byte {
 	var kinds []string
 	for k, n := range s.counts {
-		if n > kindLines {
+		if n > maxLinesPerKind {
 			kinds = append(kinds, k)
 		}
 	}
 	slices.Sort(kinds)
 	lines := make([][]byte, 0, len(kinds))
 	for _, k := range kinds {
-		lines = append(lines, encode(now, log.InfoLevel, "lines summed up", log.Fields{"kind": k, "count": s.counts[k] - kindLines}))
+		lines = append(lines, encode(now, log.InfoLevel, "lines summed up", log.Fields{"kind": k, "count": s.counts[k] - maxLinesPerKind}))
 	}
 	return lines
 }
 
-func (s *Sink) push(line []byte) {
+func (s *Sink) enqueue(line []byte) {
 	select {
-	case s.ring <- line:
+	case s.queue <- line:
 	default:
 		s.dropped.Add(1)
-		s.total.Add(1)
+		s.totalDropped.Add(1)
 	}
 }
 
-// encode makes a line. Fields stand beside time, level and message.
+// encode returns the JSON line of an entry. time, level and message replace fields of the
+// same names.
 func encode(now time.Time, level log.Level, message string, fields log.Fields) []byte {
 	line := make(map[string]any, len(fields)+3)
 	for name, v := range fields {
@@ -134,20 +136,21 @@
 	line["level"] = level.String()
 	line["message"] = message
 	b, err := json.Marshal(line)
-	if err != nil || len(b) > lineMost {
-		return encode(now, level, "a line could not be written", log.Fields{"of": message[:min(len(message), 64)]})
+	if err != nil || len(b) > maxLineBytes {
+		return encode(now, level, "log line left out; it is too long or can't be encoded", log.Fields{"of": message[:min(len(message), 64)]})
 	}
 	return append(b, '\n')
 }
 
-// Run writes lines until ctx ends, and then what is left.
+// Run writes lines until ctx ends, and then those left in the queue. It returns the error
+// of a failed write, or that of ctx.
 func (s *Sink) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			s.Flush()
 			return ctx.Err()
-		case line := <-s.ring:
+		case line := <-s.queue:
 			if err := s.write(line); err != nil {
 				return err
 			}
@@ -155,13 +158,13 @@
 	}
 }
 
-// Flush writes what the ring holds.
+// Flush writes the lines in the queue. It stops at the first write that fails.
 func (s *Sink) Flush() {
 	for {
 		select {
-		case line := <-s.ring:
+		case line := <-s.queue:
 			if s.write(line) != nil {
-				return // nobody reads any more
+				return // the reader is gone
 			}
 		default:
 			return
@@ -169,15 +172,15 @@
 	}
 }
 
-// write writes a line and those that wait behind it, as one batch.
+// write writes a line and the queued ones after it as one batch.
 func (s *Sink) write(line []byte) error {
 	batch := line
 	if n := s.dropped.Swap(0); n > 0 {
 		batch = append(batch, encode(s.now(), log.WarnLevel, "lines dropped", log.Fields{"count": n})...)
 	}
-	for len(batch) < batchBytes {
+	for len(batch) < maxBatchBytes {
 		select {
-		case next := <-s.ring:
+		case next := <-s.queue:
 			batch = append(batch, next...)
 			continue
 		default:
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -33,7 +33,7 @@
 
 func clock() time.Time { return time.Unix(100, 0) }
 
-func TestALineIsOneJSONObject(t *testing.T) {
+func TestLineIsOneJSONObject(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	s := New(&out, clock)
@@ -52,7 +52,7 @@
 	var out bytes.Buffer
 	now := time.Unix(100, 0)
 	s := New(&out, func() time.Time { return now })
-	for range kindLines + 30 {
+	for range maxLinesPerKind + 30 {
 		is.NoErr(s.HandleLog(entry("decided", log.Fields{"decision": "refusal", "reason": "overloaded"})))
 	}
 	is.NoErr(s.HandleLog(entry("decided", log.Fields{"decision": "refusal", "reason": "deadline"})))
@@ -60,29 +60,29 @@
 	is.NoErr(s.HandleLog(entry("next", nil)))
 	s.Flush()
 	all := lines(t, out.Bytes())
-	is.Equal(len(all), kindLines+3)
-	sum := all[kindLines+1]
+	is.Equal(len(all), maxLinesPerKind+3)
+	sum := all[maxLinesPerKind+1]
 	is.Equal(sum["message"], "lines summed up")
 	is.Equal(sum["kind"], "decided refusal overloaded")
 	is.Equal(sum["count"], 30.0)
 }
 
-func TestAnErrorIsNeverSummedUp(t *testing.T) {
+func TestErrorsAreNeverSummedUp(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	s := New(&out, clock)
-	for range kindLines + 5 {
+	for range maxLinesPerKind + 5 {
 		e := entry("broken", nil)
 		e.Level = log.ErrorLevel
 		is.NoErr(s.HandleLog(e))
 	}
 	s.Flush()
-	is.Equal(len(lines(t, out.Bytes())), kindLines+5)
+	is.Equal(len(lines(t, out.Bytes())), maxLinesPerKind+5)
 }
 
-// A reader that takes nothing: the pipe fills, the ring fills, and logging goes
-// on without waiting. What was lost is told once there is room.
-func TestAFullPipeHoldsNobodyUp(t *testing.T) {
+// With a stuck reader the pipe and the queue fill up. Logging must not block, and the number
+// of dropped lines must be logged once there is room.
+func TestLoggingDoesNotBlockOnAFullPipe(t *testing.T) {
 	is := is.New(t)
 	reader, writer, err := os.Pipe()
 	is.NoErr(err)
@@ -91,7 +91,7 @@
 	ended := make(chan struct{})
 	go func() { _ = s.Run(ctx); close(ended) }()
 	long := strings.Repeat("x", 2<<10)
-	for i := range 10 * ringLines { // far more than pipe and ring hold; would hang if it waited
+	for i := range 10 * queueLines { // far more than pipe and queue hold: a blocking sink hangs here
 		e := entry("kept", log.Fields{"n": i, "text": long})
 		e.Level = log.ErrorLevel
 		is.NoErr(s.HandleLog(e))
