--- a/examples/examples.go
+++ b/examples/examples.go
@@ -3,7 +3,7 @@
 
 import "embed"
 
-// Documents are the sample documents, DEPLOYMENT.yaml each.
+// Documents holds the sample configuration documents, documents/DEPLOYMENT.yaml.
 //
 //go:embed documents/*.yaml
 var Documents embed.FS
--- a/internal/badrequest/badrequest.go
+++ b/internal/badrequest/badrequest.go
@@ -1,5 +1,5 @@
-// Package badrequest names what was wrong with a request that the HTTP server
-// could not read.
+// Package badrequest maps the error of an HTTP server that could not read a request to the
+// refusal and the HTTP status of its answer.
 package badrequest
 
 import (
@@ -11,8 +11,8 @@
 	"gentiancroft/internal/core"
 )
 
-// Classify returns the typed answer to a request that could not be read, and its
-// HTTP status where that does not follow from the refusal's code; 0: it does.
+// Classify returns the refusal of a request that could not be read. status is its HTTP
+// status, or 0 if it is the usual one of the refusal's code.
 func Classify(err error) (refusal *core.Refusal, status int) {
 	var small *fasthttp.ErrSmallBuffer
 	var network net.Error
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain finds, in the log lines of a fleet, why a request ended as it
-// did.
+// Package explain determines from the log lines of a fleet why a request ended as it did.
+// It uses the decisions and reasons that docs/logs.md lists; collecting the lines is left
+// to the operator.
 package explain
 
 import (
@@ -13,13 +14,13 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of logs that can't be read.
+// Error is the class of errors from reading log lines and writing the result.
 var Error = errs.Class("logs")
 
-// longestLine bounds a log line in bytes.
-const longestLine = 1 << 20
+// maxLineBytes bounds a log line; Read fails on a longer one.
+const maxLineBytes = 1 << 20
 
-// Line is what a log line tells of a request.
+// Line holds the fields of a log line that concern a request.
 type Line struct {
 	Time     string `json:"time"`
 	Message  string `json:"message"`
@@ -36,29 +37,29 @@
 
 // Causes.
 const (
-	Unseen        Cause = "no host has decided anything about it: it reached none, or the host ended"
-	Served        Cause = "nothing in the logs speaks against a whole answer"
-	NoRoute       Cause = "no route leads to it in the configuration in force"
+	Unseen        Cause = "no host logged a decision about it: it reached no host, or the host ended first"
+	Served        Cause = "the logs show no failure: its answer was complete as far as they go"
+	NoRoute       Cause = "no route matches it in the configuration in force"
 	BadKey        Cause = "its key is not in the configuration in force"
-	OverRate      Cause = "its workspace is over its rate"
-	Starting      Cause = "the host had not read the configuration and the replicas yet"
+	OverRate      Cause = "its workspace had exceeded its rate"
+	Starting      Cause = "the host had not read its configuration and replicas yet"
 	Leaving       Cause = "the host was shutting down"
 	NobodyLoads   Cause = "no host could order a replica to load its adapter"
 	AdapterLate   Cause = "its adapter was not loaded in time"
-	ReplicasFull  Cause = "the replicas refused it: they were full, or could not be reached"
-	ReplicaBroke  Cause = "a replica took it and gave no whole answer"
-	ReplicaFailed Cause = "the replica answered with a failure of its own"
-	TooLate       Cause = "its time was over before its replica answered"
+	ReplicasFull  Cause = "the replicas were saturated, rejected it or could not be reached"
+	ReplicaBroke  Cause = "a replica accepted it and gave no complete answer"
+	ReplicaFailed Cause = "the replica answered with an error"
+	TooLate       Cause = "its deadline passed before a replica answered"
 	CallerLeft    Cause = "its caller hung up"
-	WaitedLoad    Cause = "it was served after it had waited for its adapter"
+	WaitedLoad    Cause = "it was served after waiting for its adapter to be loaded"
 )
 
-// Read finds the lines of one request, in the order of their times. Lines that
-// are not JSON are passed over.
+// Read returns the lines of one request, sorted by time. Lines that are not JSON are
+// skipped.
 func Read(r io.Reader, request string) ([]Line, error) {
 	var found []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		var l Line
 		if json.Unmarshal(scanner.Bytes(), &l) == nil && l.Request == request {
@@ -69,27 +70,29 @@
 	return found, Error.Wrap(scanner.Err())
 }
 
-// Why names the cause that the lines of a request show.
+// Why returns the cause that the lines of a request show. The latest line that determines
+// a cause decides; without one, the request was served.
 func Why(lines []Line) Cause {
 	if len(lines) == 0 {
 		return Unseen
 	}
 	for _, l := range slices.Backward(lines) {
-		if c, ok := final(l, lines); ok {
+		if c, ok := finalCause(l, lines); ok {
 			return c
 		}
 	}
-	if has(lines, "attempt", "error") {
+	if hasDecision(lines, "attempt", "error") {
 		return ReplicaFailed
 	}
-	if has(lines, "wait", "adapter") {
+	if hasDecision(lines, "wait", "adapter") {
 		return WaitedLoad
 	}
 	return Served
 }
 
-// final is the cause that a line names by itself.
-func final(l Line, all []Line) (Cause, bool) {
+// finalCause returns the cause that a line determines. all distinguishes a late adapter from
+// saturated replicas.
+func finalCause(l Line, all []Line) (Cause, bool) {
 	switch l.Decision + " " + l.Reason {
 	case "admission unknown_route":
 		return NoRoute, true
@@ -111,7 +114,7 @@
 		if strings.HasPrefix(l.Detail, "nobody") {
 			return NobodyLoads, true
 		}
-		if has(all, "wait", "adapter") {
+		if hasDecision(all, "wait", "adapter") {
 			return AdapterLate, true
 		}
 		return ReplicasFull, true
@@ -121,11 +124,11 @@
 	return "", false
 }
 
-func has(lines []Line, decision, reason string) bool {
+func hasDecision(lines []Line, decision, reason string) bool {
 	return slices.ContainsFunc(lines, func(l Line) bool { return l.Decision == decision && l.Reason == reason })
 }
 
-// Write shows the lines of a request and their cause.
+// Write prints the lines of a request and their cause.
 func Write(w io.Writer, lines []Line) error {
 	for _, l := range lines {
 		_, err := fmt.Fprintf(w, "%s  %-10s %-16s %-14s %6d ms  %s\n", l.Time, l.Decision, l.Reason, l.Upstream, l.AgeMS, l.Detail)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -15,7 +15,7 @@
 {"time":"5","decision":"refusal","reason":"upstream_failed","request":"b","upstream":"i1"}
 `
 
-func TestTheCauseOfEachRequest(t *testing.T) {
+func TestCauseOfEachRequest(t *testing.T) {
 	is := is.New(t)
 	for request, want := range map[string]Cause{"a": AdapterLate, "b": ReplicaBroke, "c": Unseen} {
 		lines, err := Read(strings.NewReader(logs), request)
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestLinesAreShownInTheirOrder(t *testing.T) {
+func TestLinesAreSortedByTime(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(logs), "a")
 	is.NoErr(err)
--- a/internal/exposition/exposition.go
+++ b/internal/exposition/exposition.go
@@ -1,4 +1,5 @@
-// Package exposition writes metrics in the text form that usual collectors read.
+// Package exposition writes the metrics of a registry in the Prometheus text format. Names,
+// units and values are chosen by the packages that register them.
 package exposition
 
 import (
@@ -10,17 +11,18 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// quantiles that are shown of each distribution.
+// quantiles are written for each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// ContentType is that of the text.
+// ContentType is the HTTP content type of the text.
 const ContentType = "text/plain; version=0.0.4"
 
-// Text shows a registry. A name ends with its unit where it has one.
+// Text returns the metrics of a registry, sorted, one series a line. Types other than
+// counters, gauges, meters and histograms are left out.
 func Text(r metrics.Registry) []byte {
 	var lines []string
 	r.Each(func(name string, m any) {
-		lines = append(lines, exposeOne(seriesOf(name), m)...)
+		lines = append(lines, metricLines(seriesOf(name), m)...)
 	})
 	slices.Sort(lines)
 	var b bytes.Buffer
@@ -34,7 +36,7 @@
 // series is a metric's name with its label, if any.
 type series struct{ name, label string }
 
-// Truth is how a gauge shows a yes or a no.
+// Truth returns the gauge value of a boolean: 1 for true, 0 for false.
 func Truth(yes bool) int64 {
 	if yes {
 		return 1
@@ -42,24 +44,25 @@
 	return 0
 }
 
-// labelled are the first parts of names whose middle is a label's value.
-var labelled = []string{"upstream", "route", "workspace", "service"}
+// labelPrefixes are the first parts of names whose middle part is a label's value; the
+// prefix is the label's name.
+var labelPrefixes = []string{"upstream", "route", "workspace", "service"}
 
 // seriesOf turns "upstream.ID.calls" into a series labelled with the upstream,
 // likewise for routes, workspaces and services, and every other name into one
 // without a label.
 func seriesOf(name string) series {
 	last := strings.LastIndexByte(name, '.')
-	for _, label := range labelled {
+	for _, label := range labelPrefixes {
 		value, ok := strings.CutPrefix(name[:max(last, 0)], label+".")
 		if ok && value != "" {
-			return series{"gentiancroft_" + label + "_" + plain(name[last+1:]), fmt.Sprintf("%s=%q", label, value)}
+			return series{"gentiancroft_" + label + "_" + sanitize(name[last+1:]), fmt.Sprintf("%s=%q", label, value)}
 		}
 	}
-	return series{name: "gentiancroft_" + plain(name)}
+	return series{name: "gentiancroft_" + sanitize(name)}
 }
 
-func plain(name string) string {
+func sanitize(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' {
 			return r
@@ -76,7 +79,7 @@
 	return fmt.Sprintf("%s%s%s %v", s.name, suffix, labels, value)
 }
 
-func exposeOne(s series, m any) []string {
+func metricLines(s series, m any) []string {
 	switch m := m.(type) {
 	case metrics.Counter:
 		return []string{s.line("", "", m.Count())}
@@ -88,12 +91,12 @@
 		return []string{s.line("_count", "", m.Count())}
 	case metrics.Histogram:
 		h := m.Snapshot()
-		return exposeQuantiles(s, h.Percentiles(quantiles), h.Count())
+		return quantileLines(s, h.Percentiles(quantiles), h.Count())
 	}
 	return nil
 }
 
-func exposeQuantiles(s series, values []float64, count int64) []string {
+func quantileLines(s series, values []float64, count int64) []string {
 	lines := []string{s.line("_count", "", count)}
 	for i, q := range quantiles {
 		lines = append(lines, s.line("", fmt.Sprintf("quantile=\"%g\"", q), values[i]))
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,5 +1,5 @@
-// Package hangup wraps callers' connections so that a hang-up is noticed at once
-// while a request is served.
+// Package hangup wraps callers' connections to detect at once that a caller hangs up while
+// its request is served. What follows from a hang-up is left to the callback.
 package hangup
 
 import (
@@ -11,13 +11,13 @@
 )
 
 const (
-	// aheadMost is how many bytes are read ahead of the request being served.
-	// A caller that pipelines more is no longer watched until it is served.
-	aheadMost = 4 << 10
-	// scratchBytes is how much is read ahead at once.
-	scratchBytes = 512
-	// sendBuffer bounds what the kernel holds for a slow caller, in bytes.
-	sendBuffer = 64 << 10
+	// maxReadAheadBytes is how many bytes are read ahead of the request being served.
+	// Once a caller has pipelined more, its hang-up is not detected until the next watch.
+	maxReadAheadBytes = 4 << 10
+	// readChunkBytes is the size of one read ahead.
+	readChunkBytes = 512
+	// sendBufferBytes bounds the kernel's send buffer for a slow caller.
+	sendBufferBytes = 64 << 10
 )
 
 // Listener wraps accepted connections so that they can be watched.
@@ -33,80 +33,80 @@
 		return nil, err
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetWriteBuffer(sendBuffer)
+		_ = tcp.SetWriteBuffer(sendBufferBytes)
 	}
 	return New(c, l.Stall), nil
 }
 
-// Conn is a caller's connection that notices a hang-up while a request is
-// served. The HTTP server does not read then, so Conn reads ahead, keeps what
-// it got, and hands it to the next Read: pipelined bytes are never lost.
+// Conn is a caller's connection that detects a hang-up while a request is served. The HTTP
+// server does not read in that time, so Conn reads ahead and buffers what it gets for the
+// next Read: pipelined bytes are never lost.
 //
-// A caller that shuts down its sending side counts as gone.
+// A caller that shuts down its sending side counts as having hung up.
 type Conn struct {
 	net.Conn
-	stall time.Duration // a write that takes longer fails
+	stallTimeout time.Duration // a write that takes longer fails
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	ahead   []byte // read and not yet handed over
-	err     error  // the end of the connection
-	timeout error  // a read deadline that passed; handed over once
-	reading bool   // readAhead runs
-	onGone  func() // of the request being served
+	mu         sync.Mutex
+	changed    *sync.Cond
+	buffered   []byte // read ahead and not yet returned by Read
+	err        error  // that ended the connection
+	timeoutErr error  // an expired read deadline; Read returns it once
+	reading    bool   // whether readAhead runs
+	onHangup   func() // of the request being served
 
-	scratch [scratchBytes]byte // of readAhead alone
+	scratch [readChunkBytes]byte // used by readAhead only
 }
 
-// New wraps a connection.
+// New wraps a connection. A write that takes longer than stall fails.
 func New(c net.Conn, stall time.Duration) *Conn {
-	w := &Conn{Conn: c, stall: stall}
+	w := &Conn{Conn: c, stallTimeout: stall}
 	w.changed = sync.NewCond(&w.mu)
 	return w
 }
 
-// Watch watches a caller's connection as its method does, and returns it; nil where
-// the connection came by no Listener, so that hang-ups can't be seen.
-func Watch(c net.Conn, onGone func()) *Conn {
+// Watch calls the method Watch of a connection that a Listener accepted and returns that
+// connection. It returns nil for other connections, whose hang-ups can't be detected.
+func Watch(c net.Conn, onHangup func()) *Conn {
 	w, ok := c.(*Conn)
 	if !ok {
 		return nil
 	}
-	w.Watch(onGone)
+	w.Watch(onHangup)
 	return w
 }
 
-// Watch calls onGone, once, when the caller hangs up before Release.
-func (c *Conn) Watch(onGone func()) {
+// Watch calls onHangup once if the caller hangs up before Release, or has hung up already.
+func (c *Conn) Watch(onHangup func()) {
 	c.mu.Lock()
 	if c.err != nil {
 		c.mu.Unlock()
-		onGone()
+		onHangup()
 		return
 	}
-	c.onGone = onGone
-	start := !c.reading && len(c.ahead) < aheadMost
+	c.onHangup = onHangup
+	start := !c.reading && len(c.buffered) < maxReadAheadBytes
 	c.reading = c.reading || start
 	c.mu.Unlock()
-	_ = c.SetReadDeadline(time.Time{}) // the deadline of the request's own bytes is over
+	_ = c.SetReadDeadline(time.Time{}) // the deadline applied to receiving the request
 	if start {
 		go c.readAhead()
 	}
 }
 
-// Release ends the watch of the request being served.
+// Release ends the watch. The callback of a hang-up that has been detected may still run.
 func (c *Conn) Release() {
 	c.mu.Lock()
-	c.onGone = nil
+	c.onHangup = nil
 	c.mu.Unlock()
 }
 
 func (c *Conn) readAhead() {
 	for {
 		n, err := c.Conn.Read(c.scratch[:])
-		gone, more := c.arrived(c.scratch[:n], err)
-		if gone != nil {
-			gone()
+		callback, more := c.handleRead(c.scratch[:n], err)
+		if callback != nil {
+			callback()
 		}
 		if !more {
 			return
@@ -114,47 +114,47 @@
 	}
 }
 
-// arrived keeps what a read gave. It returns whom to tell of a hang-up and
-// whether to read on.
-func (c *Conn) arrived(b []byte, err error) (gone func(), more bool) {
+// handleRead buffers the bytes of a read. It returns the callback to call, nil if there was
+// no hang-up, and whether to read on.
+func (c *Conn) handleRead(b []byte, err error) (callback func(), more bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer c.changed.Broadcast()
-	c.ahead = append(c.ahead, b...)
+	c.buffered = append(c.buffered, b...)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		if c.onGone != nil {
-			return nil, true // set for the request's own bytes, before it was served
+		if c.onHangup != nil {
+			return nil, true // the deadline applied to receiving the request
 		}
-		c.timeout = err
+		c.timeoutErr = err
 	case err != nil:
 		c.err = err
-		gone, c.onGone = c.onGone, nil
-	case c.onGone != nil && len(c.ahead) < aheadMost:
+		callback, c.onHangup = c.onHangup, nil
+	case c.onHangup != nil && len(c.buffered) < maxReadAheadBytes:
 		return nil, true
 	}
 	c.reading = false
-	return gone, false
+	return callback, false
 }
 
 // Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	for c.reading && len(c.ahead) == 0 {
+	for c.reading && len(c.buffered) == 0 {
 		c.changed.Wait()
 	}
-	if len(c.ahead) > 0 {
-		n := copy(p, c.ahead)
-		c.ahead = c.ahead[n:]
-		if len(c.ahead) == 0 {
-			c.ahead = nil
+	if len(c.buffered) > 0 {
+		n := copy(p, c.buffered)
+		c.buffered = c.buffered[n:]
+		if len(c.buffered) == 0 {
+			c.buffered = nil
 		}
 		c.mu.Unlock()
 		return n, nil
 	}
 	err := c.err
-	if c.timeout != nil {
-		err, c.timeout = c.timeout, nil
+	if c.timeoutErr != nil {
+		err, c.timeoutErr = c.timeoutErr, nil
 	}
 	c.mu.Unlock()
 	if err != nil {
@@ -163,9 +163,9 @@
 	return c.Conn.Read(p)
 }
 
-// Write implements net.Conn. A caller that takes nothing for the stall time
-// loses its connection.
+// Write implements net.Conn. It fails if the caller reads too slowly for it to end within
+// the stall timeout.
 func (c *Conn) Write(p []byte) (int, error) {
-	_ = c.SetWriteDeadline(time.Now().Add(c.stall))
+	_ = c.SetWriteDeadline(time.Now().Add(c.stallTimeout))
 	return c.Conn.Write(p)
 }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -30,26 +30,26 @@
 	<-gone
 	_, err = c.Read(got)
 	is.Equal(err, io.EOF)
-	late := false
-	c.Watch(func() { late = true })
-	is.True(late) // a watch that begins after the end tells at once
+	called := false
+	c.Watch(func() { called = true })
+	is.True(called) // a watch that starts after the hang-up calls back at once
 }
 
-func TestNoOrderOfWatchesAndReadsLosesBytes(t *testing.T) {
+func TestInterleavedWatchesAndReadsLoseNoBytes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
 		ours, theirs := net.Pipe()
 		c := New(ours, time.Second)
 		sent := rapid.SliceOfN(rapid.Byte(), 0, 6000).Draw(rt, "sent")
-		cut := rapid.IntRange(1, 700).Draw(rt, "chunk")
+		chunkSize := rapid.IntRange(1, 700).Draw(rt, "chunk")
 		go func() {
-			for chunk := range slices.Chunk(sent, cut) {
+			for chunk := range slices.Chunk(sent, chunkSize) {
 				_, _ = theirs.Write(chunk)
 			}
 			_ = theirs.Close()
 		}()
 		watched := make(chan struct{})
-		told := 0
+		calls := 0
 		var got []byte
 		for {
 			switch rapid.IntRange(0, 2).Draw(rt, "step") {
@@ -67,8 +67,8 @@
 			}
 		}
 		is.True(bytes.Equal(got, sent))
-		c.Watch(func() { told++; close(watched) })
+		c.Watch(func() { calls++; close(watched) })
 		<-watched
-		is.Equal(told, 1)
+		is.Equal(calls, 1)
 	})
 }
