--- a/cmd/gentiancroft/config.go
+++ b/cmd/gentiancroft/config.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, 0, admin.Invalid.Wrap(err)
 	}
-	if d, err = config.Parse(text); err == nil {
+	if d, err = config.ParseYAML(text); err == nil {
 		err = config.Check(d)
 	}
 	if err != nil {
@@ -249,7 +249,7 @@
 			if o.output == "json" {
 				return admin.Damaged.Wrap(json.NewEncoder(c.OutOrStdout()).Encode(showOutput{now.Head.Version, now.Head.Hash, now.Head.By, now.Head.At, now.Document}))
 			}
-			text, err := config.Text(now.Document)
+			text, err := config.EncodeYAML(now.Document)
 			if err != nil {
 				return err
 			}
--- a/cmd/gentiancroft/relay.go
+++ b/cmd/gentiancroft/relay.go
@@ -72,12 +72,12 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the host
-	r, err := wiring.NewRelay(s, wiring.Adapter{
-		Carriers:    platform.Carriers,
-		Dialect:     platform.Headers{},
-		PathReady:   platform.PathReady,
-		PathResolve: platform.PathResolve,
-		Resolved:    platform.Resolved,
+	r, err := wiring.NewRelay(s, wiring.PlatformAdapter{
+		Executors:       platform.Executors,
+		Dialect:         platform.Headers{},
+		PathReady:       platform.PathReady,
+		PathResolve:     platform.PathResolve,
+		EncodeAddresses: platform.EncodeAddresses,
 	})
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 
 // reload reloads the settings on SIGHUP and when the file's contents have changed.
 // Invalid settings are logged and change nothing.
-func reload(ctx context.Context, hangups <-chan os.Signal, file string, r *wiring.Relaying) {
+func reload(ctx context.Context, hangups <-chan os.Signal, file string, r *wiring.RelayHost) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	last, err := os.ReadFile(file)
--- a/cmd/gentiancroft/serve.go
+++ b/cmd/gentiancroft/serve.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := wiring.From(h)
+			s, err := wiring.SettingsFrom(h)
 			if err != nil {
 				return err
 			}
