--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -25,21 +25,21 @@
 	os.Exit(m.Run())
 }
 
-// hooked is an object API that the test looks into.
-type hooked struct {
+// hookedAPI is an object API that calls before ahead of each call.
+type hookedAPI struct {
 	store  *platform.Store
 	before func(c core.ObjectCall)
 }
 
-func (h *hooked) Do(_ context.Context, c core.ObjectCall) core.ObjectResult {
+func (h *hookedAPI) Do(_ context.Context, c core.ObjectCall) core.ObjectResult {
 	if h.before != nil {
 		h.before(c)
 	}
 	return h.store.Do(c)
 }
 
-func service(store *platform.Store) (*Service, *hooked) {
-	h := &hooked{store: store}
+func newService(store *platform.Store) (*Service, *hookedAPI) {
+	h := &hookedAPI{store: store}
 	s := New(h)
 	s.now = func() time.Time { return time.Unix(1e9, 0) }
 	s.pause = func(context.Context, time.Duration) {}
@@ -48,8 +48,8 @@
 
 var ctx = context.Background()
 
-// with is the accepted document with a workspace more.
-func with(t testing.TB, s *Service, workspace string) *Plan {
+// planAdding returns a plan that adds a workspace to the accepted document.
+func planAdding(t testing.TB, s *Service, workspace string) *Plan {
 	t.Helper()
 	base, err := s.Load(ctx)
 	if err != nil {
@@ -71,16 +71,16 @@
 
 func TestChangeIsAcceptedWithItsRecord(t *testing.T) {
 	is := is.New(t)
-	s, _ := service(platform.NewStore())
-	h, err := s.Apply(ctx, ana, with(t, s, "one"))
+	s, _ := newService(platform.NewStore())
+	h, err := s.Apply(ctx, ana, planAdding(t, s, "one"))
 	is.NoErr(err)
 	is.Equal(h.Version, uint64(1))
-	h, err = s.Apply(ctx, ben, with(t, s, "two"))
+	h, err = s.Apply(ctx, ben, planAdding(t, s, "two"))
 	is.NoErr(err)
 	is.Equal(h.Version, uint64(2))
-	now, err := s.Load(ctx)
+	current, err := s.Load(ctx)
 	is.NoErr(err)
-	is.Equal(len(now.Document.Workspaces), 2)
+	is.Equal(len(current.Document.Workspaces), 2)
 	history, err := s.History(ctx, 0, 99)
 	is.NoErr(err)
 	is.Equal(len(history), 2)
@@ -94,20 +94,20 @@
 
 func TestInvalidDocumentIsRefused(t *testing.T) {
 	is := is.New(t)
-	s, _ := service(platform.NewStore())
+	s, _ := newService(platform.NewStore())
 	base, err := s.Load(ctx)
 	is.NoErr(err)
 	_, err = s.Plan(base, &config.Document{Workspaces: []config.Workspace{{}}}, nil)
 	is.True(Invalid.Has(err))
 	var invalid *config.InvalidError
 	is.True(errors.As(err, &invalid))
-	is.Equal(len(invalid.Problems), 2) // no name, no weight
+	is.Equal(len(invalid.Problems), 2) // no id, no weight
 }
 
 func TestRacingOperatorIsToldWhoChangedWhat(t *testing.T) {
 	is := is.New(t)
-	s, _ := service(platform.NewStore())
-	mine, theirs := with(t, s, "mine"), with(t, s, "theirs")
+	s, _ := newService(platform.NewStore())
+	mine, theirs := planAdding(t, s, "mine"), planAdding(t, s, "theirs")
 	_, err := s.Apply(ctx, ben, theirs)
 	is.NoErr(err)
 	_, err = s.Apply(ctx, ana, mine)
@@ -117,21 +117,21 @@
 	is.Equal(conflict.Records[0].By, "ben")
 	is.Equal(conflict.Records[0].Changes[0].ID, "theirs")
 	is.True(strings.Contains(err.Error(), "+ workspaces/theirs"))
-	now, err := s.Load(ctx)
+	current, err := s.Load(ctx)
 	is.NoErr(err)
-	is.Equal(now.Document.Workspaces[0].ID, core.WorkspaceID("theirs")) // nothing was overwritten
+	is.Equal(current.Document.Workspaces[0].ID, core.WorkspaceID("theirs")) // nothing was overwritten
 	history, err := s.History(ctx, 0, 99)
 	is.NoErr(err)
 	is.Equal(len(history), 1)
-	is.NoErr(s.MadeFrom(ctx, now, 1))
-	is.True(Conflict.Has(s.MadeFrom(ctx, now, 0))) // an old file does not take back theirs
-	is.True(Invalid.Has(s.MadeFrom(ctx, now, 2)))
+	is.NoErr(s.MadeFrom(ctx, current, 1))
+	is.True(Conflict.Has(s.MadeFrom(ctx, current, 0))) // an old file does not revert their change
+	is.True(Invalid.Has(s.MadeFrom(ctx, current, 2)))
 }
 
 func TestLostAnswersAreResolved(t *testing.T) {
 	is := is.New(t)
 	store := platform.NewStore()
-	s, api := service(store)
+	s, api := newService(store)
 	for i, key := range []string{config.AuditPrefix, config.ChunkPrefix, config.HeadKey} {
 		lost := false
 		api.before = func(c core.ObjectCall) {
@@ -140,7 +140,7 @@
 				store.DropAnswers(1)
 			}
 		}
-		h, err := s.Apply(ctx, ana, with(t, s, fmt.Sprintf("w%d", i)))
+		h, err := s.Apply(ctx, ana, planAdding(t, s, fmt.Sprintf("w%d", i)))
 		is.NoErr(err)
 		is.True(lost)
 		is.Equal(h.Version, uint64(i+1))
@@ -153,9 +153,9 @@
 func TestLostAcceptanceThatWasChangedSince(t *testing.T) {
 	is := is.New(t)
 	store := platform.NewStore()
-	s, api := service(store)
-	other, _ := service(store)
-	p := with(t, s, "mine")
+	s, api := newService(store)
+	other, _ := newService(store)
+	p := planAdding(t, s, "mine")
 	heads := 0
 	api.before = func(c core.ObjectCall) {
 		if c.Key != config.HeadKey || c.Op == core.ObjectGet {
@@ -165,80 +165,80 @@
 		switch heads {
 		case 1:
 			store.DropAnswers(1)
-		case 2: // before it is sent again, another operator goes on from it
-			_, err := other.Apply(ctx, ben, with(t, other, "theirs"))
+		case 2: // before the retry, another operator changes the accepted document
+			_, err := other.Apply(ctx, ben, planAdding(t, other, "theirs"))
 			is.NoErr(err)
 		}
 	}
 	_, err := s.Apply(ctx, ana, p)
-	is.NoErr(err) // it was accepted, and the chain of tokens proves it
+	is.NoErr(err) // it was accepted, as the chain of tokens shows
 	is.Equal(heads, 2)
 }
 
-func TestStoreDownChangesNothing(t *testing.T) {
+func TestUnavailableStoreChangesNothing(t *testing.T) {
 	is := is.New(t)
 	store := platform.NewStore()
-	s, api := service(store)
-	p := with(t, s, "one")
+	s, api := newService(store)
+	p := planAdding(t, s, "one")
 	for _, at := range []string{config.AuditPrefix, config.ChunkPrefix, config.HeadKey} {
 		api.before = func(c core.ObjectCall) { store.SetDown(strings.HasPrefix(c.Key, at)) }
 		_, err := s.Apply(ctx, ana, p)
 		is.True(Unavailable.Has(err))
 		api.before = nil
 		store.SetDown(false)
-		now, err := s.Load(ctx)
+		current, err := s.Load(ctx)
 		is.NoErr(err)
-		is.Equal(now.Head.Version, uint64(0))
+		is.Equal(current.Head.Version, uint64(0))
 	}
 	_, err := s.Apply(ctx, ana, p)
 	is.NoErr(err)
 }
 
-func TestStaleReadsGiveDoubtNotASilentOverwrite(t *testing.T) {
+func TestStaleReadGivesInDoubtError(t *testing.T) {
 	is := is.New(t)
 	store := platform.NewStore()
-	s, _ := service(store)
-	p := with(t, s, "mine")
+	s, _ := newService(store)
+	p := planAdding(t, s, "mine")
 	store.StaleReads(true)
-	other, _ := service(store)
-	_, err := other.Apply(ctx, ben, with(t, other, "theirs"))
+	other, _ := newService(store)
+	_, err := other.Apply(ctx, ben, planAdding(t, other, "theirs"))
 	is.NoErr(err)
 	_, err = s.Apply(ctx, ana, p)
 	is.True(InDoubt.Has(err))
 	store.StaleReads(false)
-	now, err := s.Load(ctx)
+	current, err := s.Load(ctx)
 	is.NoErr(err)
-	is.Equal(now.Head.By, "ben")
+	is.Equal(current.Head.By, "ben")
 }
 
-func TestCollectKeepsWhatAnOperatorMayStillAccept(t *testing.T) {
+func TestCollectKeepsChunksOfPendingChanges(t *testing.T) {
 	is := is.New(t)
 	store := platform.NewStore()
-	s, api := service(store)
-	_, err := s.Apply(ctx, ana, with(t, s, "one"))
+	s, api := newService(store)
+	_, err := s.Apply(ctx, ana, planAdding(t, s, "one"))
 	is.NoErr(err)
-	_, err = s.Apply(ctx, ana, with(t, s, "two"))
+	_, err = s.Apply(ctx, ana, planAdding(t, s, "two"))
 	is.NoErr(err)
-	back := with(t, s, "x")
-	back.Next.Workspaces = back.Next.Workspaces[:1] // the document of version 1: its chunk is garbage by now
-	back.Changes = config.Diff(back.Base.Document, back.Next)
-	collector, _ := service(store)
+	revert := planAdding(t, s, "x")
+	revert.Next.Workspaces = revert.Next.Workspaces[:1] // the document of version 1, whose chunk is no longer referenced
+	revert.Changes = config.Diff(revert.Base.Document, revert.Next)
+	collector, _ := newService(store)
 	collected := 0
 	api.before = func(c core.ObjectCall) {
 		if c.Key == config.HeadKey && c.Op == core.ObjectUpdate {
-			collected, err = collector.Collect(ctx) // right before the acceptance
+			collected, err = collector.Collect(ctx) // right before the head is updated
 			is.NoErr(err)
 		}
 	}
-	_, err = s.Apply(ctx, ana, back)
+	_, err = s.Apply(ctx, ana, revert)
 	is.NoErr(err)
 	is.Equal(collected, 0)
 	api.before = nil
-	fresh, _ := service(store)
-	now, err := fresh.Load(ctx)
+	fresh, _ := newService(store)
+	current, err := fresh.Load(ctx)
 	is.NoErr(err)
-	is.Equal(len(now.Document.Workspaces), 1)
-	_, err = fresh.Apply(ctx, ana, with(t, fresh, "three"))
+	is.Equal(len(current.Document.Workspaces), 1)
+	_, err = fresh.Apply(ctx, ana, planAdding(t, fresh, "three"))
 	is.NoErr(err)
 	n, err := fresh.Collect(ctx)
 	is.NoErr(err)
@@ -250,18 +250,18 @@
 func TestHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	store := platform.NewStore()
-	s, _ := service(store)
-	for v := uint64(1); v <= 2*pruneEvery; v++ { // records of long ago
+	s, _ := newService(store)
+	for v := uint64(1); v <= 2*pruneInterval; v++ { // old records
 		store.Do(core.ObjectCall{Op: core.ObjectCreate, Key: Record{Version: v, Token: "t"}.key(), Value: []byte{0xa0}})
 	}
-	s.prune(ctx, KeepVersions+2*pruneEvery)
+	s.pruneRecords(ctx, KeepVersions+2*pruneInterval)
 	r := store.Do(core.ObjectCall{Op: core.ObjectList, Key: config.AuditPrefix})
-	is.Equal(len(r.Objects), 1) // of the 200 oldest only version 200 is within the bound
+	is.Equal(len(r.Objects), 1) // of the 200 oldest, only version 200 is within the bound
 }
 
-func TestLargeChangeIsRecordedInPart(t *testing.T) {
+func TestLargeRecordIsTruncated(t *testing.T) {
 	is := is.New(t)
-	s, _ := service(platform.NewStore())
+	s, _ := newService(platform.NewStore())
 	base, err := s.Load(ctx)
 	is.NoErr(err)
 	next := &config.Document{BaseModels: []config.BaseModel{{ID: "b"}}}
@@ -278,12 +278,12 @@
 	is.Equal(history[0].Omitted+len(history[0].Changes), 2001)
 }
 
-func TestRacesWithFaults(t *testing.T) {
+func TestConcurrentChangesWithFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := platform.NewStore()
 		services := []*Service{}
 		for range 3 {
-			s, api := service(store)
+			s, api := newService(store)
 			api.before = func(c core.ObjectCall) {
 				switch rapid.IntRange(0, 24).Draw(t, "fault") {
 				case 0:
@@ -328,23 +328,23 @@
 		}
 		store.SetDown(false)
 		store.DropAnswers(0)
-		s, _ := service(store)
-		now, err := s.Load(ctx)
+		s, _ := newService(store)
+		current, err := s.Load(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
 		present := map[string]bool{}
-		for _, w := range now.Document.Workspaces {
+		for _, w := range current.Document.Workspaces {
 			present[string(w.ID)] = true
 		}
-		for name, was := range accepted { // an accepted change stays, a refused one never shows
+		for name, was := range accepted { // an accepted change stays, a refused one never appears
 			if present[name] != was {
 				t.Fatalf("%s: accepted %v, present %v", name, was, present[name])
 			}
 		}
 		history, err := s.History(ctx, 0, 99)
-		if err != nil || len(history) != int(now.Head.Version) {
-			t.Fatalf("%d records of %d versions: %v", len(history), now.Head.Version, err)
+		if err != nil || len(history) != int(current.Head.Version) {
+			t.Fatalf("%d records of %d versions: %v", len(history), current.Head.Version, err)
 		}
 	})
 }
--- a/internal/admin/apply.go
+++ b/internal/admin/apply.go
@@ -7,24 +7,25 @@
 	"gentiancroft/internal/core/config"
 )
 
-// collectEvery is how many versions pass between two collections of chunks.
-const collectEvery = 64
+// collectInterval is the number of versions between two chunk collections.
+const collectInterval = 64
 
-// Operator is who changes something, and how that was established.
+// Operator identifies who makes a change and through which interface.
 type Operator struct {
 	Name string
 	Via  string // "console" or "command line"
-	Key  string // signs the audit record; "": not signed
+	Key  string // signs the audit record; "": the record is not signed
 }
 
-// Apply makes a plan the accepted configuration, or fails and changes nothing.
+// Apply makes a plan the accepted configuration and returns its head. A plan
+// without changes returns the head that it was made from. After an InDoubt error
+// the change may have been accepted; after any other error it was not.
 //
-// The order keeps two promises. The audit record is written first, so that no
-// accepted change is without one; a record whose change was not accepted is
-// told by the chain of tokens (see History). The chunks come next, so that no
-// head names a missing one. The conditional update of the head, which holds
-// only if the head is still the one that the plan was made from, accepts.
-func (s *Service) Apply(ctx context.Context, who Operator, p *Plan) (config.Head, error) {
+// The audit record is written first, so that every accepted change has one;
+// History skips the records of changes that were not accepted. The chunks are
+// written next, so that no head references a missing one. The change is accepted
+// by an update of the head on condition that the plan was made from that head.
+func (s *Service) Apply(ctx context.Context, operator Operator, p *Plan) (config.Head, error) {
 	if len(p.Changes) == 0 {
 		return p.Base.Head, nil
 	}
@@ -33,38 +34,39 @@
 		return config.Head{}, Invalid.Wrap(err)
 	}
 	h.Version = p.Base.Head.Version + 1
-	h.By = who.Name
+	h.By = operator.Name
 	h.At = s.now().UTC()
-	h.Token = newToken()
-	if h.Version%collectEvery == 0 {
-		_, _ = s.Collect(ctx) // best effort: the next round finds what is left
+	h.Token = newWriteID()
+	if h.Version%collectInterval == 0 {
+		_, _ = s.Collect(ctx) // best effort: the next collection deletes the rest
 	}
-	record := newRecord(who, p, h)
-	if err := s.put(ctx, record.key(), record.encode()); err != nil {
+	record := newRecord(operator, p, h)
+	if err := s.store(ctx, record.key(), record.encode()); err != nil {
 		return config.Head{}, err
 	}
-	if err := s.upload(ctx, p.Base.Head, chunks, h.Chunks); err != nil {
-		s.withdraw(ctx, record)
+	if err := s.uploadChunks(ctx, p.Base.Head, chunks, h.Chunks); err != nil {
+		s.deleteRecord(ctx, record)
 		return config.Head{}, err
 	}
-	if err := s.accept(ctx, p, h); err != nil {
+	if err := s.updateHead(ctx, p, h); err != nil {
 		if Conflict.Has(err) {
-			s.withdraw(ctx, record)
+			s.deleteRecord(ctx, record)
 		}
 		return config.Head{}, err
 	}
-	s.prune(ctx, h.Version)
+	s.pruneRecords(ctx, h.Version)
 	return h, nil
 }
 
-// withdraw deletes the record of a change that surely was not accepted.
-func (s *Service) withdraw(ctx context.Context, r Record) {
+// deleteRecord deletes the record of a change that is known not to be accepted.
+func (s *Service) deleteRecord(ctx context.Context, r Record) {
 	s.api.Do(ctx, core.ObjectCall{Op: core.ObjectDelete, Key: r.key()})
 }
 
-// accept updates the head. A lost answer is resolved by reading back; sending
-// the same conditional update again is safe, since it holds at most once.
-func (s *Service) accept(ctx context.Context, p *Plan, h config.Head) error {
+// updateHead accepts a change by a conditional update of the head. Without an
+// answer it sends the same update again, which is safe because the condition
+// holds at most once.
+func (s *Service) updateHead(ctx context.Context, p *Plan, h config.Head) error {
 	value, err := config.EncodeHead(h)
 	if err != nil {
 		return Invalid.Wrap(err)
@@ -73,18 +75,18 @@
 	if p.Base.Object == 0 {
 		call.Op = core.ObjectCreate
 	}
-	doubt, wait := false, firstPause
-	for try := 1; try <= maxTries; try++ {
+	maybeAccepted, wait := false, firstRetryDelay
+	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		r := s.api.Do(ctx, call)
 		switch r.Status {
 		case core.ObjectOK:
 			return nil
 		case core.ObjectConflict, core.ObjectNotFound:
-			// Invariant: the condition can't hold any more, so that either an
-			// earlier send was accepted or none ever is.
-			return s.decided(ctx, p, h, doubt)
+			// Invariant: the condition can no longer hold. Either an earlier
+			// attempt was accepted or none ever will be.
+			return s.resolveConflict(ctx, p, h, maybeAccepted)
 		case core.ObjectUnknown:
-			doubt = true
+			maybeAccepted = true
 		}
 		if ctx.Err() != nil {
 			break
@@ -92,26 +94,29 @@
 		s.pause(ctx, wait)
 		wait *= 2
 	}
-	if doubt {
-		return InDoubt.New("version %d by %s: no answer from the object API; look with config show before trying again", h.Version, h.By)
+	if maybeAccepted {
+		return InDoubt.New("version %d by %s: no answer from the object API; check with config show before trying again", h.Version, h.By)
 	}
-	return Unavailable.New("the object API did not take the change")
+	return Unavailable.New("the object API did not answer; the change was not applied")
 }
 
-// decided tells an own acceptance from another operator's.
-func (s *Service) decided(ctx context.Context, p *Plan, h config.Head, doubt bool) error {
-	now, err := s.Load(ctx)
+// resolveConflict finds out after a failed condition whether an earlier attempt
+// was accepted (nil) or another change was accepted first (Conflict).
+// maybeAccepted says that an earlier attempt got no answer.
+func (s *Service) resolveConflict(ctx context.Context, p *Plan, h config.Head, maybeAccepted bool) error {
+	current, err := s.Load(ctx)
 	if err != nil {
 		return InDoubt.New("%v", err)
 	}
-	if now.Head.Token == h.Token {
+	if current.Head.Token == h.Token {
 		return nil
 	}
-	if now.Head.Version <= p.Base.Head.Version {
-		return InDoubt.New("the object API serves an old read; look with config show before trying again")
+	if current.Head.Version <= p.Base.Head.Version {
+		return InDoubt.New("the object API returned a stale read; check with config show before trying again")
 	}
-	if doubt && now.Head.Version > h.Version {
-		// Accepted by a send whose answer was lost, and changed again since?
+	if maybeAccepted && current.Head.Version > h.Version {
+		// An attempt without an answer may have been accepted and the
+		// configuration changed again since.
 		after, err := s.History(ctx, h.Version, h.Version)
 		if err != nil {
 			return InDoubt.New("%v", err)
@@ -120,33 +125,34 @@
 			return nil
 		}
 	}
-	return s.conflict(ctx, p.Base, now)
+	return s.conflictError(ctx, p.Base, current)
 }
 
-// conflict tells who changed what between two versions.
-func (s *Service) conflict(ctx context.Context, base, now *Current) error {
-	records, err := s.History(ctx, base.Head.Version+1, now.Head.Version)
+// conflictError returns a Conflict error with the records of the changes between
+// two versions, or with the difference alone if those records are missing.
+func (s *Service) conflictError(ctx context.Context, base, current *Current) error {
+	records, err := s.History(ctx, base.Head.Version+1, current.Head.Version)
 	if err != nil || len(records) == 0 {
 		records = []Record{{
-			Version: now.Head.Version,
-			By:      now.Head.By,
-			At:      now.Head.At,
-			Changes: config.Diff(base.Document, now.Document),
+			Version: current.Head.Version,
+			By:      current.Head.By,
+			At:      current.Head.At,
+			Changes: config.Diff(base.Document, current.Document),
 		}}
 	}
-	return Conflict.Wrap(&ConflictError{Loaded: base.Head.Version, Present: now.Head.Version, Records: records})
+	return Conflict.Wrap(&ConflictError{Loaded: base.Head.Version, Present: current.Head.Version, Records: records})
 }
 
-// MadeFrom fails with a conflict unless a change that was made from a version
-// still is made from the accepted one. Without it an old file would take back
-// what others changed since.
-func (s *Service) MadeFrom(ctx context.Context, now *Current, version uint64) error {
-	if now.Head.Version == version {
+// MadeFrom returns a Conflict error if a version that a change was made from is
+// no longer the accepted one, and an Invalid error if it does not exist. Without
+// the check, an old file would revert what others changed since.
+func (s *Service) MadeFrom(ctx context.Context, current *Current, version uint64) error {
+	if current.Head.Version == version {
 		return nil
 	}
-	if version > now.Head.Version {
-		return Invalid.New("version %d does not exist; the accepted one is %d", version, now.Head.Version)
+	if version > current.Head.Version {
+		return Invalid.New("version %d does not exist; the accepted one is %d", version, current.Head.Version)
 	}
-	base := &Current{Head: config.Head{Version: version}, Document: now.Document}
-	return s.conflict(ctx, base, now)
+	base := &Current{Head: config.Head{Version: version}, Document: current.Document}
+	return s.conflictError(ctx, base, current)
 }
--- a/internal/admin/collect.go
+++ b/internal/admin/collect.go
@@ -8,17 +8,18 @@
 	"gentiancroft/internal/core/config"
 )
 
-// Collect deletes chunks that no head needs any more, and returns how many.
+// Collect deletes the chunks that are no longer referenced and returns how many.
 //
-// A chunk goes only if the head does not name it and it was last written before
-// that head. An operator whose update can still hold loaded this very head and
-// has written, since then, every chunk that the head does not name; those are
-// newer. One that wrote before loses against the head. A host that still
-// fetches an older version finds a chunk missing and reads the head again.
+// A chunk is deleted only if the head does not reference it and it was last
+// written before that head. A pending change that can still be accepted was made
+// from this head, and its chunks that the head does not reference were written
+// after it, so that they stay. A change made from an older head fails its
+// conditional update. A host that fetches an older version finds a chunk missing
+// and reads the head again.
 func (s *Service) Collect(ctx context.Context) (int, error) {
-	// The list comes first: a chunk that it shows and that a later head does
-	// not name was written before that head or belongs to a later one.
-	list := s.do(ctx, core.ObjectCall{Op: core.ObjectList, Key: config.ChunkPrefix})
+	// The list is read before the head: a listed chunk that the head does not
+	// reference was written before that head or belongs to a later one.
+	list := s.callWithRetry(ctx, core.ObjectCall{Op: core.ObjectList, Key: config.ChunkPrefix})
 	if list.Status != core.ObjectOK {
 		return 0, Unavailable.New("the object API does not answer")
 	}
@@ -35,7 +36,7 @@
 		if needed[strings.TrimPrefix(o.Key, config.ChunkPrefix)] || o.Version >= head.Object {
 			continue
 		}
-		// Conditional: one that was written anew since stays.
+		// Conditional on the version: a chunk rewritten since the list stays.
 		r := s.api.Do(ctx, core.ObjectCall{Op: core.ObjectDelete, Key: o.Key, IfVersion: o.Version})
 		if r.Status == core.ObjectOK {
 			deleted++
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -8,26 +8,26 @@
 	"github.com/zeebo/errs"
 )
 
-// Classes of errors. The command line maps Invalid to its exit code for bad
-// use or a bad document, all others to failure.
+// Classes of errors. The command line maps Invalid to its exit code for wrong
+// usage or an invalid document, all others to the one for failure.
 var (
-	Invalid     = errs.Class("invalid")     // the document or the request is wrong
-	Denied      = errs.Class("denied")      // the operator is not known
-	Conflict    = errs.Class("conflict")    // another operator was first; wraps *ConflictError
-	Unavailable = errs.Class("unavailable") // the object API did not take the change; nothing changed
+	Invalid     = errs.Class("invalid")     // the document or the request is not valid
+	Denied      = errs.Class("denied")      // the key belongs to no operator
+	Conflict    = errs.Class("conflict")    // another change was accepted first; wraps *ConflictError
+	Unavailable = errs.Class("unavailable") // the object API did not answer; the configuration is unchanged
 	InDoubt     = errs.Class("in doubt")    // the change may or may not have been accepted
-	Damaged     = errs.Class("damaged")     // what is stored can't be read
+	Damaged     = errs.Class("damaged")     // the stored configuration can't be read
 )
 
-// ConflictError says who changed what since the document was loaded.
+// ConflictError reports the changes accepted since the document was loaded.
 type ConflictError struct {
 	Loaded  uint64   // the version that the change was made from
 	Present uint64   // the version in force now
-	Records []Record // of the accepted changes in between, newest first
+	Records []Record // of the changes accepted in between, newest first
 }
 
-// shownChanges bounds the changes of one record in an error's text.
-const shownChanges = 20
+// maxShownChanges bounds the changes listed for one record in Error's text.
+const maxShownChanges = 20
 
 // Error implements error.
 func (e *ConflictError) Error() string {
@@ -37,7 +37,7 @@
 	for _, r := range e.Records {
 		b.WriteString("\n  version " + strconv.FormatUint(r.Version, 10) + " by " + r.By + " at " + r.At.UTC().Format(time.RFC3339))
 		for i, c := range r.Changes {
-			if i == shownChanges {
+			if i == maxShownChanges {
 				b.WriteString("\n    and " + strconv.Itoa(len(r.Changes)-i+r.Omitted) + " more")
 				break
 			}
--- a/internal/admin/keys.go
+++ b/internal/admin/keys.go
@@ -9,11 +9,11 @@
 	"gentiancroft/internal/core/config"
 )
 
-// keyBytes is the entropy of a new key.
+// keyBytes is the number of random bytes in a new key.
 const keyBytes = 20
 
-// NewKey makes a caller's or an operator's key and the keyed hash that is kept
-// of it. The key itself is shown once and kept nowhere.
+// NewKey returns a new key for a caller or an operator, and its keyed hash. Only
+// the hash is stored; the caller shows the key once.
 func NewKey(secret []byte) (key, hash string) {
 	var b [keyBytes]byte
 	_, _ = rand.Read(b[:])
@@ -21,34 +21,35 @@
 	return key, config.HashKey(secret, key)
 }
 
-// Operators knows operators by the keyed hashes of their keys.
+// Operators authenticates operators by the keyed hashes of their keys.
 type Operators struct {
 	secret []byte
 	hashes map[string]string // name -> keyed hash
 }
 
-// NewOperators returns the operators of the settings: name to keyed hash.
+// NewOperators returns the operators given in the settings; hashes maps a name to
+// the keyed hash of its key.
 func NewOperators(secret []byte, hashes map[string]string) *Operators {
 	return &Operators{secret: secret, hashes: hashes}
 }
 
-// Check returns the operator whose key this is. Every hash is compared, each in
-// constant time.
+// Check returns the name of the operator with a key, or a Denied error. It
+// compares every hash, each in constant time.
 func (o *Operators) Check(key string) (string, error) {
 	hash := []byte(config.HashKey(o.secret, key))
 	found := ""
-	for name, want := range o.hashes {
-		if hmac.Equal(hash, []byte(want)) {
+	for name, known := range o.hashes {
+		if hmac.Equal(hash, []byte(known)) {
 			found = name
 		}
 	}
 	if found == "" {
-		return "", Denied.New("this is no operator's key")
+		return "", Denied.New("the key belongs to no operator")
 	}
 	return found, nil
 }
 
-// Known reports whether an operator still is one.
+// Known reports whether the settings list an operator of this name.
 func (o *Operators) Known(name string) bool {
 	_, ok := o.hashes[name]
 	return ok
--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -1,6 +1,8 @@
-// Package admin carries out what operators do to the configuration: load it,
-// plan a change, apply it by one conditional update, and read who changed what.
-// The console and the command line use it alike.
+// Package admin loads and changes the configuration in the platform's object API
+// for operators, and keeps its audit trail. A change is planned from the accepted
+// document and accepted by one conditional update. Rules, encoding and comparison
+// of documents are in core/config; the console and the command line are built on
+// this package.
 package admin
 
 import (
@@ -16,28 +18,28 @@
 	"gentiancroft/internal/core/config"
 )
 
-// ObjectAPI is what the service needs of the platform.
+// ObjectAPI is the platform's object API as the service uses it.
 type ObjectAPI interface {
 	Do(ctx context.Context, c core.ObjectCall) core.ObjectResult
 }
 
-// Tries of one step before it fails.
+// Attempts at one step, and the delay before the first retry.
 const (
-	maxTries   = 5
-	firstPause = 100 * time.Millisecond
+	maxAttempts     = 5
+	firstRetryDelay = 100 * time.Millisecond
 )
 
-// Service changes the configuration in the object API.
+// Service loads and changes the configuration. It is safe for concurrent use.
 type Service struct {
 	api   ObjectAPI
 	now   func() time.Time
 	pause func(ctx context.Context, d time.Duration)
 
 	mu     sync.Mutex
-	chunks map[string][]byte // of the last loaded head, by hash
+	chunks map[string][]byte // chunks of the last loaded head, by hash
 }
 
-// New returns a service over an object API.
+// New returns a service that uses an object API.
 func New(api ObjectAPI) *Service {
 	return &Service{api: api, now: time.Now, pause: sleep}
 }
@@ -52,8 +54,8 @@
 	}
 }
 
-// newToken names one attempt to change something.
-func newToken() string {
+// newWriteID returns a random token that identifies one change.
+func newWriteID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
@@ -61,19 +63,19 @@
 
 // Current is the accepted configuration as loaded.
 type Current struct {
-	Head     config.Head // zero where none was accepted yet
-	Object   uint64      // version of the head's object; 0: none
+	Head     config.Head // zero if none was accepted yet
+	Object   uint64      // version of the head's object in the object API; 0: none
 	Document *config.Document
 }
 
-// do carries out a call, again after a pause while the store does not answer.
-// It is for calls that may be repeated.
-func (s *Service) do(ctx context.Context, c core.ObjectCall) core.ObjectResult {
-	wait := firstPause
-	for try := 1; ; try++ {
+// callWithRetry makes a call and retries it while the object API does not answer.
+// The call must be safe to repeat.
+func (s *Service) callWithRetry(ctx context.Context, c core.ObjectCall) core.ObjectResult {
+	wait := firstRetryDelay
+	for attempt := 1; ; attempt++ {
 		r := s.api.Do(ctx, c)
 		answered := r.Status != core.ObjectUnavailable && r.Status != core.ObjectUnknown
-		if answered || try == maxTries || ctx.Err() != nil {
+		if answered || attempt == maxAttempts || ctx.Err() != nil {
 			return r
 		}
 		s.pause(ctx, wait)
@@ -81,26 +83,26 @@
 	}
 }
 
-// Load returns the accepted configuration, the empty one where there is none.
+// Load returns the accepted configuration, or an empty one if there is none.
 func (s *Service) Load(ctx context.Context) (*Current, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		c, err := s.loadOnce(ctx)
-		if !errors.Is(err, errChunkGone) || try == maxTries {
+		if !errors.Is(err, errChunkMissing) || attempt == maxAttempts {
 			return c, err
 		}
 		// A newer head was accepted while the chunks were read.
-		s.pause(ctx, firstPause)
+		s.pause(ctx, firstRetryDelay)
 	}
 }
 
-var errChunkGone = Damaged.New("a chunk of the configuration is missing")
+var errChunkMissing = Damaged.New("a chunk of the configuration is missing")
 
 func (s *Service) loadOnce(ctx context.Context) (*Current, error) {
 	c, err := s.loadHead(ctx)
 	if err != nil || c.Object == 0 {
 		return c, err
 	}
-	chunks, err := s.fetch(ctx, c.Head)
+	chunks, err := s.fetchChunks(ctx, c.Head)
 	if err != nil {
 		return nil, err
 	}
@@ -111,8 +113,9 @@
 	return c, nil
 }
 
-// fetch returns a head's chunks. Those of the last head need no call.
-func (s *Service) fetch(ctx context.Context, h config.Head) (map[string][]byte, error) {
+// fetchChunks returns a head's chunks, by hash. It reuses those of the last loaded
+// head without a call.
+func (s *Service) fetchChunks(ctx context.Context, h config.Head) (map[string][]byte, error) {
 	s.mu.Lock()
 	known := s.chunks
 	s.mu.Unlock()
@@ -122,12 +125,12 @@
 			chunks[name] = b
 			continue
 		}
-		r := s.do(ctx, core.ObjectCall{Op: core.ObjectGet, Key: config.ChunkPrefix + name})
+		r := s.callWithRetry(ctx, core.ObjectCall{Op: core.ObjectGet, Key: config.ChunkPrefix + name})
 		switch r.Status {
 		case core.ObjectOK:
 			chunks[name] = r.Object.Value
 		case core.ObjectNotFound:
-			return nil, errChunkGone
+			return nil, errChunkMissing
 		default:
 			return nil, Unavailable.New("the object API does not answer")
 		}
@@ -138,9 +141,9 @@
 	return chunks, nil
 }
 
-// loadHead returns the head alone.
+// loadHead returns the accepted head with an empty document.
 func (s *Service) loadHead(ctx context.Context) (*Current, error) {
-	r := s.do(ctx, core.ObjectCall{Op: core.ObjectGet, Key: config.HeadKey})
+	r := s.callWithRetry(ctx, core.ObjectCall{Op: core.ObjectGet, Key: config.HeadKey})
 	switch r.Status {
 	case core.ObjectNotFound:
 		return &Current{Document: &config.Document{}}, nil
@@ -155,7 +158,7 @@
 	return &Current{Head: h, Object: r.Object.Version, Document: &config.Document{}}, nil
 }
 
-// Plan is a change that may be applied.
+// Plan is a validated change that can be applied.
 type Plan struct {
 	Base     *Current
 	Next     *config.Document
@@ -163,8 +166,9 @@
 	Warnings []config.Warning
 }
 
-// Plan compares a document with the accepted one. A document with errors gives
-// an Invalid error that carries a *config.InvalidError.
+// Plan validates a document and compares it with the accepted one. inUse are the
+// adapter versions that requests use, for the warnings. For a document that is not
+// valid it returns an Invalid error that wraps a *config.InvalidError.
 func (s *Service) Plan(base *Current, next *config.Document, inUse []core.AdapterRef) (*Plan, error) {
 	if err := config.Check(next); err != nil {
 		return nil, Invalid.Wrap(err)
@@ -177,42 +181,42 @@
 	}, nil
 }
 
-// upload stores the chunks that the base does not have.
-func (s *Service) upload(ctx context.Context, base config.Head, chunks map[string][]byte, order []string) error {
+// uploadChunks stores the chunks that the base head does not reference.
+func (s *Service) uploadChunks(ctx context.Context, base config.Head, chunks map[string][]byte, order []string) error {
 	for _, name := range order {
 		if slices.Contains(base.Chunks, name) {
 			continue
 		}
-		if err := s.put(ctx, config.ChunkPrefix+name, chunks[name]); err != nil {
+		if err := s.store(ctx, config.ChunkPrefix+name, chunks[name]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// put creates an object, or writes it anew where it exists: its version must be
-// newer than the base's head, so that no collection takes it (see Collect).
-func (s *Service) put(ctx context.Context, key string, value []byte) error {
-	for range maxTries {
-		r := s.do(ctx, core.ObjectCall{Op: core.ObjectCreate, Key: key, Value: value})
+// store creates an object, or rewrites it if it exists: its version must become
+// newer than the base's head, so that Collect does not delete it.
+func (s *Service) store(ctx context.Context, key string, value []byte) error {
+	for range maxAttempts {
+		r := s.callWithRetry(ctx, core.ObjectCall{Op: core.ObjectCreate, Key: key, Value: value})
 		if r.Status == core.ObjectConflict {
-			r = s.rewrite(ctx, key, value)
+			r = s.overwrite(ctx, key, value)
 		}
 		switch r.Status {
 		case core.ObjectOK:
 			return nil
 		case core.ObjectNotFound, core.ObjectConflict:
-			continue // collected, or written by another operator: look again
+			continue // deleted by Collect, or written by another operator: retry
 		}
-		return Unavailable.New("the object API does not take %s", key)
+		return Unavailable.New("the object API did not store %s", key)
 	}
-	return Unavailable.New("%s changes all the time", key)
+	return Unavailable.New("%s was changed by others during every attempt to store it", key)
 }
 
-func (s *Service) rewrite(ctx context.Context, key string, value []byte) core.ObjectResult {
-	r := s.do(ctx, core.ObjectCall{Op: core.ObjectGet, Key: key})
+func (s *Service) overwrite(ctx context.Context, key string, value []byte) core.ObjectResult {
+	r := s.callWithRetry(ctx, core.ObjectCall{Op: core.ObjectGet, Key: key})
 	if r.Status != core.ObjectOK {
 		return r
 	}
-	return s.do(ctx, core.ObjectCall{Op: core.ObjectUpdate, Key: key, Value: value, IfVersion: r.Object.Version})
+	return s.callWithRetry(ctx, core.ObjectCall{Op: core.ObjectUpdate, Key: key, Value: value, IfVersion: r.Object.Version})
 }
