--- a/internal/console/session.go
+++ b/internal/console/session.go
@@ -12,17 +12,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// A session is a signed cookie, so that any host knows it and none keeps it.
+// A session is a signed cookie, so that every host can check it and none stores it.
 const (
-	cookieName  = "gentiancroft_session"
-	sessionTerm = 8 * time.Hour
-	nonceBytes  = 16
+	cookieName = "gentiancroft_session"
+	sessionTTL = 8 * time.Hour
+	nonceBytes = 16
 )
 
-// session is who is signed in.
+// session is the operator who is signed in.
 type session struct {
 	operator string
-	csrf     string // must come with every form
+	csrf     string // token that every posted form must carry
 }
 
 // sign returns the keyed hash of a value for one purpose.
@@ -32,18 +32,19 @@
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// newCookie returns the value of a new session's cookie: operator, end and
-// nonce, with a signature over them.
+// newCookie returns the value of a new session's cookie: operator, expiry and
+// nonce, and a signature over them.
 func (c *Console) newCookie(operator string) string {
 	var nonce [nonceBytes]byte
 	_, _ = rand.Read(nonce[:])
-	until := strconv.FormatInt(c.now().Add(sessionTerm).Unix(), 10)
+	until := strconv.FormatInt(c.now().Add(sessionTTL).Unix(), 10)
 	value := hex.EncodeToString([]byte(operator)) + "." + until + "." + hex.EncodeToString(nonce[:])
 	return value + "." + c.sign("session", value)
 }
 
-// session returns who a cookie speaks for.
-func (c *Console) session(cookie string) (session, bool) {
+// parseCookie returns the session of a cookie; false if its signature is wrong, it
+// expired or the operator was removed.
+func (c *Console) parseCookie(cookie string) (session, bool) {
 	i := strings.LastIndexByte(cookie, '.')
 	if i < 0 || !hmac.Equal([]byte(cookie[i+1:]), []byte(c.sign("session", cookie[:i]))) {
 		return session{}, false
@@ -63,23 +64,23 @@
 	return session{operator: string(operator), csrf: c.sign("form", cookie)}, true
 }
 
-// handler is a page for an operator who is signed in.
-type handler func(ctx *fasthttp.RequestCtx, who session)
+// sessionHandler serves a page to an operator who is signed in.
+type sessionHandler func(ctx *fasthttp.RequestCtx, sess session)
 
-// signedIn lets only operators through, and changes only from the console's own
-// forms.
-func (c *Console) signedIn(next handler) fasthttp.RequestHandler {
+// requireSession redirects requests without a session to the sign-in page, and
+// refuses posts without the session's CSRF token.
+func (c *Console) requireSession(next sessionHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		who, ok := c.session(string(ctx.Request.Header.Cookie(cookieName)))
+		sess, ok := c.parseCookie(string(ctx.Request.Header.Cookie(cookieName)))
 		if !ok {
 			ctx.Redirect(Root+"/login", fasthttp.StatusSeeOther)
 			return
 		}
-		if ctx.IsPost() && !hmac.Equal(ctx.PostArgs().Peek("csrf"), []byte(who.csrf)) {
-			c.render(ctx, fasthttp.StatusForbidden, "failed", "Not done", who, failure{Text: "The form is not from this session. Nothing was changed.", Again: true})
+		if ctx.IsPost() && !hmac.Equal(ctx.PostArgs().Peek("csrf"), []byte(sess.csrf)) {
+			c.render(ctx, fasthttp.StatusForbidden, "failed", "Request failed", sess, failedBody{Text: "The form is not from this session. Nothing was changed.", Again: true})
 			return
 		}
-		next(ctx, who)
+		next(ctx, sess)
 	}
 }
 
@@ -90,10 +91,10 @@
 func (c *Console) login(ctx *fasthttp.RequestCtx) {
 	operator, err := c.operators.Check(string(ctx.PostArgs().Peek("key")))
 	if err != nil {
-		c.render(ctx, fasthttp.StatusForbidden, "login", "Sign in", session{}, "This is no operator's key.")
+		c.render(ctx, fasthttp.StatusForbidden, "login", "Sign in", session{}, "This key belongs to no operator.")
 		return
 	}
-	setCookie(ctx, c.newCookie(operator), int(sessionTerm.Seconds()))
+	setCookie(ctx, c.newCookie(operator), int(sessionTTL.Seconds()))
 	ctx.Redirect(Root, fasthttp.StatusSeeOther)
 }
 
