--- a/internal/admin/apply.go
+++ b/internal/admin/apply.go
@@ -36,7 +36,7 @@
 	h.Version = p.Base.Head.Version + 1
 	h.By = operator.Name
 	h.At = s.now().UTC()
-	h.Token = newWriteID()
+	h.WriteID = newWriteID()
 	if h.Version%collectInterval == 0 {
 		_, _ = s.Collect(ctx) // best effort: the next collection deletes the rest
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		return InDoubt.New("%v", err)
 	}
-	if current.Head.Token == h.Token {
+	if current.Head.WriteID == h.WriteID {
 		return nil
 	}
 	if current.Head.Version <= p.Base.Head.Version {
@@ -121,7 +121,7 @@
 		if err != nil {
 			return InDoubt.New("%v", err)
 		}
-		if len(after) == 1 && after[0].Token == h.Token {
+		if len(after) == 1 && after[0].Token == h.WriteID {
 			return nil
 		}
 	}
--- a/internal/admin/audit.go
+++ b/internal/admin/audit.go
@@ -46,9 +46,9 @@
 func newRecord(operator Operator, p *Plan, h config.Head) Record {
 	r := Record{
 		Version:   h.Version,
-		Token:     h.Token,
+		Token:     h.WriteID,
 		From:      p.Base.Head.Version,
-		FromToken: p.Base.Head.Token,
+		FromToken: p.Base.Head.WriteID,
 		By:        h.By,
 		Via:       operator.Via,
 		At:        h.At,
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	version, writeID := head.Head.Version, head.Head.Token
+	version, writeID := head.Head.Version, head.Head.WriteID
 	to = min(to, version)
 	if from == 0 {
 		from = 1
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.Parse(text)
+	return config.ParseYAML(text)
 })
 
 func openConsole(t *testing.T) *browser {
