--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// batch is an engine's continuous batch: a request joins as soon as there is a
-// place, the most urgent first and the earliest among equals.
+// batch is an engine's continuous batch. Waiting requests are admitted by
+// priority, in order of arrival among equal priorities.
 type batch struct {
-	mu      sync.Mutex
-	size    int
-	running int
-	waiting []*waiter
+	mu       sync.Mutex
+	capacity int
+	running  int
+	waiting  []*waiter
 }
 
 type waiter struct {
@@ -20,10 +20,11 @@
 	ready    chan struct{}
 }
 
-// enter waits for a place and reports whether it got one before ctx ended.
-func (b *batch) enter(ctx context.Context, priority int) bool {
+// acquire waits for a free place and reports whether it got one before ctx was
+// done.
+func (b *batch) acquire(ctx context.Context, priority int) bool {
 	b.mu.Lock()
-	if b.running < b.size && len(b.waiting) == 0 {
+	if b.running < b.capacity && len(b.waiting) == 0 {
 		b.running++
 		b.mu.Unlock()
 		return true
@@ -36,12 +37,13 @@
 	case <-w.ready:
 		return true
 	case <-ctx.Done():
-		return b.withdraw(w)
+		return b.cancelWait(w)
 	}
 }
 
-// withdraw takes a waiter back; true where its place came first after all.
-func (b *batch) withdraw(w *waiter) bool {
+// cancelWait removes a waiter. It returns true if the waiter was given a place
+// in the meantime; the caller then has to release it.
+func (b *batch) cancelWait(w *waiter) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at := slices.Index(b.waiting, w)
@@ -52,8 +54,8 @@
 	return false
 }
 
-// leave gives a place up.
-func (b *batch) leave() {
+// release frees a place or passes it to the first waiter.
+func (b *batch) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.waiting) == 0 {
@@ -62,10 +64,10 @@
 	}
 	next := b.waiting[0]
 	b.waiting = b.waiting[1:]
-	close(next.ready) // the place passes on
+	close(next.ready) // running stays unchanged
 }
 
-// counts returns how many requests run and wait.
+// counts returns the numbers of running and of waiting requests.
 func (b *batch) counts() (running, waiting int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/complete.go
+++ b/internal/standin/complete.go
@@ -12,28 +12,28 @@
 )
 
 type completionRequest struct {
-	Model     string          `json:"model"`
-	Prompt    json.RawMessage `json:"prompt"`
-	Messages  json.RawMessage `json:"messages"`
-	MaxTokens int             `json:"max_tokens"`
-	MaxChat   int             `json:"max_completion_tokens"`
-	Stream    bool            `json:"stream"`
+	Model               string          `json:"model"`
+	Prompt              json.RawMessage `json:"prompt"`
+	Messages            json.RawMessage `json:"messages"`
+	MaxTokens           int             `json:"max_tokens"`
+	MaxCompletionTokens int             `json:"max_completion_tokens"`
+	Stream              bool            `json:"stream"`
 }
 
 func (c completionRequest) prompt() string { return string(c.Prompt) + string(c.Messages) }
 
-func (c completionRequest) tokens() int { return max(c.MaxTokens, c.MaxChat) }
-
-// run is one request inside an engine.
-type run struct {
-	engine *Engine
-	body   completionRequest
-	batch  *batch // of the incarnation that took it
-	faults Faults
-	trace  *Trace
-	ctx    context.Context // ends with the caller's connection or the incarnation
-	life   context.Context
-	tokens int // generated so far
+func (c completionRequest) tokens() int { return max(c.MaxTokens, c.MaxCompletionTokens) }
+
+// engineRequest is one completion request inside an engine.
+type engineRequest struct {
+	engine         *Engine
+	body           completionRequest
+	batch          *batch // of the incarnation that admitted the request
+	faults         Faults
+	trace          *Trace
+	ctx            context.Context // done when the caller disconnects or the incarnation ends
+	incarnationCtx context.Context
+	generated      int // tokens so far
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
@@ -46,7 +46,7 @@
 		http.Error(w, "X-Adapter and model name different adapters", http.StatusBadRequest)
 		return
 	}
-	x, status := e.begun(r, body)
+	x, status := e.admit(r, body)
 	if status != 0 {
 		w.Header().Set("X-Ran", "no")
 		http.Error(w, http.StatusText(status), status)
@@ -54,68 +54,70 @@
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(x.life, cancel)()
+	defer context.AfterFunc(x.incarnationCtx, cancel)()
 	x.ctx = ctx
 	outcome := x.serve(w, int(headerNumber(r, "X-Priority")))
 	e.finish(x, outcome)
 	if outcome == "crashed" {
-		abort()
+		dropConnection()
 	}
 }
 
-// begun takes a request in, or says with which status it is refused.
-func (e *Engine) begun(r *http.Request, body completionRequest) (*run, int) {
+// admit records a trace and admits the request. It returns the HTTP status of
+// the refusal, 0 if the request is admitted.
+func (e *Engine) admit(r *http.Request, body completionRequest) (*engineRequest, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := &Trace{Request: r.Header.Get("X-Request-Id"), Adapter: body.Model, Path: r.URL.Path, Header: r.Header.Clone(), Started: time.Now(), Outcome: "running"}
 	e.traces = append(e.traces, t)
-	if len(e.traces) > traceLimit {
+	if len(e.traces) > maxTraces {
 		e.traces = e.traces[1:]
 	}
-	_, held := e.adapters[body.Model]
-	if e.faults.Refuse || !held {
+	_, loaded := e.adapters[body.Model]
+	if e.faults.Refuse || !loaded {
 		t.Outcome, t.Ended = "refused", t.Started
-		if !held {
+		if !loaded {
 			return nil, http.StatusNotFound
 		}
 		return nil, http.StatusServiceUnavailable
 	}
 	e.adapters[body.Model]++
-	return &run{engine: e, body: body, batch: e.batch, faults: e.faults, trace: t, life: e.life}, 0
+	return &engineRequest{engine: e, body: body, batch: e.batch, faults: e.faults, trace: t, incarnationCtx: e.incarnationCtx}, 0
 }
 
-func (e *Engine) finish(x *run, outcome string) {
+// finish completes the trace and the adapter's count of running requests.
+func (e *Engine) finish(x *engineRequest, outcome string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x.trace.Ended = time.Now()
 	x.trace.Outcome = outcome
-	x.trace.Tokens = x.tokens
-	if n, ok := e.adapters[x.body.Model]; ok && e.life == x.life {
+	x.trace.Tokens = x.generated
+	if n, ok := e.adapters[x.body.Model]; ok && e.incarnationCtx == x.incarnationCtx {
 		e.adapters[x.body.Model] = n - 1
 	}
 }
 
-// serve runs a request in the batch and returns its outcome.
-func (x *run) serve(w http.ResponseWriter, priority int) string {
+// serve runs the request in the batch and returns its outcome, as in Trace.
+func (x *engineRequest) serve(w http.ResponseWriter, priority int) string {
 	s := x.engine.settings
 	if s.Poison != "" && strings.Contains(x.body.prompt(), s.Poison) {
 		x.engine.Crash()
 		return "crashed"
 	}
-	if !x.batch.enter(x.ctx, priority) {
-		return x.ending()
+	if !x.batch.acquire(x.ctx, priority) {
+		return x.interruptedOutcome()
 	}
-	defer x.batch.leave()
+	defer x.batch.release()
 	if x.faults.Hang {
 		<-x.ctx.Done()
-		return x.ending()
+		return x.interruptedOutcome()
 	}
 	prefill := s.FirstToken
-	if x.engine.prefixes.use(x.body.Model, x.body.prompt()) {
-		prefill /= cachedPrefill
+	if x.engine.prefixes.lookupOrInsert(x.body.Model, x.body.prompt()) {
+		prefill /= cachedPrefillSpeedup
 	}
-	if !supervise.Sleep(x.ctx, x.faults.stretch(prefill)) {
-		return x.ending()
+	if !supervise.Sleep(x.ctx, x.faults.slowed(prefill)) {
+		return x.interruptedOutcome()
 	}
 	switch {
 	case x.faults.Drop:
@@ -127,54 +129,58 @@
 	return x.generate(w)
 }
 
-// ending tells a crash from a cancelled request.
-func (x *run) ending() string {
-	if x.life.Err() != nil {
+// interruptedOutcome returns the outcome of a request whose context is done:
+// the engine crashed or the caller cancelled.
+func (x *engineRequest) interruptedOutcome() string {
+	if x.incarnationCtx.Err() != nil {
 		return "crashed"
 	}
 	return "cancelled"
 }
 
-func (x *run) generate(w http.ResponseWriter) string {
-	answer := writer{w: w, stream: x.body.Stream}
+// generate writes the tokens one by one and returns the outcome.
+func (x *engineRequest) generate(w http.ResponseWriter) string {
+	answer := answerWriter{w: w, stream: x.body.Stream}
 	for i := range x.body.tokens() {
-		if x.faults.BreakAfter > 0 && i >= x.faults.BreakAfter || x.evicted() {
+		if x.faults.BreakAfter > 0 && i >= x.faults.BreakAfter || x.adapterUnloaded() {
 			return "crashed"
 		}
 		if i > 0 && !supervise.Sleep(x.ctx, x.tokenTime()) || x.ctx.Err() != nil {
-			return x.ending()
+			return x.interruptedOutcome()
 		}
-		answer.token(fmt.Sprintf("%s:%d ", x.body.Model, i))
-		x.tokens = i + 1
+		answer.writeToken(fmt.Sprintf("%s:%d ", x.body.Model, i))
+		x.generated = i + 1
 	}
-	answer.end(len(x.body.prompt())/4+1, x.body.tokens())
+	answer.writeEnd(len(x.body.prompt())/4+1, x.body.tokens())
 	return "done"
 }
 
-// tokenTime grows with the batch, as one step of it takes longer.
-func (x *run) tokenTime() time.Duration {
+// tokenTime returns the time per token. It grows with the batch, since a step
+// of a larger batch takes longer.
+func (x *engineRequest) tokenTime() time.Duration {
 	running, _ := x.batch.counts()
 	s := x.engine.settings
 	d := float64(s.TokenTime) * (1 + s.Slowdown*float64(running-1))
-	return x.faults.stretch(time.Duration(d))
+	return x.faults.slowed(time.Duration(d))
 }
 
-// evicted reports that the adapter was unloaded under the request.
-func (x *run) evicted() bool {
+// adapterUnloaded reports whether the adapter was unloaded while the request
+// was running.
+func (x *engineRequest) adapterUnloaded() bool {
 	x.engine.mu.Lock()
 	defer x.engine.mu.Unlock()
-	_, held := x.engine.adapters[x.body.Model]
-	return !held && x.engine.life == x.life
+	_, loaded := x.engine.adapters[x.body.Model]
+	return !loaded && x.engine.incarnationCtx == x.incarnationCtx
 }
 
-// writer gives an answer as events or as one JSON object.
-type writer struct {
+// answerWriter writes an answer as server-sent events or as one JSON object.
+type answerWriter struct {
 	w      http.ResponseWriter
 	stream bool
 	text   strings.Builder
 }
 
-func (a *writer) token(text string) {
+func (a *answerWriter) writeToken(text string) {
 	if !a.stream {
 		a.text.WriteString(text)
 		return
@@ -184,7 +190,7 @@
 	a.w.(http.Flusher).Flush()
 }
 
-func (a *writer) end(prompt, generated int) {
+func (a *answerWriter) writeEnd(prompt, generated int) {
 	usage := fmt.Sprintf(`"usage":{"prompt_tokens":%d,"completion_tokens":%d}`, prompt, generated)
 	if a.stream {
 		fmt.Fprintf(a.w, "data: {\"choices\":[],%s}\n\ndata: [DONE]\n\n", usage)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,6 +1,8 @@
-// Package standin holds small stand-ins for what the system meets: engines,
-// plain services, the object API, the weight store and the host list. They
-// speak the published protocols and serve demos, tests and load runs.
+// Package standin emulates the upstreams of the system for demos, tests and
+// load runs: inference engines that load LoRA adapters, plain services, and the
+// weight store that the engines load from. The emulators implement the
+// published protocols and can inject faults. The object API and the host list
+// are emulated in the package platform below it.
 package standin
 
 import (
@@ -13,56 +15,56 @@
 	"gentiancroft/internal/upstream"
 )
 
-// EngineSettings shape a stand-in engine. Zero values take the defaults of the
-// constants below; a zero duration is no time.
+// EngineSettings configure an emulated engine. Slots, Batch and Prefixes have
+// defaults that replace zero; a zero duration means no delay.
 type EngineSettings struct {
 	Name       string
-	LoadTime   time.Duration // of one adapter load, where Weights is nil
-	FirstToken time.Duration // prefill of an uncached prompt by an empty batch
-	TokenTime  time.Duration // between tokens with one request in the batch
-	Slowdown   float64       // share of TokenTime that each further request adds
-	Slots      int           // adapters held at once
-	Batch      int           // requests run at once
-	Prefixes   int           // prompt heads cached
-	ReportLag  time.Duration // how old a load report may be
-	EventDelay time.Duration // how late cache events are
-	EventGap   int           // every so many-th cache event is lost
-	Restart    time.Duration // how long a crashed engine is away
-	CheckFence bool          // refuses orders with an old fencing number
-	Poison     string        // a prompt that holds it crashes the engine; "": none
-	Weights    *WeightStore  // shared by engines; nil: loads take LoadTime
+	LoadTime   time.Duration // of one adapter load; used if Weights is nil
+	FirstToken time.Duration // prefill time of an uncached prompt
+	TokenTime  time.Duration // time per token with one request in the batch
+	Slowdown   float64       // fraction of TokenTime that each further request in the batch adds
+	Slots      int           // maximum number of loaded adapters
+	Batch      int           // maximum number of running requests
+	Prefixes   int           // maximum number of cached prompt prefixes
+	ReportLag  time.Duration // maximum age of a load report
+	EventDelay time.Duration // delay of cache events
+	EventGap   int           // every EventGap-th cache event is lost; 0: none
+	Restart    time.Duration // time for which a crashed engine drops connections
+	CheckFence bool          // rejects load and unload orders with an outdated fencing number
+	Poison     string        // a prompt that contains it crashes the engine; "": none
+	Weights    *WeightStore  // may be shared by engines; nil: a load takes LoadTime
 }
 
-// Defaults of an engine.
+// Defaults of EngineSettings, and the effect of the prefix cache.
 const (
-	defaultSlots    = 8
-	defaultBatch    = 32
-	defaultPrefixes = 64
-	cachedPrefill   = 5 // a cached prompt head makes prefill so many times shorter
+	defaultSlots         = 8
+	defaultBatch         = 32
+	defaultPrefixes      = 64
+	cachedPrefillSpeedup = 5 // prefill time is divided by it if the prompt's prefix is cached
 )
 
-// Engine is a model engine that holds adapters and streams tokens.
+// Engine emulates an inference engine that loads adapters and streams tokens.
 type Engine struct {
 	settings EngineSettings
-	prefixes *prefixes
-
-	mu         sync.Mutex
-	batch      *batch
-	life       context.Context // of this incarnation
-	kill       context.CancelFunc
-	number     int // of the incarnation
-	away       time.Time
-	adapters   map[string]int // running requests by adapter
-	loading    map[string]bool
-	fence      uint64 // highest seen
-	faults     Faults
-	traces     []*Trace
-	violations int
-	report     upstream.LoadReport
-	reported   time.Time
+	prefixes *prefixCache
+
+	mu                sync.Mutex
+	batch             *batch
+	incarnationCtx    context.Context // done when this incarnation ends
+	endIncarnation    context.CancelFunc
+	incarnationNumber int
+	unavailableUntil  time.Time
+	adapters          map[string]int // number of running requests by loaded adapter
+	loading           map[string]bool
+	highestFence      uint64 // highest fencing number received by this incarnation
+	faults            Faults
+	traces            []*Trace
+	violations        int
+	report            upstream.LoadReport
+	reportedAt        time.Time
 }
 
-// NewEngine returns an engine that holds no adapter.
+// NewEngine returns an engine without loaded adapters.
 func NewEngine(s EngineSettings) *Engine {
 	if s.Slots == 0 {
 		s.Slots = defaultSlots
@@ -73,44 +75,45 @@
 	if s.Prefixes == 0 {
 		s.Prefixes = defaultPrefixes
 	}
-	e := &Engine{settings: s, prefixes: newPrefixes(s.Prefixes, s.EventDelay, s.EventGap)}
+	e := &Engine{settings: s, prefixes: newPrefixCache(s.Prefixes, s.EventDelay, s.EventGap)}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.begin()
+	e.startIncarnation()
 	return e
 }
 
-// begin starts an incarnation that holds nothing; mu is held.
-func (e *Engine) begin() {
-	e.number++
-	e.life, e.kill = context.WithCancel(context.Background())
-	e.batch = &batch{size: e.settings.Batch}
+// startIncarnation starts a new incarnation without adapters, fencing number
+// and cached prefixes. The caller holds mu.
+func (e *Engine) startIncarnation() {
+	e.incarnationNumber++
+	e.incarnationCtx, e.endIncarnation = context.WithCancel(context.Background())
+	e.batch = &batch{capacity: e.settings.Batch}
 	e.adapters = map[string]int{}
 	e.loading = map[string]bool{}
-	e.fence = 0
-	e.reported = time.Time{}
+	e.highestFence = 0
+	e.reportedAt = time.Time{}
 	e.prefixes.clear()
 }
 
-// Crash drops every request and comes back empty, as a new incarnation, once
-// the restart time has passed.
+// Crash aborts all requests and starts a new incarnation without adapters. The
+// engine drops connections until the restart time has passed.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.kill()
-	e.away = time.Now().Add(e.settings.Restart)
-	e.begin()
+	e.endIncarnation()
+	e.unavailableUntil = time.Now().Add(e.settings.Restart)
+	e.startIncarnation()
 }
 
-// Set replaces the engine's faults.
+// Set replaces the injected faults. The next load report is computed anew.
 func (e *Engine) Set(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
-	e.reported = time.Time{}
+	e.reportedAt = time.Time{}
 }
 
-// Traces returns what the engine saw, in order of arrival.
+// Traces returns the latest completion requests, in order of arrival.
 func (e *Engine) Traces() []Trace {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,47 +124,49 @@
 	return out
 }
 
-// Violations counts unloads of an adapter that was serving a request.
+// Violations returns how often an adapter was unloaded while a request was
+// using it.
 func (e *Engine) Violations() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.violations
 }
 
-// Adapters returns the running requests of each adapter that the engine holds.
+// Adapters returns the number of running requests of each loaded adapter.
 func (e *Engine) Adapters() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	held := make(map[string]int, len(e.adapters))
+	counts := make(map[string]int, len(e.adapters))
 	for name, n := range e.adapters {
-		held[name] = n
+		counts[name] = n
 	}
-	return held
+	return counts
 }
 
-// Handler serves the engine's HTTP interface and, under /admin/, its faults.
+// Handler serves the engine's HTTP interface and, under /admin/, fault
+// injection and traces.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", e.up(e.complete))
-	mux.HandleFunc("POST /v1/chat/completions", e.up(e.complete))
-	mux.HandleFunc("POST /v1/load_lora_adapter", e.up(e.load))
-	mux.HandleFunc("POST /v1/unload_lora_adapter", e.up(e.unload))
-	mux.HandleFunc("GET /load", e.up(e.poll))
-	mux.HandleFunc("GET /cache_events", e.up(e.cacheEvents))
+	mux.HandleFunc("POST /v1/completions", e.whenAvailable(e.complete))
+	mux.HandleFunc("POST /v1/chat/completions", e.whenAvailable(e.complete))
+	mux.HandleFunc("POST /v1/load_lora_adapter", e.whenAvailable(e.load))
+	mux.HandleFunc("POST /v1/unload_lora_adapter", e.whenAvailable(e.unload))
+	mux.HandleFunc("GET /load", e.whenAvailable(e.serveLoadReport))
+	mux.HandleFunc("GET /cache_events", e.whenAvailable(e.cacheEvents))
 	mux.HandleFunc("POST /admin/faults", func(w http.ResponseWriter, r *http.Request) { setFaults(w, r, e.Set) })
 	mux.HandleFunc("POST /admin/crash", func(http.ResponseWriter, *http.Request) { e.Crash() })
 	mux.HandleFunc("GET /admin/trace", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Traces()) })
 	return mux
 }
 
-// up drops connections while the engine is away after a crash.
-func (e *Engine) up(h http.HandlerFunc) http.HandlerFunc {
+// whenAvailable drops connections while the engine restarts after a crash.
+func (e *Engine) whenAvailable(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
-		away := time.Now().Before(e.away)
+		restarting := time.Now().Before(e.unavailableUntil)
 		e.mu.Unlock()
-		if away {
-			abort()
+		if restarting {
+			dropConnection()
 		}
 		h(w, r)
 	}
@@ -173,4 +178,6 @@
 	return e.faults
 }
 
-func (e *Engine) incarnation() string { return fmt.Sprintf("%s/%d", e.settings.Name, e.number) }
+func (e *Engine) incarnation() string {
+	return fmt.Sprintf("%s/%d", e.settings.Name, e.incarnationNumber)
+}
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -13,21 +13,21 @@
 	"github.com/matryer/is"
 )
 
-// bench is an engine behind HTTP.
-type bench struct {
+// engineServer is an engine that is served over HTTP.
+type engineServer struct {
 	*Engine
 	is  *is.I
 	url string
 }
 
-func newBench(t *testing.T, s EngineSettings) *bench {
+func newEngineServer(t *testing.T, s EngineSettings) *engineServer {
 	e := NewEngine(s)
 	server := httptest.NewServer(e.Handler())
 	t.Cleanup(server.Close)
-	return &bench{Engine: e, is: is.New(t), url: server.URL}
+	return &engineServer{Engine: e, is: is.New(t), url: server.URL}
 }
 
-func (b *bench) post(path, body string, headers ...string) (int, string) {
+func (b *engineServer) post(path, body string, headers ...string) (int, string) {
 	r, err := http.NewRequest("POST", b.url+path, strings.NewReader(body))
 	b.is.NoErr(err)
 	for _, h := range headers {
@@ -46,53 +46,53 @@
 	return response.StatusCode, string(text)
 }
 
-func (b *bench) loadAdapter(name string, headers ...string) int {
+func (b *engineServer) loadAdapter(name string, headers ...string) int {
 	status, _ := b.post("/v1/load_lora_adapter", `{"lora_name":"`+name+`"}`, headers...)
 	return status
 }
 
-const ask = `{"model":"a@1","prompt":"p","max_tokens":2,"stream":true}`
+const completionBody = `{"model":"a@1","prompt":"p","max_tokens":2,"stream":true}`
 
 func TestSlotsAndFencing(t *testing.T) {
-	b := newBench(t, EngineSettings{Slots: 1, CheckFence: true})
+	b := newEngineServer(t, EngineSettings{Slots: 1, CheckFence: true})
 	b.is.Equal(b.loadAdapter("a@1", "X-Fence: 5"), 200)
 	b.is.Equal(b.loadAdapter("b@1", "X-Fence: 5"), 409) // no slot
-	b.is.Equal(b.loadAdapter("a@1", "X-Fence: 4"), 409) // an old owner
+	b.is.Equal(b.loadAdapter("a@1", "X-Fence: 4"), 409) // outdated fencing number, as from a former owner
 	status, _ := b.post("/v1/unload_lora_adapter", `{"lora_name":"a@1"}`, "X-Fence: 6")
 	b.is.Equal(status, 200)
 	b.is.Equal(b.Violations(), 0)
-	status, _ = b.post("/v1/completions", ask)
+	status, _ = b.post("/v1/completions", completionBody)
 	b.is.Equal(status, 404)
 }
 
-func TestAnswersNameTheirAdapterAndAreTraced(t *testing.T) {
-	b := newBench(t, EngineSettings{})
+func TestAnswersNameAdapterAndAreTraced(t *testing.T) {
+	b := newEngineServer(t, EngineSettings{})
 	b.is.Equal(b.loadAdapter("a@1"), 200)
-	status, text := b.post("/v1/completions", ask, "X-Request-Id: r1", "X-Adapter: a@1")
+	status, text := b.post("/v1/completions", completionBody, "X-Request-Id: r1", "X-Adapter: a@1")
 	b.is.Equal(status, 200)
 	b.is.Equal(strings.Count(text, "a@1:"), 2)
 	b.is.True(strings.HasSuffix(text, "data: [DONE]\n\n"))
-	status, _ = b.post("/v1/completions", ask, "X-Adapter: a@2")
+	status, _ = b.post("/v1/completions", completionBody, "X-Adapter: a@2")
 	b.is.Equal(status, 400) // model and X-Adapter must agree
 	traces := b.Traces()
 	b.is.Equal(len(traces), 1)
 	b.is.Equal([]any{traces[0].Request, traces[0].Outcome, traces[0].Tokens}, []any{"r1", "done", 2})
 }
 
-func TestPoisonCrashesTheEngineWhichComesBackEmpty(t *testing.T) {
-	b := newBench(t, EngineSettings{Name: "e", Poison: "poison"})
+func TestPoisonPromptRestartsEngineWithoutAdapters(t *testing.T) {
+	b := newEngineServer(t, EngineSettings{Name: "e", Poison: "poison"})
 	b.is.Equal(b.loadAdapter("a@1"), 200)
-	before := b.present().Incarnation
+	before := b.currentReport().Incarnation
 	status, _ := b.post("/v1/completions", `{"model":"a@1","prompt":"poison","max_tokens":1}`)
 	b.is.Equal(status, 0) // the connection was dropped
 	b.is.Equal(len(b.Adapters()), 0)
-	b.is.True(b.present().Incarnation != before)
+	b.is.True(b.currentReport().Incarnation != before)
 }
 
-func TestBatchTakesTheMostUrgentFirst(t *testing.T) {
+func TestBatchAdmitsByPriority(t *testing.T) {
 	is := is.New(t)
-	b := &batch{size: 1}
-	is.True(b.enter(context.Background(), 0))
+	b := &batch{capacity: 1}
+	is.True(b.acquire(context.Background(), 0))
 	var order []int
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -100,11 +100,11 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			_ = b.enter(context.Background(), priority)
+			_ = b.acquire(context.Background(), priority)
 			mu.Lock()
 			order = append(order, priority)
 			mu.Unlock()
-			b.leave()
+			b.release()
 		}()
 		for _, n := b.counts(); n <= waiting; _, n = b.counts() {
 			time.Sleep(time.Millisecond)
@@ -112,41 +112,41 @@
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.True(!b.enter(cancelled, 0))
-	b.leave()
+	is.True(!b.acquire(cancelled, 0))
+	b.release()
 	all.Wait()
 	is.Equal(order, []int{0, 0, 1, 2})
 }
 
-func TestWeightStoreSlowsBeyondItsTransitAndRefusesBeyondItsRate(t *testing.T) {
+func TestWeightStoreSlowsOverTransitAndRefusesOverRate(t *testing.T) {
 	is := is.New(t)
 	w := NewWeightStore(WeightSettings{LoadTime: time.Second, Transit: 8, Rate: 1e-9, Burst: 16})
 	var times []time.Duration
 	for range 16 {
-		took, err := w.begin()
+		took, err := w.startLoad()
 		is.NoErr(err)
 		times = append(times, took)
 	}
 	is.Equal(times[7], time.Second)
 	is.Equal(times[15], 2*time.Second)
-	_, err := w.begin()
+	_, err := w.startLoad()
 	is.True(StoreError.Has(err))
 	is.Equal(w.Counts(), WeightCounts{Started: 16, Refused: 1, Most: 16})
 }
 
-func TestCacheEventsAreLateAndHaveGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndLost(t *testing.T) {
 	is := is.New(t)
-	p := newPrefixes(1, 0, 3)
-	is.True(!p.use("a", "x"))
-	is.True(p.use("a", "x"))
-	is.True(!p.use("a", "y")) // drops x: event 2, and stores y: event 3, which is lost
-	events := p.after(0)
+	p := newPrefixCache(1, 0, 3)
+	is.True(!p.lookupOrInsert("a", "x"))
+	is.True(p.lookupOrInsert("a", "x"))
+	is.True(!p.lookupOrInsert("a", "y")) // evicts x (event 2) and stores y (event 3, which is lost)
+	events := p.eventsAfter(0)
 	is.Equal(len(events), 2)
 	is.Equal(events[1].Stored, false)
-	is.Equal(len(newPrefixes(1, time.Hour, 0).after(0)), 0)
-	late := newPrefixes(1, time.Hour, 0)
-	late.use("a", "x")
-	is.Equal(len(late.after(0)), 0)
+	is.Equal(len(newPrefixCache(1, time.Hour, 0).eventsAfter(0)), 0)
+	late := newPrefixCache(1, time.Hour, 0)
+	late.lookupOrInsert("a", "x")
+	is.Equal(len(late.eventsAfter(0)), 0)
 }
 
 func TestServiceCountsEffectsByKey(t *testing.T) {
@@ -164,7 +164,7 @@
 		}
 	}
 	call(Faults{})
-	call(Faults{Drop: true}) // took effect, though the answer was lost
+	call(Faults{Drop: true}) // the call takes effect, but its answer is lost
 	call(Faults{Refuse: true})
 	is.Equal(s.Effects(), map[string]int{"k": 2})
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -7,27 +7,29 @@
 	"time"
 )
 
-// Faults are what an engine or a service does wrong until told otherwise.
+// Faults are the faults injected into an engine or a service; they last until
+// replaced.
 type Faults struct {
-	FailLoads  int     `json:"fail_loads"`  // so many next loads fail
-	BreakAfter int     `json:"break_after"` // streams break off after so many tokens; 0: none
-	Refuse     bool    `json:"refuse"`      // answers 503 and says that it ran nothing
-	Fail       bool    `json:"fail"`        // answers 500 after it ran the request
-	Drop       bool    `json:"drop"`        // drops the connection after it ran the request
-	Hang       bool    `json:"hang"`        // takes requests and never answers
-	Mute       bool    `json:"mute"`        // does not answer polls
-	Slow       float64 `json:"slow"`        // everything takes so many times longer; 0: as ever
-	Leaving    bool    `json:"leaving"`     // reports that it is leaving
+	FailLoads  int     `json:"fail_loads"`  // number of next adapter loads that fail
+	BreakAfter int     `json:"break_after"` // streams break off after this number of tokens; 0: never
+	Refuse     bool    `json:"refuse"`      // answers 503 with X-Ran: no, without running the request
+	Fail       bool    `json:"fail"`        // answers 500 after running the request
+	Drop       bool    `json:"drop"`        // drops the connection after running the request
+	Hang       bool    `json:"hang"`        // accepts requests and never answers
+	Mute       bool    `json:"mute"`        // drops the connections of load report polls
+	Slow       float64 `json:"slow"`        // factor on all durations; 0: none
+	Leaving    bool    `json:"leaving"`     // load reports say that the upstream is leaving
 }
 
-func (f Faults) stretch(d time.Duration) time.Duration {
+// slowed returns d multiplied by Slow.
+func (f Faults) slowed(d time.Duration) time.Duration {
 	if f.Slow <= 0 {
 		return d
 	}
 	return time.Duration(float64(d) * f.Slow)
 }
 
-// Trace is one request that an upstream saw.
+// Trace records one request that an upstream received.
 type Trace struct {
 	Request string      `json:"request"`
 	Adapter string      `json:"adapter,omitempty"`
@@ -39,8 +41,9 @@
 	Outcome string      `json:"outcome"` // running, done, cancelled, crashed, refused, failed
 }
 
-// traceLimit is how many traces an upstream keeps, the latest.
-const traceLimit = 65536
+// maxTraces is the number of traces that an engine keeps; older ones are
+// dropped.
+const maxTraces = 65536
 
 func setFaults(w http.ResponseWriter, r *http.Request, set func(Faults)) {
 	var f Faults
@@ -58,6 +61,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// headerNumber returns the number in a header field, 0 if it is missing or
+// malformed.
 func headerNumber(r *http.Request, name string) uint64 {
 	n, err := strconv.ParseUint(r.Header.Get(name), 10, 64)
 	if err != nil {
@@ -66,5 +71,5 @@
 	return n
 }
 
-// abort drops a connection without an answer.
-func abort() { panic(http.ErrAbortHandler) }
+// dropConnection closes the connection without an answer; it does not return.
+func dropConnection() { panic(http.ErrAbortHandler) }
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,5 +1,7 @@
-// Package fleet runs the stand-ins as a process of their own: the platform,
-// the weight store, engines and plain services, each on its own address.
+// Package fleet runs emulators in one process: the platform, engines and plain
+// services, each at its own address, and the weight store that the engines
+// share. The settings say which; the behaviour is that of the packages standin
+// and standin/platform.
 package fleet
 
 import (
@@ -17,10 +19,10 @@
 	"gentiancroft/internal/standin/platform"
 )
 
-// Error is the class of failures to run stand-ins.
+// Error is the class of failures to listen or to serve.
 var Error = errs.Class("stand-ins")
 
-// Settings of a process of stand-ins.
+// Settings of a process with emulators.
 type Settings struct {
 	Platform *Platform `yaml:"platform"`
 	Weights  Weights   `yaml:"weights"`
@@ -28,22 +30,22 @@
 	Services []Service `yaml:"services" validate:"dive"`
 }
 
-// Platform is the object API and the lagging host list.
+// Platform configures the emulated object API and host list.
 type Platform struct {
 	Listen string            `yaml:"listen" validate:"required,ip_port"`
-	Lag    settings.Duration `yaml:"lag" validate:"duration"` // of the host list
-	Hosts  []string          `yaml:"hosts"`                   // on the list from the start
+	Lag    settings.Duration `yaml:"lag" validate:"duration"` // delay until a change of the host list is visible
+	Hosts  []string          `yaml:"hosts"`                   // initial host list, in addition to the upstreams
 }
 
-// Weights is the weight store that the engines share.
+// Weights configures the weight store that the engines share.
 type Weights struct {
 	LoadTime settings.Duration `yaml:"load_time" validate:"duration"`
 	Transit  int               `yaml:"transit" validate:"min=0"`
-	Rate     float64           `yaml:"rate" validate:"min=0"` // loads a second; 0: any
+	Rate     float64           `yaml:"rate" validate:"min=0"` // loads per second; 0: unlimited
 	Burst    int               `yaml:"burst" validate:"min=0"`
 }
 
-// Engine is a model engine.
+// Engine configures an emulated engine, as standin.EngineSettings does.
 type Engine struct {
 	Name       string            `yaml:"name" validate:"required"`
 	Listen     string            `yaml:"listen" validate:"required,ip_port"`
@@ -61,26 +63,28 @@
 	Poison     string            `yaml:"poison"`
 }
 
-// Service is a plain service.
+// Service configures an emulated plain service.
 type Service struct {
 	Name   string            `yaml:"name" validate:"required"`
 	Listen string            `yaml:"listen" validate:"required,ip_port"`
 	Delay  settings.Duration `yaml:"delay" validate:"duration"`
 }
 
-// Parse reads settings of stand-ins strictly.
+// Parse decodes and validates settings; unknown keys are errors. The file name
+// is used in error messages.
 func Parse(file string, b []byte) (*Settings, error) {
 	return settings.Decode[Settings](file, b)
 }
 
-// endpoint is one stand-in at its address.
+// endpoint is one emulator with its address.
 type endpoint struct {
 	name    string
 	address string
 	handler http.Handler
 }
 
-// Run serves every stand-in until ctx ends.
+// Run serves all emulators until ctx is done, then returns nil. It returns an
+// error if an address cannot be listened on or a server fails.
 func Run(ctx context.Context, s *Settings) error {
 	endpoints := s.endpoints()
 	listeners := make([]net.Listener, 0, len(endpoints))
@@ -120,6 +124,7 @@
 	}
 }
 
+// endpoints creates the emulators. The host list of the platform has all upstreams.
 func (s *Settings) endpoints() []endpoint {
 	var all []endpoint
 	var names []string
@@ -130,7 +135,7 @@
 		Burst:    s.Weights.Burst,
 	})
 	for _, e := range s.Engines {
-		all = append(all, endpoint{e.Name, e.Listen, standin.NewEngine(e.shape(store)).Handler()})
+		all = append(all, endpoint{e.Name, e.Listen, standin.NewEngine(e.emulatorSettings(store)).Handler()})
 		names = append(names, e.Name)
 	}
 	for _, v := range s.Services {
@@ -144,7 +149,8 @@
 	return all
 }
 
-func (e Engine) shape(store *standin.WeightStore) standin.EngineSettings {
+// emulatorSettings converts the settings of an engine.
+func (e Engine) emulatorSettings(store *standin.WeightStore) standin.EngineSettings {
 	return standin.EngineSettings{
 		Name:       e.Name,
 		FirstToken: e.FirstToken.Value(),
@@ -163,7 +169,8 @@
 	}
 }
 
-// handler serves the platform and, under /admin/, its faults and its list.
+// handler serves the platform and, under /admin/, fault injection, changes of
+// the host list and counters.
 func (p *Platform) handler(weights *standin.WeightStore, upstreams []string) http.Handler {
 	store := platform.NewStore()
 	server := platform.NewServer(store)
@@ -173,14 +180,15 @@
 	server.SetLag(p.Lag.Value())
 	mux := http.NewServeMux()
 	mux.Handle("/", server.Handler())
-	mux.HandleFunc("POST /admin/store", func(w http.ResponseWriter, r *http.Request) { setStore(w, r, store) })
-	mux.HandleFunc("POST /admin/list", func(w http.ResponseWriter, r *http.Request) { setList(w, r, server) })
-	mux.HandleFunc("GET /admin/weights", func(w http.ResponseWriter, _ *http.Request) { show(w, weights.Counts()) })
-	mux.HandleFunc("GET /admin/calls", func(w http.ResponseWriter, _ *http.Request) { show(w, store.Calls()) })
+	mux.HandleFunc("POST /admin/store", func(w http.ResponseWriter, r *http.Request) { setStoreFaults(w, r, store) })
+	mux.HandleFunc("POST /admin/list", func(w http.ResponseWriter, r *http.Request) { changeHostList(w, r, server) })
+	mux.HandleFunc("GET /admin/weights", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, weights.Counts()) })
+	mux.HandleFunc("GET /admin/calls", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, store.Calls()) })
 	return mux
 }
 
-// storeFaults are what the object API does wrong until told otherwise.
+// storeFaults are the faults injected into the object API; they last until
+// replaced.
 type storeFaults struct {
 	Down        bool              `json:"down"`
 	Delay       settings.Duration `json:"delay"`
@@ -188,9 +196,9 @@
 	StaleReads  bool              `json:"stale_reads"`
 }
 
-func setStore(w http.ResponseWriter, r *http.Request, store *platform.Store) {
+func setStoreFaults(w http.ResponseWriter, r *http.Request, store *platform.Store) {
 	var f storeFaults
-	if !read(w, r, &f) {
+	if !decodeBody(w, r, &f) {
 		return
 	}
 	store.SetDown(f.Down)
@@ -199,16 +207,16 @@
 	store.StaleReads(f.StaleReads)
 }
 
-// listEntry changes the host list.
-type listEntry struct {
+// hostListChange adds, changes or removes an entry of the host list.
+type hostListChange struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
 	Removed bool   `json:"removed"`
 }
 
-func setList(w http.ResponseWriter, r *http.Request, server *platform.Server) {
-	var e listEntry
-	if !read(w, r, &e) {
+func changeHostList(w http.ResponseWriter, r *http.Request, server *platform.Server) {
+	var e hostListChange
+	if !decodeBody(w, r, &e) {
 		return
 	}
 	if e.Removed {
@@ -218,7 +226,9 @@
 	server.List(e.Name, e.Leaving)
 }
 
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
+// decodeBody decodes a JSON body strictly. It reports whether that succeeded;
+// if not, it has answered 400.
+func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(v); err != nil {
@@ -228,7 +238,7 @@
 	return true
 }
 
-func show(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -13,42 +13,46 @@
 	"gentiancroft/internal/supervise"
 )
 
+// adapterOrder is the body of a load or unload order.
 type adapterOrder struct {
 	Name string `json:"lora_name"`
 }
 
-// order reads an adapter order and checks its fencing number; "" where the
-// order was answered already.
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) string {
+// readOrder reads a load or unload order, checks its fencing number and returns
+// the adapter's name. It returns "" if it rejected the order and wrote the
+// answer.
+func (e *Engine) readOrder(w http.ResponseWriter, r *http.Request) string {
 	var body adapterOrder
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || body.Name == "" {
-		http.Error(w, "no lora_name", http.StatusBadRequest)
+		http.Error(w, "the body has no lora_name", http.StatusBadRequest)
 		return ""
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	fence := headerNumber(r, "X-Fence")
-	if e.settings.CheckFence && fence < e.fence {
-		http.Error(w, "the fencing number is old", http.StatusConflict)
+	if e.settings.CheckFence && fence < e.highestFence {
+		http.Error(w, "the fencing number is outdated", http.StatusConflict)
 		return ""
 	}
-	e.fence = max(e.fence, fence)
+	e.highestFence = max(e.highestFence, fence)
 	return body.Name
 }
 
+// load handles a load order: it answers 409 if the order is rejected, 429 if
+// the weight store refuses the load and 500 for an injected fault.
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
-	name := e.order(w, r)
+	name := e.readOrder(w, r)
 	if name == "" {
 		return
 	}
-	life, status := e.beginLoad(name)
+	incarnation, status := e.reserveSlot(name)
 	if status != 0 {
 		http.Error(w, http.StatusText(status), status)
 		return
 	}
-	err := e.fetch(r.Context())
-	if life.Err() != nil {
-		abort()
+	err := e.fetchWeights(r.Context())
+	if incarnation.Err() != nil {
+		dropConnection()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,38 +69,44 @@
 	e.adapters[name] = 0
 }
 
-// beginLoad takes a slot; the status is 0 where the load may begin.
-func (e *Engine) beginLoad(name string) (context.Context, int) {
+// reserveSlot reserves a slot for a load and returns the context of the
+// incarnation. If no load is to start, it returns the status to answer: 200 if
+// the adapter is loaded already, 409 if it is loading or no slot is free.
+func (e *Engine) reserveSlot(name string) (context.Context, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, held := e.adapters[name]; held {
+	if _, loaded := e.adapters[name]; loaded {
 		return nil, http.StatusOK
 	}
 	if e.loading[name] || len(e.adapters)+len(e.loading) >= e.settings.Slots {
 		return nil, http.StatusConflict
 	}
 	e.loading[name] = true
-	return e.life, 0
+	return e.incarnationCtx, 0
 }
 
-func (e *Engine) fetch(ctx context.Context) error {
-	ctx = context.WithoutCancel(ctx) // an engine finishes a load whose asker hung up
+// fetchWeights waits for the time that the load takes. It fails if the weight
+// store refuses the load.
+func (e *Engine) fetchWeights(ctx context.Context) error {
+	ctx = context.WithoutCancel(ctx) // an engine finishes a load even if the client disconnects
 	if e.settings.Weights != nil {
 		return e.settings.Weights.Load(ctx)
 	}
-	supervise.Sleep(ctx, e.currentFaults().stretch(e.settings.LoadTime))
+	supervise.Sleep(ctx, e.currentFaults().slowed(e.settings.LoadTime))
 	return nil
 }
 
+// unload handles an unload order. It unloads the adapter even under running
+// requests, and counts that as a violation.
 func (e *Engine) unload(w http.ResponseWriter, r *http.Request) {
-	name := e.order(w, r)
+	name := e.readOrder(w, r)
 	if name == "" {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n, held := e.adapters[name]
-	if !held {
+	n, loaded := e.adapters[name]
+	if !loaded {
 		http.Error(w, "the adapter is not loaded", http.StatusNotFound)
 		return
 	}
@@ -106,23 +116,23 @@
 	delete(e.adapters, name)
 }
 
-// poll answers with a load report that may be as old as the lag.
-func (e *Engine) poll(w http.ResponseWriter, _ *http.Request) {
+// serveLoadReport answers with a load report that is up to ReportLag old.
+func (e *Engine) serveLoadReport(w http.ResponseWriter, _ *http.Request) {
 	if e.currentFaults().Mute {
-		abort()
+		dropConnection()
 	}
 	e.mu.Lock()
-	if now := time.Now(); e.reported.IsZero() || now.Sub(e.reported) >= e.settings.ReportLag {
-		e.report = e.present()
-		e.reported = now
+	if now := time.Now(); e.reportedAt.IsZero() || now.Sub(e.reportedAt) >= e.settings.ReportLag {
+		e.report = e.currentReport()
+		e.reportedAt = now
 	}
 	report := e.report
 	e.mu.Unlock()
 	writeJSON(w, report)
 }
 
-// present is the report as of now; mu is held.
-func (e *Engine) present() upstream.LoadReport {
+// currentReport returns an up-to-date load report. The caller holds mu.
+func (e *Engine) currentReport() upstream.LoadReport {
 	running, waiting := e.batch.counts()
 	r := upstream.LoadReport{Incarnation: e.incarnation(), Running: running, Waiting: waiting, Leaving: e.faults.Leaving}
 	for name, n := range e.adapters {
@@ -146,5 +156,5 @@
 	if err != nil {
 		after = 0
 	}
-	writeJSON(w, e.prefixes.after(after))
+	writeJSON(w, e.prefixes.eventsAfter(after))
 }
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -13,60 +13,65 @@
 	"gentiancroft/internal/platform"
 )
 
-// watchTerm is how long a watch waits before it answers with nothing.
-const watchTerm = 10 * time.Second
+// watchTimeout is the time after which a watch without changes is answered with
+// an empty list.
+const watchTimeout = 10 * time.Second
 
-// Server answers the platform's HTTP interface from a store.
+// Server serves the platform's HTTP interface: the objects of a store, and a
+// host list that changes with a delay.
 type Server struct {
 	Store *Store
 
-	mu    sync.Mutex
-	hosts []listed
-	lag   time.Duration
+	mu      sync.Mutex
+	changes []listChange
+	lag     time.Duration
 }
 
-// listed is a host with the moment from which the list shows it so.
-type listed struct {
+// listChange is a change of the host list with the time at which it becomes
+// visible.
+type listChange struct {
 	platform.Listed
-	shown   time.Time
-	removed bool
+	visibleAt time.Time
+	removed   bool
 }
 
-// NewServer returns a server over a store.
+// NewServer returns a server for the objects of s, with an empty host list.
 func NewServer(s *Store) *Server { return &Server{Store: s} }
 
-// SetLag sets how late the host list follows.
+// SetLag sets the delay until later changes of the host list become visible.
 func (s *Server) SetLag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lag = d
 }
 
-// List puts a host or upstream on the list, after the lag.
+// List adds a host or upstream to the list, or changes its entry, after the
+// lag.
 func (s *Server) List(name string, leaving bool) {
-	s.record(listed{Listed: platform.Listed{Name: name, Leaving: leaving}})
+	s.appendChange(listChange{Listed: platform.Listed{Name: name, Leaving: leaving}})
 }
 
-// Unlist takes a name off the list, after the lag.
+// Unlist removes a name from the list, after the lag.
 func (s *Server) Unlist(name string) {
-	s.record(listed{Listed: platform.Listed{Name: name}, removed: true})
+	s.appendChange(listChange{Listed: platform.Listed{Name: name}, removed: true})
 }
 
-func (s *Server) record(l listed) {
+func (s *Server) appendChange(l listChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.shown = time.Now().Add(s.lag)
-	s.hosts = append(s.hosts, l)
+	l.visibleAt = time.Now().Add(s.lag)
+	s.changes = append(s.changes, l)
 }
 
-// shownHosts is the list as of now: of each name the latest entry that shows.
-func (s *Server) shownHosts() []platform.Listed {
+// visibleHosts returns the current list, sorted by name: the latest visible
+// change of each name.
+func (s *Server) visibleHosts() []platform.Listed {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	latest := map[string]listed{}
-	for _, l := range s.hosts {
-		if !l.shown.After(now) {
+	latest := map[string]listChange{}
+	for _, l := range s.changes {
+		if !l.visibleAt.After(now) {
 			latest[l.Name] = l
 		}
 	}
@@ -85,13 +90,13 @@
 	return out
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler of the HTTP interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(platform.PathObject, s.object)
-	mux.HandleFunc(platform.PathObjects, s.objects)
-	mux.HandleFunc(platform.PathWatch, s.watch)
-	mux.HandleFunc(platform.PathHosts, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.shownHosts()) })
+	mux.HandleFunc(platform.PathObject, s.serveObject)
+	mux.HandleFunc(platform.PathObjects, s.serveObjects)
+	mux.HandleFunc(platform.PathWatch, s.serveWatch)
+	mux.HandleFunc(platform.PathHosts, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.visibleHosts()) })
 	return mux
 }
 
@@ -100,14 +105,14 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// object answers GET, PUT and DELETE of one object.
-func (s *Server) object(w http.ResponseWriter, r *http.Request) {
+// serveObject handles GET, PUT and DELETE of one object.
+func (s *Server) serveObject(w http.ResponseWriter, r *http.Request) {
 	call := core.ObjectCall{Key: r.URL.Query().Get("key")}
 	match := r.Header.Get(platform.HeaderMatch)
 	if match != "" {
 		version, err := strconv.ParseUint(match, 10, 64)
 		if err != nil {
-			http.Error(w, "bad version", http.StatusBadRequest)
+			http.Error(w, "the version is not a number", http.StatusBadRequest)
 			return
 		}
 		call.IfVersion = version
@@ -120,7 +125,7 @@
 	case http.MethodPut:
 		value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxValueBytes))
 		if err != nil {
-			http.Error(w, "too large", http.StatusRequestEntityTooLarge)
+			http.Error(w, "the value is too large", http.StatusRequestEntityTooLarge)
 			return
 		}
 		call.Value = value
@@ -129,14 +134,14 @@
 			call.Op = core.ObjectCreate
 		}
 	default:
-		http.Error(w, "bad method", http.StatusMethodNotAllowed)
+		http.Error(w, "the method is not GET, PUT or DELETE", http.StatusMethodNotAllowed)
 		return
 	}
-	s.answer(w, r, s.do(call))
+	s.writeResult(w, r, s.doDelayed(call))
 }
 
-// do applies a call after the injected delay.
-func (s *Server) do(call core.ObjectCall) core.ObjectResult {
+// doDelayed carries out a call after the injected delay.
+func (s *Server) doDelayed(call core.ObjectCall) core.ObjectResult {
 	s.Store.mu.Lock()
 	delay := s.Store.delay
 	s.Store.mu.Unlock()
@@ -146,8 +151,9 @@
 	return s.Store.Do(call)
 }
 
-// answer writes a result. A lost answer ends the connection without one.
-func (s *Server) answer(w http.ResponseWriter, _ *http.Request, result core.ObjectResult) {
+// writeResult writes a result as an HTTP answer. For an unknown result it drops
+// the connection, and does not return.
+func (s *Server) writeResult(w http.ResponseWriter, _ *http.Request, result core.ObjectResult) {
 	switch result.Status {
 	case core.ObjectUnknown:
 		panic(http.ErrAbortHandler)
@@ -167,48 +173,50 @@
 	_, _ = w.Write(result.Object.Value)
 }
 
-func (s *Server) objects(w http.ResponseWriter, r *http.Request) {
-	result := s.do(core.ObjectCall{Op: core.ObjectList, Key: r.URL.Query().Get("prefix")})
-	s.listing(w, r, result)
+func (s *Server) serveObjects(w http.ResponseWriter, r *http.Request) {
+	result := s.doDelayed(core.ObjectCall{Op: core.ObjectList, Key: r.URL.Query().Get("prefix")})
+	s.writeListing(w, r, result)
 }
 
-func (s *Server) listing(w http.ResponseWriter, r *http.Request, result core.ObjectResult) {
+func (s *Server) writeListing(w http.ResponseWriter, r *http.Request, result core.ObjectResult) {
 	if result.Status != core.ObjectOK {
-		s.answer(w, r, result)
+		s.writeResult(w, r, result)
 		return
 	}
 	writeJSON(w, platform.Listing{Version: result.Version, Objects: result.Objects})
 }
 
-// watch waits until something is newer than the caller's version.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
+// serveWatch waits until an object is newer than the caller's version, or until
+// the timeout.
+func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		http.Error(w, "bad version", http.StatusBadRequest)
+		http.Error(w, "the version is not a number", http.StatusBadRequest)
 		return
 	}
 	call := core.ObjectCall{Op: core.ObjectWatch, Key: r.URL.Query().Get("prefix"), IfVersion: after}
-	end := time.NewTimer(watchTerm)
+	end := time.NewTimer(watchTimeout)
 	defer end.Stop()
-	changed := s.Store.waiter()
-	result := s.do(call)
+	changed := s.Store.nextChange()
+	result := s.doDelayed(call)
 	for result.Status == core.ObjectOK && len(result.Objects) == 0 {
 		select {
 		case <-r.Context().Done():
 			return
 		case <-end.C:
-			s.listing(w, r, result)
+			s.writeListing(w, r, result)
 			return
 		case <-changed:
 		}
-		changed = s.Store.waiter()
-		result = s.Store.peek(call)
+		changed = s.Store.nextChange()
+		result = s.Store.repeatWatch(call)
 	}
-	s.listing(w, r, result)
+	s.writeListing(w, r, result)
 }
 
-// peek repeats a waiting watch without counting it again.
-func (s *Store) peek(c core.ObjectCall) core.ObjectResult {
+// repeatWatch carries out a waiting watch again, without delay and without
+// counting it.
+func (s *Store) repeatWatch(c core.ObjectCall) core.ObjectResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := core.ObjectResult{Tag: c.Tag}
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -1,6 +1,6 @@
-// Package platform is the project's own small stand-in for the platform: an
-// object API with versions, conditional updates, watches, faults and a count of
-// calls, and the lagging list of hosts.
+// Package platform emulates the platform: an in-memory object API with
+// versions, conditional writes, watches, injected faults and counters of calls,
+// and a list of hosts that changes with a delay.
 package platform
 
 import (
@@ -13,21 +13,22 @@
 	"gentiancroft/internal/core"
 )
 
-// MaxValueBytes is the largest value that the store takes.
+// MaxValueBytes is the maximum size of an object's value.
 const MaxValueBytes = 1 << 20
 
-// Store keeps objects in memory. Its Do is the in-process fake for tests.
+// Store keeps objects in memory. Server serves it over HTTP; tests call Do
+// directly.
 type Store struct {
-	mu      sync.Mutex
-	version uint64
-	objects map[string]core.Object
-	stale   map[string]core.Object // what reads see; nil: the truth
-	staleAt uint64
-	down    bool
-	delay   time.Duration
-	drops   int
-	calls   map[core.ObjectOp]int
-	changed chan struct{} // closed at the next change
+	mu            sync.Mutex
+	version       uint64
+	objects       map[string]core.Object
+	staleObjects  map[string]core.Object // objects that reads return; nil: the current ones
+	staleVersion  uint64
+	down          bool
+	delay         time.Duration
+	answersToDrop int
+	calls         map[core.ObjectOp]int
+	changed       chan struct{} // closed at the next change of the objects or of down
 }
 
 // NewStore returns an empty store.
@@ -39,48 +40,51 @@
 	}
 }
 
-// SetDown makes every call fail without effect, or ends that.
+// SetDown sets whether every call fails with ObjectUnavailable, without effect.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	s.wake()
+	s.notifyWatches()
 }
 
-// SetDelay makes the HTTP server wait before it answers.
+// SetDelay sets the time that the HTTP server waits before it carries out a
+// call. Do is not delayed.
 func (s *Store) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// DropAnswers makes the next n writes take effect and lose their answers.
+// DropAnswers makes the next n successful writes take effect with an unknown
+// result.
 func (s *Store) DropAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drops = n
+	s.answersToDrop = n
 }
 
-// StaleReads makes reads see the store as it is now, whatever is written
-// later, or ends that. Conditions are still checked against the truth.
+// StaleReads sets whether reads return the objects as they are now, ignoring
+// later writes. Conditions of writes are still checked against the current
+// objects.
 func (s *Store) StaleReads(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stale = nil
+	s.staleObjects = nil
 	if on {
-		s.stale = maps.Clone(s.objects)
-		s.staleAt = s.version
+		s.staleObjects = maps.Clone(s.objects)
+		s.staleVersion = s.version
 	}
 }
 
-// Calls is how many calls of each kind came, a waiting watch counted as one.
+// Calls returns the number of calls by operation; a waiting watch counts once.
 func (s *Store) Calls() map[core.ObjectOp]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.calls)
 }
 
-// Total is how many calls came.
+// Total returns the number of all calls.
 func (s *Store) Total() int {
 	total := 0
 	for _, n := range s.Calls() {
@@ -89,7 +93,8 @@
 	return total
 }
 
-// Do carries out one call at once; a watch answers with what there is.
+// Do carries out one call at once; a watch returns what is newer now and does
+// not wait. A value over MaxValueBytes gives ObjectUnavailable.
 func (s *Store) Do(c core.ObjectCall) core.ObjectResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,33 +107,34 @@
 	before := s.version
 	s.apply(c, &r)
 	if s.version != before {
-		s.wake()
-		if s.drops > 0 {
-			s.drops--
+		s.notifyWatches()
+		if s.answersToDrop > 0 {
+			s.answersToDrop--
 			return core.ObjectResult{Tag: c.Tag, Status: core.ObjectUnknown}
 		}
 	}
 	return r
 }
 
-// wake answers waiting watches.
-func (s *Store) wake() {
+// notifyWatches wakes up waiting watches. The caller holds mu.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// waiter returns a channel that is closed at the next change.
-func (s *Store) waiter() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change.
+func (s *Store) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
+// apply carries out a call and fills in its result. The caller holds mu.
 func (s *Store) apply(c core.ObjectCall, r *core.ObjectResult) {
 	r.Status = core.ObjectOK
 	switch c.Op {
 	case core.ObjectGet:
-		o, ok := s.seen()[c.Key]
+		o, ok := s.readableObjects()[c.Key]
 		if !ok {
 			r.Status = core.ObjectNotFound
 		}
@@ -140,14 +146,16 @@
 	}
 }
 
-// seen is what reads see.
-func (s *Store) seen() map[string]core.Object {
-	if s.stale != nil {
-		return s.stale
+// readableObjects returns the objects that reads return.
+func (s *Store) readableObjects() map[string]core.Object {
+	if s.staleObjects != nil {
+		return s.staleObjects
 	}
 	return s.objects
 }
 
+// write carries out a create, update or delete if its condition holds. A
+// conflict returns the current object.
 func (s *Store) write(c core.ObjectCall, r *core.ObjectResult) {
 	old, exists := s.objects[c.Key]
 	switch {
@@ -171,14 +179,15 @@
 	s.objects[c.Key] = r.Object
 }
 
-// list answers a list, or a watch with what is newer than its version.
+// list returns the objects with the prefix; for a watch only those newer than
+// its version.
 func (s *Store) list(c core.ObjectCall, r *core.ObjectResult) {
 	r.Version = s.version
-	if s.stale != nil {
-		r.Version = s.staleAt
+	if s.staleObjects != nil {
+		r.Version = s.staleVersion
 	}
-	for _, key := range slices.Sorted(maps.Keys(s.seen())) {
-		o := s.seen()[key]
+	for _, key := range slices.Sorted(maps.Keys(s.readableObjects())) {
+		o := s.readableObjects()[key]
 		if !strings.HasPrefix(key, c.Key) {
 			continue
 		}
--- a/internal/standin/prefix.go
+++ b/internal/standin/prefix.go
@@ -6,89 +6,95 @@
 	"time"
 )
 
-// prefixBytes is how much of a prompt one cache entry stands for.
-const prefixBytes = 256
+// maxPrefixBytes is the length of the prompt prefix that is cached.
+const maxPrefixBytes = 256
 
-// CacheEvent says that a prefix was cached or dropped. A lost event shows as a
-// gap in the numbers.
+// CacheEvent reports that a prompt prefix was cached or evicted. A lost event
+// leaves a gap in the numbers.
 type CacheEvent struct {
 	Number  int    `json:"number"`
 	Adapter string `json:"adapter"`
 	Prefix  string `json:"prefix"`
-	Stored  bool   `json:"stored"` // false: dropped
+	Stored  bool   `json:"stored"` // false: evicted
 	at      time.Time
 }
 
-// prefixes is an engine's prompt prefix cache: the most recently used ones.
-type prefixes struct {
-	mu      sync.Mutex
-	size    int
-	entries map[string]*list.Element
-	order   *list.List // of *CacheEvent, most recently used first
-	events  []CacheEvent
-	number  int
-	delay   time.Duration // events are published so much later
-	gap     int           // every gap-th event is lost; 0: none
+// prefixCache is an engine's LRU cache of prompt prefixes, with the events that
+// it publishes.
+type prefixCache struct {
+	mu         sync.Mutex
+	capacity   int
+	entries    map[string]*list.Element
+	recency    *list.List // of *CacheEvent, most recently used first
+	events     []CacheEvent
+	lastNumber int
+	eventDelay time.Duration // age at which an event is published
+	eventGap   int           // every eventGap-th event is lost; 0: none
 }
 
-func newPrefixes(size int, delay time.Duration, gap int) *prefixes {
-	return &prefixes{size: size, entries: map[string]*list.Element{}, order: list.New(), delay: delay, gap: gap}
+func newPrefixCache(size int, delay time.Duration, gap int) *prefixCache {
+	return &prefixCache{capacity: size, entries: map[string]*list.Element{}, recency: list.New(), eventDelay: delay, eventGap: gap}
 }
 
-// use reports whether the prompt's head was cached, and caches it.
-func (p *prefixes) use(adapter, prompt string) bool {
-	head := prompt[:min(prefixBytes, len(prompt))]
+// lookupOrInsert reports whether the prompt's prefix was cached. If not, it
+// caches the prefix and evicts the least recently used one if the cache is
+// full.
+func (p *prefixCache) lookupOrInsert(adapter, prompt string) bool {
+	head := prompt[:min(maxPrefixBytes, len(prompt))]
 	key := adapter + "\x00" + head
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e, ok := p.entries[key]; ok {
-		p.order.MoveToFront(e)
+		p.recency.MoveToFront(e)
 		return true
 	}
-	if p.size == 0 {
+	if p.capacity == 0 {
 		return false
 	}
-	if p.order.Len() >= p.size {
-		oldest := p.order.Remove(p.order.Back()).(*CacheEvent)
+	if p.recency.Len() >= p.capacity {
+		oldest := p.recency.Remove(p.recency.Back()).(*CacheEvent)
 		delete(p.entries, oldest.Adapter+"\x00"+oldest.Prefix)
-		p.publish(oldest.Adapter, oldest.Prefix, false)
+		p.appendEvent(oldest.Adapter, oldest.Prefix, false)
 	}
-	p.entries[key] = p.order.PushFront(&CacheEvent{Adapter: adapter, Prefix: head})
-	p.publish(adapter, head, true)
+	p.entries[key] = p.recency.PushFront(&CacheEvent{Adapter: adapter, Prefix: head})
+	p.appendEvent(adapter, head, true)
 	return false
 }
 
-// publish appends an event unless it is one that gets lost; mu is held.
-func (p *prefixes) publish(adapter, head string, stored bool) {
-	const keep = 4096
-	p.number++
-	if p.gap > 0 && p.number%p.gap == 0 {
+// appendEvent appends an event, except for every eventGap-th, which is lost.
+// The caller holds mu.
+func (p *prefixCache) appendEvent(adapter, head string, stored bool) {
+	const maxEvents = 4096
+	p.lastNumber++
+	if p.eventGap > 0 && p.lastNumber%p.eventGap == 0 {
 		return
 	}
-	p.events = append(p.events, CacheEvent{Number: p.number, Adapter: adapter, Prefix: head, Stored: stored, at: time.Now()})
-	if len(p.events) > keep {
-		p.events = p.events[len(p.events)-keep:]
+	p.events = append(p.events, CacheEvent{Number: p.lastNumber, Adapter: adapter, Prefix: head, Stored: stored, at: time.Now()})
+	if len(p.events) > maxEvents {
+		p.events = p.events[len(p.events)-maxEvents:]
 	}
 }
 
-// after returns the events past a number that are old enough to be published.
-func (p *prefixes) after(number int) []CacheEvent {
+// eventsAfter returns the events with a higher number that are at least
+// eventDelay old.
+func (p *prefixCache) eventsAfter(number int) []CacheEvent {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := []CacheEvent{}
-	due := time.Now().Add(-p.delay)
+	newest := time.Now().Add(-p.eventDelay)
 	for _, e := range p.events {
-		if e.Number > number && !e.at.After(due) {
+		if e.Number > number && !e.at.After(newest) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// clear forgets everything, as a restart does.
-func (p *prefixes) clear() {
+// clear empties the cache, as a restart does. Events that are not published yet
+// stay.
+func (p *prefixCache) clear() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.entries = map[string]*list.Element{}
-	p.order.Init()
+	p.recency.Init()
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -12,40 +12,42 @@
 	"gentiancroft/internal/supervise"
 )
 
-// ServiceSettings shape a plain service.
+// ServiceSettings configure an emulated plain service.
 type ServiceSettings struct {
 	Name  string
-	Delay time.Duration // of each call
+	Delay time.Duration // of the answer to each call
 }
 
-// maxCall bounds what a call may send to a service, in bytes.
-const maxCall = 1 << 20
+// maxCallBytes is the size at which the body of a call is truncated.
+const maxCallBytes = 1 << 20
 
-// Service is a plain service whose POST calls have an effect, such as a
-// booking, and whose GET calls have none, such as a job's status.
+// Service emulates a plain service. GET calls, such as reading a job's status,
+// have no effect; calls by other methods, such as a booking, have one, even if
+// their idempotency key was used before.
 type Service struct {
 	settings ServiceSettings
 
 	mu      sync.Mutex
 	faults  Faults
-	effects map[string]int // by idempotency key, or by request where it has none
+	effects map[string]int // number of effects by Idempotency-Key, or by X-Request-Id without one
 	bodies  []string
 	traces  []Trace
 }
 
-// NewService returns a service without any effect so far.
+// NewService returns a service without effects.
 func NewService(s ServiceSettings) *Service {
 	return &Service{settings: s, effects: map[string]int{}}
 }
 
-// Set replaces the service's faults.
+// Set replaces the injected faults.
 func (s *Service) Set(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Effects returns how often each key's call took effect.
+// Effects returns how often a call took effect, by Idempotency-Key, or by
+// X-Request-Id for calls without one.
 func (s *Service) Effects() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,17 +58,18 @@
 	return out
 }
 
-// Traces returns the calls that the service saw.
+// Traces returns the calls that the service accepted, in order of arrival.
 func (s *Service) Traces() []Trace {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Trace(nil), s.traces...)
 }
 
-// Handler serves the service and, under /admin/, its faults.
+// Handler serves the service and, under /admin/, fault injection, effects and
+// traces.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /load", s.poll)
+	mux.HandleFunc("GET /load", s.serveLoadReport)
 	mux.HandleFunc("POST /admin/faults", func(w http.ResponseWriter, r *http.Request) { setFaults(w, r, s.Set) })
 	mux.HandleFunc("GET /admin/effects", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Effects()) })
 	mux.HandleFunc("GET /admin/trace", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Traces()) })
@@ -74,18 +77,18 @@
 	return mux
 }
 
-func (s *Service) poll(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) serveLoadReport(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	faults := s.faults
 	s.mu.Unlock()
 	if faults.Mute {
-		abort()
+		dropConnection()
 	}
 	writeJSON(w, upstream.LoadReport{Incarnation: s.settings.Name, Leaving: faults.Leaving})
 }
 
 func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxCall))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxCallBytes))
 	if err != nil {
 		return
 	}
@@ -97,15 +100,15 @@
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return
 	}
-	effect := s.take(r, string(body))
+	effect := s.recordCall(r, string(body))
 	switch {
 	case faults.Hang:
 		<-r.Context().Done()
 		return
 	case faults.Drop:
-		abort()
+		dropConnection()
 	}
-	if !supervise.Sleep(r.Context(), faults.stretch(s.settings.Delay)) {
+	if !supervise.Sleep(r.Context(), faults.slowed(s.settings.Delay)) {
 		return
 	}
 	if faults.Fail {
@@ -115,16 +118,16 @@
 	writeJSON(w, effect)
 }
 
-// Effect is the answer of a service.
+// Effect is the answer of a service to a call.
 type Effect struct {
 	Service string          `json:"service"`
 	Path    string          `json:"path"`
-	Number  int             `json:"number"` // of effects so far, this one among them
+	Number  int             `json:"number"` // of effects so far, including this one
 	Body    json.RawMessage `json:"body,omitempty"`
 }
 
-// take counts the call and, where it has one, its effect.
-func (s *Service) take(r *http.Request, body string) Effect {
+// recordCall records the call and its effect, if any, and returns the answer.
+func (s *Service) recordCall(r *http.Request, body string) Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -10,28 +10,30 @@
 	"gentiancroft/internal/supervise"
 )
 
-// StoreError is a load that the weight store refused.
+// StoreError is the class of loads that the weight store refused or that were
+// cancelled.
 var StoreError = errs.Class("weight store")
 
-// WeightSettings shape a weight store.
+// WeightSettings configure a weight store.
 type WeightSettings struct {
 	LoadTime time.Duration // of one adapter at full speed
-	Transit  int           // loads at once that go at full speed; 0: any number
-	Rate     float64       // loads a second; over it a load is refused; 0: any rate
-	Burst    int           // loads that may come at once under the rate
+	Transit  int           // concurrent loads at full speed; more slow each other down; 0: unlimited
+	Rate     float64       // loads per second; loads over the rate are refused; 0: unlimited
+	Burst    int           // loads that may start at once within the rate; 0: 1
 }
 
-// WeightStore is what all engines of a deployment load adapters from.
+// WeightStore emulates the store from which all engines of a deployment load
+// adapter weights. It limits the rate of loads by a token bucket.
 type WeightStore struct {
 	settings WeightSettings
 
-	mu        sync.Mutex
-	inTransit int
-	most      int
-	started   int
-	refused   int
-	allowance float64
-	at        time.Time
+	mu           sync.Mutex
+	inTransit    int
+	maxInTransit int
+	started      int
+	refused      int
+	tokens       float64
+	refilledAt   time.Time
 }
 
 // NewWeightStore returns an idle store.
@@ -39,70 +41,76 @@
 	if s.Burst == 0 {
 		s.Burst = 1
 	}
-	return &WeightStore{settings: s, allowance: float64(s.Burst), at: time.Now()}
+	return &WeightStore{settings: s, tokens: float64(s.Burst), refilledAt: time.Now()}
 }
 
-// Load fetches one adapter. Beyond the transit limit it takes proportionally
-// longer.
+// Load waits for the duration of one load. With more than Transit concurrent
+// loads it takes proportionally longer. It returns a StoreError if the load is
+// over the rate or ctx is done.
 func (w *WeightStore) Load(ctx context.Context) error {
-	took, err := w.begin()
+	duration, err := w.startLoad()
 	if err != nil {
 		return err
 	}
-	defer w.end()
-	if !supervise.Sleep(ctx, took) {
+	defer w.endLoad()
+	if !supervise.Sleep(ctx, duration) {
 		return StoreError.Wrap(ctx.Err())
 	}
 	return nil
 }
 
-func (w *WeightStore) begin() (time.Duration, error) {
+// startLoad counts a load and returns its duration, or an error if the load is
+// over the rate.
+func (w *WeightStore) startLoad() (time.Duration, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.allowed() {
+	if !w.takeToken() {
 		w.refused++
-		return 0, StoreError.New("over the rate of %g loads a second", w.settings.Rate)
+		return 0, StoreError.New("the load exceeds the rate of %g loads per second", w.settings.Rate)
 	}
 	w.started++
 	w.inTransit++
-	w.most = max(w.most, w.inTransit)
-	took := w.settings.LoadTime
+	w.maxInTransit = max(w.maxInTransit, w.inTransit)
+	duration := w.settings.LoadTime
 	if w.settings.Transit > 0 && w.inTransit > w.settings.Transit {
-		took = took * time.Duration(w.inTransit) / time.Duration(w.settings.Transit)
+		duration = duration * time.Duration(w.inTransit) / time.Duration(w.settings.Transit)
 	}
-	return took, nil
+	return duration, nil
 }
 
-func (w *WeightStore) allowed() bool {
+// takeToken refills the token bucket, takes one token and reports whether there
+// was one. The caller holds mu.
+func (w *WeightStore) takeToken() bool {
 	if w.settings.Rate == 0 {
 		return true
 	}
 	now := time.Now()
-	w.allowance = min(float64(w.settings.Burst), w.allowance+now.Sub(w.at).Seconds()*w.settings.Rate)
-	w.at = now
-	if w.allowance < 1 {
+	w.tokens = min(float64(w.settings.Burst), w.tokens+now.Sub(w.refilledAt).Seconds()*w.settings.Rate)
+	w.refilledAt = now
+	if w.tokens < 1 {
 		return false
 	}
-	w.allowance--
+	w.tokens--
 	return true
 }
 
-func (w *WeightStore) end() {
+func (w *WeightStore) endLoad() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.inTransit--
 }
 
-// WeightCounts is what a store has seen.
+// WeightCounts are the counters of a weight store.
 type WeightCounts struct {
 	Started int `json:"started"`
 	Refused int `json:"refused"`
 	Most    int `json:"most_in_transit"`
 }
 
-// Counts returns what the store has seen so far.
+// Counts returns the loads started and refused, and the maximum number of
+// concurrent loads so far.
 func (w *WeightStore) Counts() WeightCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return WeightCounts{Started: w.started, Refused: w.refused, Most: w.most}
+	return WeightCounts{Started: w.started, Refused: w.refused, Most: w.maxInTransit}
 }
