--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -13,19 +13,19 @@
 	"gentiancroft/internal/core"
 )
 
-// reply is what a caller got.
+// reply is the answer to a request, as the caller received it.
 type reply struct {
-	status  int
-	adapter string
-	body    string
-	first   time.Duration // to the first event of a stream
-	tokens  int
-	whole   bool // ended as a whole stream does
-	failure failure
-	replay  bool
+	status     int
+	adapter    string
+	body       string
+	firstToken time.Duration // time to the first token of a stream
+	tokens     int
+	complete   bool // a stream that ended with [DONE]
+	failure    failure
+	replayed   bool
 }
 
-// failure is the error of a reply, in its body or as a stream's last event.
+// failure is the error in the body of a reply or in the last event of a stream.
 type failure struct {
 	Code       core.Code `json:"code"`
 	Message    string    `json:"message"`
@@ -33,31 +33,34 @@
 	RetryAfter float64   `json:"retry_after"`
 }
 
-func keyOf(ws core.WorkspaceID) string { return "demo-" + string(ws) }
+// apiKey returns the API key of a workspace, as the sample documents have it.
+func apiKey(ws core.WorkspaceID) string { return "demo-" + string(ws) }
 
-// call is a request of the tour.
+// call is a request that the tour sends.
 type call struct {
-	address     string
-	path        string
-	workspace   core.WorkspaceID
-	body        string
-	idempotency string
-	onToken     func(n int)
+	address        string
+	path           string
+	workspace      core.WorkspaceID
+	body           string
+	idempotencyKey string
+	onToken        func(n int)
 }
 
+// completion returns the body of a streaming completion request.
 func completion(model string, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"prompt":"a grab rail beside the bath","max_tokens":%d,"stream":true}`, model, tokens)
 }
 
-// send sends a request and reads the whole answer.
+// send sends a request and reads the answer to its end. The error is a
+// connection failure; refusals and errors of a stream are in the reply.
 func send(ctx context.Context, c call) (reply, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.address+c.path, strings.NewReader(c.body))
 	if err != nil {
 		return reply{}, err
 	}
-	request.Header.Set("Authorization", "Bearer "+keyOf(c.workspace))
-	if c.idempotency != "" {
-		request.Header.Set("Idempotency-Key", c.idempotency)
+	request.Header.Set("Authorization", "Bearer "+apiKey(c.workspace))
+	if c.idempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", c.idempotencyKey)
 	}
 	started := time.Now()
 	response, err := http.DefaultClient.Do(request)
@@ -66,9 +69,9 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	r := reply{
-		status:  response.StatusCode,
-		adapter: response.Header.Get("X-Adapter"),
-		replay:  response.Header.Get("X-Replayed") != "",
+		status:   response.StatusCode,
+		adapter:  response.Header.Get("X-Adapter"),
+		replayed: response.Header.Get("X-Replayed") != "",
 	}
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
 		return r, r.readEvents(response.Body, started, c.onToken)
@@ -88,7 +91,8 @@
 	}
 }
 
-// readEvents reads a stream to its end, whole or typed.
+// readEvents reads a stream to its end and notes whether it ended with [DONE]
+// or an error event.
 func (r *reply) readEvents(body io.Reader, started time.Time, onToken func(int)) error {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -96,12 +100,12 @@
 		switch {
 		case !ok:
 		case data == "[DONE]":
-			r.whole = true
+			r.complete = true
 		case strings.HasPrefix(data, `{"error"`):
 			r.readFailure([]byte(data))
 		case strings.Contains(data, `"text"`):
 			if r.tokens == 0 {
-				r.first = time.Since(started)
+				r.firstToken = time.Since(started)
 			}
 			r.tokens++
 			if onToken != nil {
@@ -112,13 +116,15 @@
 	return lines.Err()
 }
 
-// entries asks a host which addresses to use, near ones first.
-func entries(address string, ws core.WorkspaceID, near core.Domain) ([]string, float64, error) {
-	request, err := http.NewRequest(http.MethodGet, "http://"+address+"/v1/entries?domain="+string(near), nil)
+// fetchEntries asks a host for the addresses of hosts, those in the given
+// failure domain first. It returns them with the seconds for which they may be
+// cached.
+func fetchEntries(address string, ws core.WorkspaceID, domain core.Domain) ([]string, float64, error) {
+	request, err := http.NewRequest(http.MethodGet, "http://"+address+"/v1/entries?domain="+string(domain), nil)
 	if err != nil {
 		return nil, 0, err
 	}
-	request.Header.Set("Authorization", "Bearer "+keyOf(ws))
+	request.Header.Set("Authorization", "Bearer "+apiKey(ws))
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, 0, err
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo runs a whole deployment in one process and walks through what
-// it promises.
+// Package demo runs a whole deployment in one process, with emulated platform
+// and upstreams and a sample configuration document, and checks its guarantees
+// in a tour of steps. The hosts and the emulators come from other packages.
 package demo
 
 import (
@@ -13,9 +14,10 @@
 
 // Classes of failure.
 var (
-	// Failed is the class of a demo whose steps did not all hold.
+	// Failed is the class of demos in which a step failed or a condition was
+	// not met in time.
 	Failed = errs.Class("demo")
-	// Usage is the class of options that can't be used.
+	// Usage is the class of invalid options.
 	Usage = errs.Class("demo options")
 )
 
@@ -23,27 +25,27 @@
 type Options struct {
 	Deployment string // parapet or embalse
 	Output     string // text or json
-	Keep       bool   // leave it running after the tour
+	Keep       bool   // skip the tour and run until interrupted
 }
 
-// Step is one step of the tour.
+// Step is the result of one step of the tour.
 type Step struct {
 	Name   string `json:"name"`
 	OK     bool   `json:"ok"`
 	Detail string `json:"detail"`
 }
 
-// Result is the whole tour.
+// Result is the result of the tour; OK means that every step was OK.
 type Result struct {
 	Steps []Step `json:"steps"`
 	OK    bool   `json:"ok"`
 }
 
-// Run starts the deployment, walks the tour and prints it. It fails unless
-// every step held.
+// Run starts the deployment, runs the tour and prints its steps as text, or the
+// result as JSON. It returns an error if a step failed.
 func Run(ctx context.Context, w io.Writer, o Options) error {
 	if o.Output != "text" && o.Output != "json" {
-		return Usage.New("output is text or json, not %q", o.Output)
+		return Usage.New("output is %q; it must be text or json", o.Output)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -52,31 +54,32 @@
 		return err
 	}
 	defer d.stop()
-	say := w
+	text := w
 	if o.Output == "json" {
-		say = io.Discard
+		text = io.Discard
 	}
-	fmt.Fprintf(say, "%s: %d hosts, %d engines, %d services, %d adapters\n\n", o.Deployment, len(d.hosts), len(d.engines), len(d.services), len(d.document.Adapters))
+	fmt.Fprintf(text, "%s: %d hosts, %d engines, %d services, %d adapters\n\n", o.Deployment, len(d.hosts), len(d.engines), len(d.services), len(d.document.Adapters))
 	if o.Keep {
-		return d.keep(ctx, say)
+		return d.keepRunning(ctx, text)
 	}
-	result := d.walk(ctx, say)
+	result := d.runTour(ctx, text)
 	if o.Output == "json" {
 		if err := json.NewEncoder(w).Encode(result); err != nil {
 			return Failed.Wrap(err)
 		}
 	}
 	if !result.OK {
-		return Failed.New("not every step held")
+		return Failed.New("at least one step of the tour failed")
 	}
 	return nil
 }
 
-// walk takes every step of the tour.
-func (d *deployment) walk(ctx context.Context, w io.Writer) Result {
+// runTour runs all steps of the tour, also after a failed one. A step that
+// returns an error has failed.
+func (d *deployment) runTour(ctx context.Context, w io.Writer) Result {
 	result := Result{OK: true}
 	for i, s := range tour {
-		fmt.Fprintf(w, "%d. %s\n   expected: %s\n", i+1, s.name, s.expect)
+		fmt.Fprintf(w, "%d. %s\n   expected: %s\n", i+1, s.name, s.expected)
 		seen, ok, err := s.run(ctx, d)
 		if err != nil {
 			seen, ok = err.Error(), false
@@ -92,12 +95,12 @@
 	return result
 }
 
-// keep leaves the deployment running and tells how to use it.
-func (d *deployment) keep(ctx context.Context, w io.Writer) error {
+// keepRunning prints commands to try and waits until ctx is done.
+func (d *deployment) keepRunning(ctx context.Context, w io.Writer) error {
 	address := d.hosts[0].Address
-	fmt.Fprintf(w, "curl -s -H 'Authorization: Bearer %s' http://%s/v1/entries\n", keyOf(d.workspace), address)
-	fmt.Fprintf(w, "curl -sN -H 'Authorization: Bearer %s' http://%s/v1/completions -d '%s'\n", keyOf(d.workspace), address, completion(d.adapters[0], 16))
-	fmt.Fprintf(w, "curl -s -H 'Authorization: Bearer %s' -H 'Idempotency-Key: crew-1' http://%s%s -d '{\"job\":1}'\n", keyOf(d.workspace), address, d.booking)
+	fmt.Fprintf(w, "curl -s -H 'Authorization: Bearer %s' http://%s/v1/entries\n", apiKey(d.workspace), address)
+	fmt.Fprintf(w, "curl -sN -H 'Authorization: Bearer %s' http://%s/v1/completions -d '%s'\n", apiKey(d.workspace), address, completion(d.adapters[0], 16))
+	fmt.Fprintf(w, "curl -s -H 'Authorization: Bearer %s' -H 'Idempotency-Key: crew-1' http://%s%s -d '{\"job\":1}'\n", apiKey(d.workspace), address, d.bookingPath)
 	fmt.Fprintf(w, "curl -s http://%s/metrics\n\ninterrupt to stop\n", address)
 	<-ctx.Done()
 	return nil
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 )
 
-func TestTourHoldsAndItsMetricsAreDocumented(t *testing.T) {
+func TestTourSucceedsAndMetricsAreDocumented(t *testing.T) {
 	log.SetHandler(discard.Default)
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -25,7 +25,7 @@
 	d, err := start(ctx, "parapet")
 	is.NoErr(err)
 	defer d.stop()
-	for _, s := range d.walk(ctx, io.Discard).Steps {
+	for _, s := range d.runTour(ctx, io.Discard).Steps {
 		if !s.OK {
 			t.Errorf("%s: %s", s.Name, s.Detail)
 		}
@@ -39,19 +39,19 @@
 	}
 }
 
-// documented reports whether the page has a metric, by name or as one of a group.
+// documented reports whether the page names a metric or its group.
 func documented(page, name string) bool {
 	group := name[:strings.LastIndexByte(name, '.')+1] + "*"
 	return strings.Contains(page, "`"+name+"`") || strings.Contains(page, "`"+group+"`")
 }
 
-// Every decision that the core can note is on the page, whether or not a run
-// comes to it.
+// Checks every decision that the core can log, including those that don't occur
+// in the tour.
 func TestEveryDecisionIsDocumented(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/metrics.md")
 	is.NoErr(err)
-	noted := regexp.MustCompile(`\.note\("([a-z_.]+)"(?:, "([a-z_]+)")?`)
+	logged := regexp.MustCompile(`\.(?:note|logDecision)\("([a-z_.]+)"(?:, "([a-z_]+)")?`)
 	found := 0
 	for _, dir := range []string{"../core/node", "../core/placement"} {
 		files, err := filepath.Glob(dir + "/*.go")
@@ -59,7 +59,7 @@
 		for _, f := range files {
 			b, err := os.ReadFile(f)
 			is.NoErr(err)
-			for _, m := range noted.FindAllStringSubmatch(string(b), -1) {
+			for _, m := range logged.FindAllStringSubmatch(string(b), -1) {
 				found++
 				name := strings.Trim("decision."+m[1]+"."+m[2], ".")
 				if !documented(string(page), name) && !strings.Contains(string(page), "`"+name+".") {
@@ -71,7 +71,8 @@
 	is.True(found > 30)
 }
 
-// metricNames are the metrics that the hosts count, with * for what varies.
+// metricNames returns the names of the hosts' metrics, with * for the name of
+// an upstream.
 func metricNames(d *deployment) []string {
 	var names []string
 	for _, h := range d.hosts {
@@ -86,13 +87,14 @@
 	return slices.Compact(names)
 }
 
-func TestBadOptions(t *testing.T) {
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	is := is.New(t)
 	is.True(Usage.Has(Run(context.Background(), &bytes.Buffer{}, Options{Deployment: "parapet", Output: "xml"})))
 	is.True(Usage.Has(Run(context.Background(), &bytes.Buffer{}, Options{Deployment: "nobody", Output: "json"})))
 }
 
-// Every metric that the page names stands in the code, whole or by its parts.
+// Metric names can be built from parts, so only the last part of each
+// documented name is searched for in the code.
 func TestDocumentedMetricsExist(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/metrics.md")
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -21,41 +21,43 @@
 
 // Sizes and times of the demo.
 const (
-	entryHosts = 3
-	readyWait  = 20 * time.Second
-	keepTime   = 2 * time.Second // shorter than in use, so that the tour is short
-	certTerm   = time.Hour
+	entryHostCount      = 3
+	readyTimeout        = 20 * time.Second
+	requestRefusalDelay = 2 * time.Second // shorter than the default, to shorten the tour
+	certValidity        = time.Hour
 )
 
-// secret is the deployment's key that the sample documents were made with.
+// secret is the secret with which the key hashes of the sample documents were
+// made.
 var secret = []byte("demo-secret")
 
-// script is what the tour uses of a deployment.
-type script struct {
-	adapters  []string // of the caller's workspace
-	workspace core.WorkspaceID
-	small     core.WorkspaceID // the one that reaches its limit
-	withdrawn core.WorkspaceID // whose key is withdrawn
-	booking   string           // path of a non-idempotent route
-	region    core.Region
-	pool      string // of engines
-	storeRate float64
+// scenario names what the tour uses of a sample document.
+type scenario struct {
+	adapters           []string // IDs of those that workspace may use
+	workspace          core.WorkspaceID
+	limitedWorkspace   core.WorkspaceID // used to exceed the rate limit
+	withdrawnWorkspace core.WorkspaceID // its key is withdrawn in the tour
+	bookingPath        string           // path of a route that is not idempotent
+	region             core.Region
+	pool               string // of engines
+	weightLoadRate     float64
 }
 
-var scripts = map[string]script{
+var scenarios = map[string]scenario{
 	"parapet": {
-		workspace: "care-homes", small: "families", withdrawn: "housing-offices",
-		booking: "/v1/bookings", region: "sofia", pool: "drafter", storeRate: 3,
+		workspace: "care-homes", limitedWorkspace: "families", withdrawnWorkspace: "housing-offices",
+		bookingPath: "/v1/bookings", region: "sofia", pool: "drafter", weightLoadRate: 3,
 	},
 	"embalse": {
-		workspace: "power-utility", small: "water-board-norte", withdrawn: "dam-operators",
-		booking: "/v1/alarms/acknowledge", region: "cr-central", pool: "hidro-lm", storeRate: 3.5,
+		workspace: "power-utility", limitedWorkspace: "water-board-norte", withdrawnWorkspace: "dam-operators",
+		bookingPath: "/v1/alarms/acknowledge", region: "cr-central", pool: "hidro-lm", weightLoadRate: 3.5,
 	},
 }
 
-// deployment is a whole deployment in this process.
+// deployment is a running deployment: hosts, and the emulated platform and
+// upstreams.
 type deployment struct {
-	script
+	scenario
 	document  *config.Document
 	store     *standplatform.Store
 	server    *standplatform.Server
@@ -67,26 +69,28 @@
 	servers   []*http.Server
 }
 
-// entryHost is one running host.
+// entryHost is one running host; cancel stops it at once, and runError gets the
+// result of Run.
 type entryHost struct {
 	*wiring.Running
-	domain core.Domain
-	kill   context.CancelFunc
-	done   chan error
+	domain   core.Domain
+	cancel   context.CancelFunc
+	runError chan error
 }
 
-// start brings a deployment up and waits until its hosts are ready.
+// start starts a deployment and waits until its hosts are ready and have
+// applied the same membership.
 func start(ctx context.Context, name string) (*deployment, error) {
-	s, ok := scripts[name]
+	s, ok := scenarios[name]
 	if !ok {
-		return nil, Usage.New("no deployment %q: parapet or embalse", name)
+		return nil, Usage.New("deployment is %q; it must be parapet or embalse", name)
 	}
-	d := &deployment{script: s, engines: map[core.UpstreamID]*standin.Engine{}, services: map[core.UpstreamID]*standin.Service{}}
+	d := &deployment{scenario: s, engines: map[core.UpstreamID]*standin.Engine{}, services: map[core.UpstreamID]*standin.Service{}}
 	for _, step := range []func() error{
-		func() error { return d.load(name) },
+		func() error { return d.loadDocument(name) },
 		d.startPlatform,
 		d.startUpstreams,
-		func() error { return d.apply(ctx, "setup", func(*config.Document) {}) },
+		func() error { return d.changeConfiguration(ctx, "setup", func(*config.Document) {}) },
 		func() error { return d.startHosts(ctx) },
 	} {
 		if err := step(); err != nil {
@@ -97,8 +101,9 @@
 	return d, nil
 }
 
-// load reads the sample document.
-func (d *deployment) load(name string) error {
+// loadDocument reads the sample document and the adapters that the workspace
+// may use.
+func (d *deployment) loadDocument(name string) error {
 	b, err := examples.Documents.ReadFile("documents/" + name + ".yaml")
 	if err != nil {
 		return err
@@ -115,13 +120,13 @@
 	return nil
 }
 
-// serve answers HTTP on a free loopback port.
-func (d *deployment) serve(h http.Handler) (string, error) {
+// startServer serves HTTP on a free loopback port and returns its address.
+func (d *deployment) startServer(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: readyWait}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: readyTimeout}
 	d.servers = append(d.servers, server)
 	go func() { _ = server.Serve(l) }()
 	return l.Addr().String(), nil
@@ -131,17 +136,17 @@
 	d.store = standplatform.NewStore()
 	d.server = standplatform.NewServer(d.store)
 	var err error
-	d.platform, err = d.serve(d.server.Handler())
+	d.platform, err = d.startServer(d.server.Handler())
 	return err
 }
 
-// startUpstreams serves a stand-in for each upstream of the document and puts
-// its address there.
+// startUpstreams starts an emulator for each upstream and sets its address in
+// the document.
 func (d *deployment) startUpstreams() error {
-	weights := standin.NewWeightStore(standin.WeightSettings{LoadTime: 250 * time.Millisecond, Transit: 8, Rate: d.storeRate, Burst: 8})
+	weights := standin.NewWeightStore(standin.WeightSettings{LoadTime: 250 * time.Millisecond, Transit: 8, Rate: d.weightLoadRate, Burst: 8})
 	for i := range d.document.Upstreams {
 		u := &d.document.Upstreams[i]
-		address, err := d.serve(d.upstream(u, weights))
+		address, err := d.startServer(d.newUpstream(u, weights))
 		if err != nil {
 			return err
 		}
@@ -150,7 +155,8 @@
 	return nil
 }
 
-func (d *deployment) upstream(u *config.Upstream, weights *standin.WeightStore) http.Handler {
+// newUpstream creates the emulator of an upstream and returns its handler.
+func (d *deployment) newUpstream(u *config.Upstream, weights *standin.WeightStore) http.Handler {
 	if u.Kind == config.UpstreamService {
 		s := standin.NewService(standin.ServiceSettings{Name: string(u.ID), Delay: 20 * time.Millisecond})
 		d.services[u.ID] = s
@@ -171,8 +177,9 @@
 	return e.Handler()
 }
 
-// apply changes the accepted configuration as an operator does.
-func (d *deployment) apply(ctx context.Context, operator string, change func(*config.Document)) error {
+// changeConfiguration changes the configuration in force in the way of an
+// operator. If there is none yet, it changes and applies the sample document.
+func (d *deployment) changeConfiguration(ctx context.Context, operator string, change func(*config.Document)) error {
 	client := platform.New(platform.Options{Address: d.platform})
 	defer client.Close()
 	service := admin.New(client)
@@ -193,12 +200,13 @@
 	return err
 }
 
+// startHosts starts the hosts, one per failure domain.
 func (d *deployment) startHosts(ctx context.Context) error {
 	var err error
-	if d.authority, err = peer.NewAuthority("demo", certTerm); err != nil {
+	if d.authority, err = peer.NewAuthority("demo", certValidity); err != nil {
 		return err
 	}
-	for i := range entryHosts {
+	for i := range entryHostCount {
 		if err := d.startHost(ctx, i); err != nil {
 			return err
 		}
@@ -208,19 +216,19 @@
 			return err
 		}
 	}
-	return until(ctx, readyWait, "all hosts act under one membership", func() bool { return d.settled(ctx) })
+	return waitUntil(ctx, readyTimeout, "all hosts have applied the same membership", func() bool { return d.membershipApplied(ctx) })
 }
 
-// settled reports whether every host knows all others and nobody acts under an
-// older membership any more.
-func (d *deployment) settled(ctx context.Context) bool {
+// membershipApplied reports whether every host has all hosts in its membership
+// view and no host acts under an older view.
+func (d *deployment) membershipApplied(ctx context.Context) bool {
 	for _, h := range d.hosts {
 		v := make(chan node.Vitals, 1)
 		err := h.Host.Read(ctx, func(n *node.Node, _ core.Instant) { v <- n.Vitals() })
 		if err != nil {
 			return false
 		}
-		if x := <-v; x.Members != entryHosts || x.Settled != x.View {
+		if x := <-v; x.Members != entryHostCount || x.Settled != x.View {
 			return false
 		}
 	}
@@ -230,7 +238,7 @@
 func (d *deployment) startHost(ctx context.Context, i int) error {
 	domain := fmt.Sprintf("%s-%c", d.region, 'a'+i)
 	name := domain + "-0"
-	material, err := d.authority.Material(name, certTerm)
+	material, err := d.authority.Material(name, certValidity)
 	if err != nil {
 		return err
 	}
@@ -243,22 +251,22 @@
 		Platform:  d.platform,
 		KeySecret: secret,
 		Material:  material,
-		Node:      node.Settings{KeepTime: keepTime},
+		Node:      node.Settings{KeepTime: requestRefusalDelay},
 	})
 	if err != nil {
 		return err
 	}
 	own, kill := context.WithCancel(ctx)
-	h := &entryHost{Running: r, domain: core.Domain(domain), kill: kill, done: make(chan error, 1)}
+	h := &entryHost{Running: r, domain: core.Domain(domain), cancel: kill, runError: make(chan error, 1)}
 	d.hosts = append(d.hosts, h)
-	go func() { h.done <- r.Run(own) }()
+	go func() { h.runError <- r.Run(own) }()
 	return nil
 }
 
-// stop ends everything that was started.
+// stop stops all hosts and emulators that were started.
 func (d *deployment) stop() {
 	for _, h := range d.hosts {
-		h.kill()
+		h.cancel()
 	}
 	for _, s := range d.servers {
 		_ = s.Close()
@@ -266,7 +274,7 @@
 }
 
 func waitReady(ctx context.Context, address string) error {
-	return until(ctx, readyWait, "host at "+address+" is ready", func() bool {
+	return waitUntil(ctx, readyTimeout, "host at "+address+" is ready", func() bool {
 		r, err := http.Get("http://" + address + "/readyz")
 		if err != nil {
 			return false
@@ -276,18 +284,19 @@
 	})
 }
 
-// until waits for a condition, at most d.
-func until(ctx context.Context, d time.Duration, what string, holds func() bool) error {
-	const look = 20 * time.Millisecond
-	end := time.Now().Add(d)
-	for !holds() {
+// waitUntil polls until condition returns true. It fails after the timeout or
+// when ctx is done; what describes the condition in the error.
+func waitUntil(ctx context.Context, timeout time.Duration, what string, condition func() bool) error {
+	const pollInterval = 20 * time.Millisecond
+	end := time.Now().Add(timeout)
+	for !condition() {
 		if time.Now().After(end) {
-			return Failed.New("not within %v: %s", d, what)
+			return Failed.New("condition not met within %v: %s", timeout, what)
 		}
 		select {
 		case <-ctx.Done():
 			return Failed.Wrap(ctx.Err())
-		case <-time.After(look):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
