--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -15,56 +15,62 @@
 	"gentiancroft/internal/upstream"
 )
 
-// Outcomes that are not codes of the system's own.
+// Outcomes that are not error codes of the system.
 const (
-	outcomeOK         = "ok"
-	outcomeCancelled  = "hung up"
-	outcomeNotReached = "not reached"
-	outcomeNotWhole   = "not whole" // neither [DONE] nor a typed error
-	outcomeTimeout    = "client timeout"
-	outcomeNoPlace    = "not started" // over the tool's own bound
-	outcomeWrong      = "wrong adapter"
+	outcomeOK           = "ok"
+	outcomeCancelled    = "hung up"
+	outcomeNotReached   = "not reached"
+	outcomeIncomplete   = "not whole" // the answer ended with neither [DONE] nor an error event
+	outcomeTimeout      = "client timeout"
+	outcomeNotStarted   = "not started" // maxInFlight was reached
+	outcomeWrongAdapter = "wrong adapter"
 )
 
-const maxEntries = 64 << 10 // bytes
+// maxBodyBytes bounds the body of an error or of GET /v1/entries.
+const maxBodyBytes = 64 << 10
 
-// callers ask as callers of the system do.
-type callers struct {
+// loadClient sends requests in the way of a caller: to the addresses of GET
+// /v1/entries, which it caches.
+type loadClient struct {
 	options Options
 	client  *upstream.Client
 
-	mu    sync.Mutex
-	known map[string]known // by key
+	mu           sync.Mutex
+	entriesByKey map[string]cachedEntries // by API key
 }
 
-// known is an answer of GET /v1/entries.
-type known struct {
+// cachedEntries is an answer of GET /v1/entries with the time until which it
+// may be used.
+type cachedEntries struct {
 	addresses []string
-	until     time.Time
+	expiry    time.Time
 }
 
-// sample is what one request gave.
+// sample is the result of one request. The latencies count from the time at
+// which the request was due.
 type sample struct {
-	outcome string
-	first   time.Duration
-	total   time.Duration
-	gaps    []time.Duration
+	outcome    string
+	firstToken time.Duration
+	total      time.Duration
+	tokenGaps  []time.Duration
 }
 
-// ask carries out one request. Latencies count from when it was due.
-func (c *callers) ask(ctx context.Context, p plan, due time.Time) sample {
+// send carries out one request, with its timeout and hang-up, and classifies
+// its outcome. due is the time at which the plan starts it; latencies count
+// from there.
+func (c *loadClient) send(ctx context.Context, p plan, due time.Time) sample {
 	ctx, stop := context.WithTimeout(ctx, c.options.Timeout)
 	defer stop()
-	if p.cancel > 0 {
+	if p.cancelAfter > 0 {
 		var hangUp context.CancelFunc
-		ctx, hangUp = context.WithDeadline(ctx, due.Add(p.cancel))
+		ctx, hangUp = context.WithDeadline(ctx, due.Add(p.cancelAfter))
 		defer hangUp()
 	}
-	s := c.try(ctx, p, due)
+	s := c.attempt(ctx, p, due)
 	s.total = time.Since(due)
 	switch {
 	case s.outcome == outcomeOK:
-	case p.cancel > 0 && s.total >= p.cancel:
+	case p.cancelAfter > 0 && s.total >= p.cancelAfter:
 		s.outcome = outcomeCancelled
 	case s.total >= c.options.Timeout:
 		s.outcome = outcomeTimeout
@@ -72,30 +78,32 @@
 	return s
 }
 
-// try asks the hosts in the order that the system told, the next one only
-// where a host could not be reached at all.
-func (c *callers) try(ctx context.Context, p plan, due time.Time) sample {
-	for _, address := range c.entries(ctx, p.key) {
-		a, err := c.client.Do(ctx, c.call(address, p))
+// attempt sends the request to the hosts in order. It goes on to the next host
+// only if it could not connect to one.
+func (c *loadClient) attempt(ctx context.Context, p plan, due time.Time) sample {
+	for _, address := range c.targets(ctx, p.key) {
+		a, err := c.client.Do(ctx, c.newCall(address, p))
 		if upstream.NotReached.Has(err) {
-			c.forget(p.key)
+			c.expireEntries(p.key)
 			continue
 		}
 		if err != nil {
-			return sample{outcome: outcomeNotWhole}
+			return sample{outcome: outcomeIncomplete}
 		}
 		defer a.Close()
 		if a.Status != http.StatusOK {
-			return sample{outcome: refusal(a)}
+			return sample{outcome: refusalCode(a)}
 		}
-		return c.follow(a, p, due)
+		return c.readStream(a, p, due)
 	}
 	return sample{outcome: outcomeNotReached}
 }
 
-func (c *callers) call(address string, p plan) upstream.Call {
-	const word = "level of the reservoir "
-	text := fmt.Sprintf("%d %s", p.number, strings.Repeat(word, c.options.Prompt/len(word)+1))
+// newCall returns a streaming completion call. The prompt starts with the
+// request's number, so that prompts differ.
+func (c *loadClient) newCall(address string, p plan) upstream.Call {
+	const filler = "level of the reservoir "
+	text := fmt.Sprintf("%d %s", p.number, strings.Repeat(filler, c.options.Prompt/len(filler)+1))
 	body, _ := json.Marshal(map[string]any{
 		"model": p.adapter, "prompt": text[:max(c.options.Prompt, 1)], "max_tokens": c.options.MaxTokens, "stream": true,
 	})
@@ -106,9 +114,9 @@
 	return []upstream.Header{{Name: "Authorization", Value: "Bearer " + key}}
 }
 
-// follow reads a stream to its end and judges whether it is whole and right.
-func (c *callers) follow(a *upstream.Answer, p plan, due time.Time) sample {
-	s := sample{outcome: outcomeNotWhole}
+// readStream reads a stream to its end and returns its outcome and token times.
+func (c *loadClient) readStream(a *upstream.Answer, p plan, due time.Time) sample {
+	s := sample{outcome: outcomeIncomplete}
 	lines := bufio.NewReader(a.Body)
 	last := due
 	failed := false
@@ -126,30 +134,31 @@
 			continue
 		}
 		if failed {
-			s.outcome = "cut: " + code(data)
+			s.outcome = "cut: " + errorCode(data)
 			return s
 		}
 		if bytes.HasPrefix(data, []byte("[DONE]")) {
 			s.outcome = outcomeOK
-			_, _ = io.Copy(io.Discard, a.Body) // so that the connection can be kept
+			_, _ = io.Copy(io.Discard, a.Body) // so that the connection can be reused
 			return s
 		}
 		now := time.Now()
-		if s.first == 0 {
-			s.first = now.Sub(due)
+		if s.firstToken == 0 {
+			s.firstToken = now.Sub(due)
 		} else {
-			s.gaps = append(s.gaps, now.Sub(last))
+			s.tokenGaps = append(s.tokenGaps, now.Sub(last))
 		}
 		last = now
-		if text := generated(data); text != "" && !strings.Contains(text, strings.SplitN(p.adapter, "@", 2)[0]+"@") {
-			s.outcome = outcomeWrong
+		if text := generatedText(data); text != "" && !strings.Contains(text, strings.SplitN(p.adapter, "@", 2)[0]+"@") {
+			s.outcome = outcomeWrongAdapter
 			return s
 		}
 	}
 }
 
-// generated is the text of an event. Stand-in engines put the adapter into it.
-func generated(data []byte) string {
+// generatedText returns the text of an event, "" if it has none. Emulated
+// engines generate the adapter's name, so that the caller can check it.
+func generatedText(data []byte) string {
 	var event struct {
 		Choices []struct {
 			Text string `json:"text"`
@@ -161,16 +170,17 @@
 	return event.Choices[0].Text
 }
 
-// refusal is the code of an answer that is none.
-func refusal(a *upstream.Answer) string {
-	body, err := upstream.ReadWhole(a, maxEntries)
+// refusalCode returns the error code of an answer with a status other than 200.
+func refusalCode(a *upstream.Answer) string {
+	body, err := upstream.ReadWhole(a, maxBodyBytes)
 	if err != nil {
-		return outcomeNotWhole
+		return outcomeIncomplete
 	}
-	return code(body)
+	return errorCode(body)
 }
 
-func code(body []byte) string {
+// errorCode returns the code in an error body.
+func errorCode(body []byte) string {
 	var e struct {
 		Error struct {
 			Code string `json:"code"`
@@ -182,21 +192,22 @@
 	return e.Error.Code
 }
 
-// entries are the hosts to ask, the best first.
-func (c *callers) entries(ctx context.Context, key string) []string {
+// targets returns the hosts to send to, the best first: with Follow those of
+// GET /v1/entries, if any host answers it.
+func (c *loadClient) targets(ctx context.Context, key string) []string {
 	if !c.options.Follow {
 		return c.options.Targets
 	}
 	c.mu.Lock()
-	k := c.known[key]
+	k := c.entriesByKey[key]
 	c.mu.Unlock()
-	if time.Now().Before(k.until) {
+	if time.Now().Before(k.expiry) {
 		return k.addresses
 	}
 	for _, target := range append(k.addresses, c.options.Targets...) {
-		if k, ok := c.askEntries(ctx, target, key); ok {
+		if k, ok := c.fetchEntries(ctx, target, key); ok {
 			c.mu.Lock()
-			c.known[key] = k
+			c.entriesByKey[key] = k
 			c.mu.Unlock()
 			return k.addresses
 		}
@@ -204,35 +215,36 @@
 	return c.options.Targets
 }
 
-func (c *callers) askEntries(ctx context.Context, target, key string) (known, bool) {
-	asked := time.Now()
+func (c *loadClient) fetchEntries(ctx context.Context, target, key string) (cachedEntries, bool) {
+	requestedAt := time.Now()
 	a, err := c.client.Do(ctx, upstream.Call{Address: target, Method: "GET", Path: "/v1/entries", Headers: bearer(key)})
 	if err != nil {
-		return known{}, false
+		return cachedEntries{}, false
 	}
 	defer a.Close()
-	body, err := upstream.ReadWhole(a, maxEntries)
+	body, err := upstream.ReadWhole(a, maxBodyBytes)
 	var answer struct {
 		Entries []string `json:"entries"`
 		Keep    float64  `json:"keep_seconds"`
 	}
 	if err != nil || a.Status != http.StatusOK || json.Unmarshal(body, &answer) != nil {
-		return known{}, false
+		return cachedEntries{}, false
 	}
-	k := known{until: asked.Add(time.Duration(answer.Keep * float64(time.Second)))}
+	k := cachedEntries{expiry: requestedAt.Add(time.Duration(answer.Keep * float64(time.Second)))}
 	for _, address := range answer.Entries {
-		if loopback(address) { // load never leaves the machine, whatever a host says
+		if loopback(address) { // load must not leave this machine, also if a host lists other addresses
 			k.addresses = append(k.addresses, address)
 		}
 	}
 	return k, len(k.addresses) > 0
 }
 
-// forget drops an answer that named a host which could not be reached.
-func (c *callers) forget(key string) {
+// expireEntries expires a cached answer that lists a host which could not be
+// reached. Its addresses are still used to ask for a new one.
+func (c *loadClient) expireEntries(key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.known[key]
-	k.until = time.Time{}
-	c.known[key] = k
+	k := c.entriesByKey[key]
+	k.expiry = time.Time{}
+	c.entriesByKey[key] = k
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,9 @@
-// Package load is an open-loop load tool: requests start at the times of a
-// Poisson process whatever became of the earlier ones, and latencies count
-// from those times, so that a slow system can't hide its queue.
+// Package load is an open-loop load generator. Requests start at the times of a
+// Poisson process, independently of the answers to earlier ones, and latencies
+// count from those times, so that the time a request has to wait for a slow
+// system is included. Options give the rate, the mix of adapters and keys and
+// the share of cancelled requests; Result holds the outcomes and latencies.
+// Only loopback addresses are used.
 package load
 
 import (
@@ -18,10 +21,10 @@
 	"gentiancroft/internal/supervise"
 )
 
-// Invalid is the class of options that can't be used.
+// Invalid is the class of invalid options.
 var Invalid = errs.Class("load options")
 
-// Bounds of one run.
+// Upper limits of one run.
 const (
 	maxRequests = 1_000_000
 	maxDuration = 10 * time.Minute
@@ -30,22 +33,23 @@
 
 // Options of a run.
 type Options struct {
-	Targets  []string      // ip:port of hosts to ask first; loopback only
-	Keys     []string      // callers' keys, drawn with equal chance
+	Targets  []string      // ip:port of the hosts to start with; loopback only
+	Keys     []string      // API keys of callers, drawn uniformly
 	Path     string        // of completions
-	Rate     float64       // requests a second
-	Requests int           // at most so many
-	Duration time.Duration // at most so long
+	Rate     float64       // mean requests per second
+	Requests int           // maximum number of requests
+	Duration time.Duration // maximum time in which requests start
 	Timeout  time.Duration // of one request
 
-	Adapters  []string // by falling popularity
+	Adapters  []string // most popular first
 	Skew      float64  // exponent of Zipf's law over Adapters, above 1
 	MaxTokens int
-	Prompt    int     // bytes
-	Cancel    float64 // share of requests that hang up
-	// CancelAfter is the mean of the exponential time until a hang-up.
+	Prompt    int     // bytes of the prompt
+	Cancel    float64 // fraction of requests that the caller cancels
+	// CancelAfter is the mean of the exponentially distributed time until a
+	// cancellation.
 	CancelAfter time.Duration
-	Follow      bool // ask GET /v1/entries, and use its answer as long as told
+	Follow      bool // use the addresses of GET /v1/entries, for as long as the answer may be cached
 	Seed        uint64
 }
 
@@ -56,21 +60,21 @@
 	case len(o.Keys) == 0 || len(o.Adapters) == 0:
 		return Invalid.New("no key or no adapter")
 	case !(o.Rate > 0) || math.IsInf(o.Rate, 0):
-		return Invalid.New("rate: %v is not a number of requests a second", o.Rate)
+		return Invalid.New("rate: %v is not a positive number of requests per second", o.Rate)
 	case o.Requests < 1 || o.Requests > maxRequests:
-		return Invalid.New("requests: %d is not from 1 to %d", o.Requests, maxRequests)
+		return Invalid.New("requests: %d is not between 1 and %d", o.Requests, maxRequests)
 	case o.Duration <= 0 || o.Duration > maxDuration:
-		return Invalid.New("duration: %v is not up to %v", o.Duration, maxDuration)
+		return Invalid.New("duration: %v is not above 0 and at most %v", o.Duration, maxDuration)
 	case o.Timeout <= 0 || o.Timeout > maxDuration:
-		return Invalid.New("timeout: %v is not up to %v", o.Timeout, maxDuration)
+		return Invalid.New("timeout: %v is not above 0 and at most %v", o.Timeout, maxDuration)
 	case !(o.Skew > 1):
 		return Invalid.New("skew: %v is not above 1", o.Skew)
 	case !(o.Cancel >= 0 && o.Cancel <= 1):
-		return Invalid.New("cancel: %v is not a share from 0 to 1", o.Cancel)
+		return Invalid.New("cancel: %v is not a fraction between 0 and 1", o.Cancel)
 	case o.Cancel > 0 && o.CancelAfter <= 0:
-		return Invalid.New("cancel-after: %v is not a duration", o.CancelAfter)
+		return Invalid.New("cancel-after: %v is not above 0", o.CancelAfter)
 	case o.MaxTokens < 1 || o.Prompt < 1:
-		return Invalid.New("max-tokens and prompt are at least 1")
+		return Invalid.New("max-tokens and prompt must be at least 1")
 	}
 	for _, t := range o.Targets {
 		if !loopback(t) {
@@ -80,28 +84,28 @@
 	return nil
 }
 
-// loopback reports whether an address can only be this machine.
+// loopback reports whether an address is an ip:port of the loopback interface.
 func loopback(address string) bool {
 	a, err := netip.ParseAddrPort(address)
 	return err == nil && a.Addr().IsLoopback()
 }
 
-// plan is one request before it starts.
+// plan is one request to be sent.
 type plan struct {
-	at      time.Duration // since the start of the run
-	adapter string
-	key     string
-	cancel  time.Duration // until the hang-up; 0: none
-	number  int
+	startOffset time.Duration // since the start of the run
+	adapter     string
+	key         string
+	cancelAfter time.Duration // time until the caller hangs up; 0: never
+	number      int
 }
 
-// planner draws requests; the same seed draws the same ones.
+// planner draws the requests of a run from a seeded random generator.
 type planner struct {
-	options Options
-	rng     *core.Rand
-	weights []float64 // cumulated
-	at      time.Duration
-	number  int
+	options           Options
+	rng               *core.Rand
+	cumulativeWeights []float64
+	startOffset       time.Duration
+	number            int
 }
 
 func newPlanner(o Options) *planner {
@@ -109,34 +113,35 @@
 	total := 0.0
 	for i := range o.Adapters {
 		total += math.Pow(float64(i+1), -o.Skew)
-		p.weights = append(p.weights, total)
+		p.cumulativeWeights = append(p.cumulativeWeights, total)
 	}
 	return p
 }
 
-// next draws a request, or says that the run is over.
+// next draws the next request; false at the end of the run.
 func (p *planner) next() (plan, bool) {
 	o := p.options
-	p.at += time.Duration(p.rng.ExpFloat64() / o.Rate * float64(time.Second))
-	if p.number >= o.Requests || p.at > o.Duration {
+	p.startOffset += time.Duration(p.rng.ExpFloat64() / o.Rate * float64(time.Second))
+	if p.number >= o.Requests || p.startOffset > o.Duration {
 		return plan{}, false
 	}
-	r := plan{at: p.at, number: p.number}
+	r := plan{startOffset: p.startOffset, number: p.number}
 	p.number++
 	r.key = o.Keys[p.rng.IntN(len(o.Keys))]
-	r.adapter = o.Adapters[p.pick()]
+	r.adapter = o.Adapters[p.pickAdapter()]
 	if p.rng.Float64() < o.Cancel {
-		r.cancel = 1 + time.Duration(p.rng.ExpFloat64()*float64(o.CancelAfter))
+		r.cancelAfter = 1 + time.Duration(p.rng.ExpFloat64()*float64(o.CancelAfter))
 	}
 	return r, true
 }
 
-func (p *planner) pick() int {
-	x := p.rng.Float64() * p.weights[len(p.weights)-1]
-	low, high := 0, len(p.weights)-1
+// pickAdapter draws the index of an adapter by Zipf's law.
+func (p *planner) pickAdapter() int {
+	x := p.rng.Float64() * p.cumulativeWeights[len(p.cumulativeWeights)-1]
+	low, high := 0, len(p.cumulativeWeights)-1
 	for low < high {
 		middle := (low + high) / 2
-		if p.weights[middle] > x {
+		if p.cumulativeWeights[middle] > x {
 			high = middle
 		} else {
 			low = middle + 1
@@ -145,39 +150,41 @@
 	return low
 }
 
-// Run carries out a run to its end and returns what came of it.
+// Run offers the load until the limits of the options are reached or ctx is
+// done, waits for the requests in flight and returns the result. It returns an
+// Invalid error for invalid options.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
 	client := upstream.NewClient(nil, nil)
 	defer client.Close()
-	c := &callers{options: o, client: client, known: map[string]known{}}
+	c := &loadClient{options: o, client: client, entriesByKey: map[string]cachedEntries{}}
 	result := newResult()
 	planner := newPlanner(o)
 	started := time.Now()
 	var running sync.WaitGroup
-	places := make(chan struct{}, maxInFlight)
+	slots := make(chan struct{}, maxInFlight)
 	for {
 		p, ok := planner.next()
-		if !ok || !supervise.Sleep(ctx, time.Until(started.Add(p.at))) {
+		if !ok || !supervise.Sleep(ctx, time.Until(started.Add(p.startOffset))) {
 			break
 		}
-		result.offered()
+		result.countRequest()
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			result.add(sample{outcome: outcomeNoPlace})
+			result.record(sample{outcome: outcomeNotStarted})
 			continue
 		}
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			result.add(c.ask(ctx, p, started.Add(p.at)))
-			<-places
+			result.record(c.send(ctx, p, started.Add(p.startOffset)))
+			<-slots
 		}()
 	}
 	running.Wait()
-	result.finish(time.Since(started))
+	result.setElapsed(time.Since(started))
 	return result, nil
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -23,8 +23,9 @@
 	}
 }
 
-// system answers like the system: whole, cut, refused or torn, by turns.
-func system(entries *atomic.Int32, answer func(w http.ResponseWriter, r *http.Request, adapter string)) *httptest.Server {
+// newFakeHost serves GET /v1/entries, which it counts, and completions by
+// answer.
+func newFakeHost(entries *atomic.Int32, answer func(w http.ResponseWriter, r *http.Request, adapter string)) *httptest.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/entries", func(w http.ResponseWriter, r *http.Request) {
 		entries.Add(1)
@@ -38,47 +39,47 @@
 	return httptest.NewServer(mux)
 }
 
-func token(w http.ResponseWriter, adapter string) {
+func writeToken(w http.ResponseWriter, adapter string) {
 	fmt.Fprintf(w, "data: {\"choices\":[{\"text\":\"%s@1:0 \"}]}\n\n", adapter)
 	w.(http.Flusher).Flush()
 }
 
-func TestOutcomesAreToldApart(t *testing.T) {
+func TestOutcomesAreDistinguished(t *testing.T) {
 	is := is.New(t)
 	var entries, number atomic.Int32
-	s := system(&entries, func(w http.ResponseWriter, r *http.Request, adapter string) {
+	s := newFakeHost(&entries, func(w http.ResponseWriter, r *http.Request, adapter string) {
 		switch number.Add(1) % 5 {
 		case 0:
 			w.WriteHeader(429)
 			fmt.Fprint(w, `{"error":{"code":"rate_limited"}}`)
 		case 1:
-			token(w, adapter)
-			token(w, adapter)
+			writeToken(w, adapter)
+			writeToken(w, adapter)
 			fmt.Fprint(w, "data: [DONE]\n\n")
 		case 2:
-			token(w, adapter)
+			writeToken(w, adapter)
 			fmt.Fprint(w, "event: error\ndata: {\"error\":{\"code\":\"stream_broken\"}}\n\n")
 		case 3:
-			token(w, adapter) // ends without [DONE]
+			writeToken(w, adapter) // ends without [DONE]
 		case 4:
-			token(w, "other")
+			writeToken(w, "other")
 		}
 	})
 	defer s.Close()
 	r, err := Run(context.Background(), options(strings.TrimPrefix(s.URL, "http://")))
 	is.NoErr(err)
-	is.Equal(r.Summary().Outcomes, map[string]int{"ok": 10, "rate_limited": 10, "cut: stream_broken": 10, outcomeNotWhole: 10, outcomeWrong: 10})
+	is.Equal(r.Summary().Outcomes, map[string]int{"ok": 10, "rate_limited": 10, "cut: stream_broken": 10, outcomeIncomplete: 10, outcomeWrongAdapter: 10})
 	is.Equal(r.Summary().First.Count, int64(10))
 	var text bytes.Buffer
 	is.NoErr(r.WriteText(&text))
 	is.True(strings.Contains(text.String(), "rate_limited"))
 }
 
-func TestEntriesAreFollowedAndKept(t *testing.T) {
+func TestEntriesAreFetchedAndCached(t *testing.T) {
 	is := is.New(t)
 	var entries atomic.Int32
-	s := system(&entries, func(w http.ResponseWriter, _ *http.Request, adapter string) {
-		token(w, adapter)
+	s := newFakeHost(&entries, func(w http.ResponseWriter, _ *http.Request, adapter string) {
+		writeToken(w, adapter)
 		fmt.Fprint(w, "data: [DONE]\n\n")
 	})
 	defer s.Close()
@@ -86,14 +87,14 @@
 	o.Follow, o.Requests, o.Rate, o.Keys = true, 3, 20, []string{"k1"}
 	r, err := Run(context.Background(), o)
 	is.NoErr(err)
-	is.Equal(r.Outcome(outcomeOK), 3) // past the address that can't be reached
+	is.Equal(r.Outcome(outcomeOK), 3) // the first loopback address can't be reached
 	is.True(entries.Load() >= 1)
 }
 
-func TestHangUpsAreMade(t *testing.T) {
+func TestCancelledRequestsHangUp(t *testing.T) {
 	is := is.New(t)
 	var entries atomic.Int32
-	s := system(&entries, func(_ http.ResponseWriter, r *http.Request, _ string) { <-r.Context().Done() })
+	s := newFakeHost(&entries, func(_ http.ResponseWriter, r *http.Request, _ string) { <-r.Context().Done() })
 	defer s.Close()
 	o := options(strings.TrimPrefix(s.URL, "http://"))
 	o.Cancel, o.CancelAfter = 1, time.Millisecond
@@ -120,11 +121,11 @@
 		counts[p.adapter]++
 	}
 	is.True(counts["a"] > counts["b"] && counts["b"] > counts["c"])
-	mean := plans[len(plans)-1].at / time.Duration(len(plans))
+	mean := plans[len(plans)-1].startOffset / time.Duration(len(plans))
 	is.True(mean > 900*time.Microsecond && mean < 1100*time.Microsecond)
 }
 
-func TestOnlyLoopbackAndBounded(t *testing.T) {
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, change := range []func(*Options){
 		func(o *Options) { o.Targets = []string{"10.0.0.1:80"} },
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -12,65 +12,65 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range of the histograms.
+// Range and precision of the histograms.
 const (
-	leastMicros = 1
-	mostMicros  = int64(20 * time.Minute / time.Microsecond)
-	digits      = 3
+	minMicros         = 1
+	maxMicros         = int64(20 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// quantiles that a result shows.
+// quantiles of Latency, in percent.
 var quantiles = []float64{50, 95, 99, 99.9}
 
-// Result is what a run gave.
+// Result is the result of a run.
 type Result struct {
-	mu       sync.Mutex
-	count    int
-	outcomes map[string]int
-	first    *hdrhistogram.Histogram // of whole answers
-	total    *hdrhistogram.Histogram // of whole answers
-	gaps     *hdrhistogram.Histogram
-	took     time.Duration
+	mu         sync.Mutex
+	count      int
+	outcomes   map[string]int
+	firstToken *hdrhistogram.Histogram // of requests with outcome ok
+	total      *hdrhistogram.Histogram // of requests with outcome ok
+	tokenGaps  *hdrhistogram.Histogram
+	elapsed    time.Duration
 }
 
 func newResult() *Result {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(leastMicros, mostMicros, digits) }
-	return &Result{outcomes: map[string]int{}, first: histogram(), total: histogram(), gaps: histogram()}
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(minMicros, maxMicros, significantDigits) }
+	return &Result{outcomes: map[string]int{}, firstToken: histogram(), total: histogram(), tokenGaps: histogram()}
 }
 
-func (r *Result) offered() {
+func (r *Result) countRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.count++
 }
 
-func (r *Result) add(s sample) {
+func (r *Result) record(s sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outcomes[s.outcome]++
-	for _, g := range s.gaps {
-		_ = r.gaps.RecordValue(g.Microseconds())
+	for _, g := range s.tokenGaps {
+		_ = r.tokenGaps.RecordValue(g.Microseconds())
 	}
 	if s.outcome != outcomeOK {
 		return
 	}
-	_ = r.first.RecordValue(s.first.Microseconds())
+	_ = r.firstToken.RecordValue(s.firstToken.Microseconds())
 	_ = r.total.RecordValue(s.total.Microseconds())
 }
 
-func (r *Result) finish(took time.Duration) {
+func (r *Result) setElapsed(took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.took = took
+	r.elapsed = took
 }
 
-// Count is how many requests were offered.
+// Count returns the number of requests offered.
 func (r *Result) Count() int { return r.count }
 
-// Outcome is how many requests ended so.
+// Outcome returns the number of requests with an outcome.
 func (r *Result) Outcome(name string) int { return r.outcomes[name] }
 
-// Latency is a distribution in milliseconds.
+// Latency is a latency distribution in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -80,7 +80,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Summary is the form in which a result is written as JSON.
+// Summary is a result as written in JSON.
 type Summary struct {
 	Requests int            `json:"requests"`
 	Seconds  float64        `json:"seconds"`
@@ -91,18 +91,18 @@
 	Between  Latency        `json:"between_tokens"`
 }
 
-// Summary sums a result up.
+// Summary returns the summary of a result.
 func (r *Result) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Summary{
 		Requests: r.count,
-		Seconds:  r.took.Seconds(),
-		Rate:     float64(r.count) / max(r.took.Seconds(), time.Microsecond.Seconds()),
+		Seconds:  r.elapsed.Seconds(),
+		Rate:     float64(r.count) / max(r.elapsed.Seconds(), time.Microsecond.Seconds()),
 		Outcomes: r.outcomes,
-		First:    latency(r.first),
+		First:    latency(r.firstToken),
 		Total:    latency(r.total),
-		Between:  latency(r.gaps),
+		Between:  latency(r.tokenGaps),
 	}
 }
 
@@ -116,10 +116,10 @@
 	}
 }
 
-// WriteJSON writes a result as one JSON object.
+// WriteJSON writes the summary as one JSON object.
 func (r *Result) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(r.Summary()) }
 
-// WriteText writes a result as a table.
+// WriteText writes the summary as text with tables.
 func (r *Result) WriteText(w io.Writer) error {
 	s := r.Summary()
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
