--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -72,7 +72,7 @@
 // entryHost is one running host; cancel stops it at once, and runError gets the
 // result of Run.
 type entryHost struct {
-	*wiring.Running
+	*wiring.ServeHost
 	domain   core.Domain
 	cancel   context.CancelFunc
 	runError chan error
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	d.document, err = config.Parse(b)
+	d.document, err = config.ParseYAML(b)
 	if err != nil {
 		return err
 	}
@@ -223,12 +223,12 @@
 // view and no host acts under an older view.
 func (d *deployment) membershipApplied(ctx context.Context) bool {
 	for _, h := range d.hosts {
-		v := make(chan node.Vitals, 1)
-		err := h.Host.Read(ctx, func(n *node.Node, _ core.Instant) { v <- n.Vitals() })
+		v := make(chan node.Status, 1)
+		err := h.Host.Read(ctx, func(n *node.Node, _ core.Instant) { v <- n.Status() })
 		if err != nil {
 			return false
 		}
-		if x := <-v; x.Members != entryHostCount || x.Settled != x.View {
+		if x := <-v; x.Members != entryHostCount || x.LowestAppliedView != x.View {
 			return false
 		}
 	}
@@ -251,13 +251,13 @@
 		Platform:  d.platform,
 		KeySecret: secret,
 		Material:  material,
-		Node:      node.Settings{KeepTime: requestRefusalDelay},
+		Node:      node.Settings{RequestRefusalDelay: requestRefusalDelay},
 	})
 	if err != nil {
 		return err
 	}
 	own, kill := context.WithCancel(ctx)
-	h := &entryHost{Running: r, domain: core.Domain(domain), cancel: kill, runError: make(chan error, 1)}
+	h := &entryHost{ServeHost: r, domain: core.Domain(domain), cancel: kill, runError: make(chan error, 1)}
 	d.hosts = append(d.hosts, h)
 	go func() { h.runError <- r.Run(own) }()
 	return nil
--- a/internal/demo/tour.go
+++ b/internal/demo/tour.go
@@ -78,7 +78,7 @@
 // resolveAdapter resolves an adapter for the scenario's workspace.
 func resolveAdapter(d *deployment, adapter string) (*config.Snapshot, *config.Adapter) {
 	s := config.NewSnapshot(1, d.document)
-	_, a, _ := s.Resolve(adapter, d.workspace)
+	_, a, _ := s.ResolveModel(adapter, d.workspace)
 	return s, a
 }
 
@@ -178,7 +178,7 @@
 func (d *deployment) allowedAdapter(ws core.WorkspaceID) string {
 	s := config.NewSnapshot(1, d.document)
 	for _, a := range d.document.Adapters {
-		if _, _, refusal := s.Resolve(string(a.ID), ws); refusal == nil {
+		if _, _, refusal := s.ResolveModel(string(a.ID), ws); refusal == nil {
 			return string(a.ID)
 		}
 	}
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -172,7 +172,7 @@
 
 // refusalCode returns the error code of an answer with a status other than 200.
 func refusalCode(a *upstream.Answer) string {
-	body, err := upstream.ReadWhole(a, maxBodyBytes)
+	body, err := upstream.ReadBody(a, maxBodyBytes)
 	if err != nil {
 		return outcomeIncomplete
 	}
@@ -222,7 +222,7 @@
 		return cachedEntries{}, false
 	}
 	defer a.Close()
-	body, err := upstream.ReadWhole(a, maxBodyBytes)
+	body, err := upstream.ReadBody(a, maxBodyBytes)
 	var answer struct {
 		Entries []string `json:"entries"`
 		Keep    float64  `json:"keep_seconds"`
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -136,12 +136,12 @@
 	running, waiting := e.batch.counts()
 	r := upstream.LoadReport{Incarnation: e.incarnation(), Running: running, Waiting: waiting, Leaving: e.faults.Leaving}
 	for name, n := range e.adapters {
-		r.Adapters = append(r.Adapters, upstream.AdapterCount{Name: name, Running: n})
+		r.Adapters = append(r.Adapters, upstream.AdapterRequests{Name: name, Running: n})
 	}
 	for name := range e.loading {
 		r.Loading = append(r.Loading, name)
 	}
-	slices.SortFunc(r.Adapters, func(a, b upstream.AdapterCount) int {
+	slices.SortFunc(r.Adapters, func(a, b upstream.AdapterRequests) int {
 		if a.Name < b.Name {
 			return -1
 		}
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -30,7 +30,7 @@
 // listChange is a change of the host list with the time at which it becomes
 // visible.
 type listChange struct {
-	platform.Listed
+	platform.ListEntry
 	visibleAt time.Time
 	removed   bool
 }
@@ -48,12 +48,12 @@
 // List adds a host or upstream to the list, or changes its entry, after the
 // lag.
 func (s *Server) List(name string, leaving bool) {
-	s.appendChange(listChange{Listed: platform.Listed{Name: name, Leaving: leaving}})
+	s.appendChange(listChange{ListEntry: platform.ListEntry{Name: name, Leaving: leaving}})
 }
 
 // Unlist removes a name from the list, after the lag.
 func (s *Server) Unlist(name string) {
-	s.appendChange(listChange{Listed: platform.Listed{Name: name}, removed: true})
+	s.appendChange(listChange{ListEntry: platform.ListEntry{Name: name}, removed: true})
 }
 
 func (s *Server) appendChange(l listChange) {
@@ -65,7 +65,7 @@
 
 // visibleHosts returns the current list, sorted by name: the latest visible
 // change of each name.
-func (s *Server) visibleHosts() []platform.Listed {
+func (s *Server) visibleHosts() []platform.ListEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -75,13 +75,13 @@
 			latest[l.Name] = l
 		}
 	}
-	out := []platform.Listed{}
+	out := []platform.ListEntry{}
 	for _, l := range latest {
 		if !l.removed {
-			out = append(out, l.Listed)
+			out = append(out, l.ListEntry)
 		}
 	}
-	slices.SortFunc(out, func(a, b platform.Listed) int {
+	slices.SortFunc(out, func(a, b platform.ListEntry) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -108,7 +108,7 @@
 // serveObject handles GET, PUT and DELETE of one object.
 func (s *Server) serveObject(w http.ResponseWriter, r *http.Request) {
 	call := core.ObjectCall{Key: r.URL.Query().Get("key")}
-	match := r.Header.Get(platform.HeaderMatch)
+	match := r.Header.Get(platform.HeaderIfMatch)
 	if match != "" {
 		version, err := strconv.ParseUint(match, 10, 64)
 		if err != nil {
@@ -130,7 +130,7 @@
 		}
 		call.Value = value
 		call.Op = core.ObjectUpdate
-		if r.Header.Get(platform.HeaderNone) == "*" {
+		if r.Header.Get(platform.HeaderIfNoneMatch) == "*" {
 			call.Op = core.ObjectCreate
 		}
 	default:
