--- a/cmd/gentiancroft/relay.go
+++ b/cmd/gentiancroft/relay.go
@@ -66,7 +66,7 @@
 		log.WithError(err).Warn("the links may write a line that is no JSON")
 	}
 	debug.SetGCPercent(gcPercent)
-	if memory := s.Memory.Value(); memory > 0 {
+	if memory := s.Memory.Bytes(); memory > 0 {
 		debug.SetMemoryLimit(int64(memoryFraction * float64(memory)))
 	}
 	hangups := make(chan os.Signal, 1)
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -150,9 +150,9 @@
 	return secret, nil
 }
 
-// Material reads the key material of the links. An error names the setting of the file at
+// LinkMaterial reads the key material of the links. An error names the setting of the file at
 // fault, where one file is.
-func (h *Host) Material() (peer.Material, error) {
+func (h *Host) LinkMaterial() (peer.Material, error) {
 	files := []struct{ field, name string }{
 		{"tls.authority", h.TLS.Authority}, {"tls.certificate", h.TLS.Certificate}, {"tls.key", h.TLS.Key},
 	}
@@ -168,8 +168,8 @@
 	return m, nil
 }
 
-// OperatorHashes maps each operator's hash to its name.
-func (h *Host) OperatorHashes() map[string]string {
+// OperatorsByHash maps each operator's hash to its name.
+func (h *Host) OperatorsByHash() map[string]string {
 	names := make(map[string]string, len(h.Operators))
 	for _, o := range h.Operators {
 		names[o.Hash] = o.Name
--- a/internal/settings/page.go
+++ b/internal/settings/page.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Page returns the text of docs/settings.md: every setting of both kinds of host, from the
+// MarkdownPage returns the text of docs/settings.md: every setting of both kinds of host, from the
 // struct tags.
-func Page() string {
+func MarkdownPage() string {
 	var b strings.Builder
 	b.WriteString("# Settings of a host\n\n")
 	b.WriteString("`gentiancroft serve --settings FILE` reads one YAML file. An unknown or repeated key, a wrong\n")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -38,10 +38,10 @@
 	is := is.New(t)
 	h, err := Parse("host.yaml", []byte(validSettings))
 	is.NoErr(err)
-	is.Equal(h.Limits.Body.Value(), 2<<20)
-	is.Equal(h.Limits.Header.Or(7), 7)
+	is.Equal(h.Limits.Body.Bytes(), 2<<20)
+	is.Equal(h.Limits.Header.BytesOr(7), 7)
 	is.Equal(h.Limits.Stall.Value(), 1500*time.Millisecond)
-	is.Equal(h.Timings.Poll.Or(time.Second), time.Second)
+	is.Equal(h.Timings.Poll.ValueOr(time.Second), time.Second)
 	is.Equal(h.LogLevel(), "info")
 }
 
@@ -83,7 +83,7 @@
 	write("keys.secret", []byte("short\n"))
 	_, err = h.KeySecret()
 	is.True(strings.Contains(err.Error(), "less than 16 bytes"))
-	_, err = h.Material()
+	_, err = h.LinkMaterial()
 	is.True(Invalid.Has(err) && strings.Contains(err.Error(), file+":12: tls.authority: "))
 	authority, err := peer.NewAuthority("test", time.Hour)
 	is.NoErr(err)
@@ -96,7 +96,7 @@
 	secret, err := h.KeySecret()
 	is.NoErr(err)
 	is.Equal(string(secret), "a secret of some length")
-	_, err = h.Material()
+	_, err = h.LinkMaterial()
 	is.NoErr(err)
 }
 
@@ -115,11 +115,11 @@
 	is := is.New(t)
 	const file = "../../docs/settings.md"
 	if *update {
-		is.NoErr(os.WriteFile(file, []byte(Page()), 0o644))
+		is.NoErr(os.WriteFile(file, []byte(MarkdownPage()), 0o644))
 	}
 	b, err := os.ReadFile(file)
 	is.NoErr(err)
-	is.Equal(string(b), Page()) // go test ./internal/settings -run TestPageIsCurrent -update
+	is.Equal(string(b), MarkdownPage()) // go test ./internal/settings -run TestPageIsCurrent -update
 }
 
 func FuzzParse(f *testing.F) {
@@ -134,6 +134,6 @@
 			is.True(Invalid.Has(err))
 			return
 		}
-		is.True(h.Host.Name != "" && h.Limits.Body.Value() >= 0 && h.Limits.Read.Value() >= 0)
+		is.True(h.Host.Name != "" && h.Limits.Body.Bytes() >= 0 && h.Limits.Read.Value() >= 0)
 	})
 }
--- a/internal/settings/units.go
+++ b/internal/settings/units.go
@@ -34,8 +34,8 @@
 	bytes int
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// Value returns the size in bytes, 0 if it is empty or invalid.
-func (s Size) Value() int {
+// Bytes returns the size in bytes, 0 if it is empty or invalid.
+func (s Size) Bytes() int {
 	v, _ := parseSize(string(s))
 	return v
 }
@@ -58,17 +58,17 @@
 	return 0, false
 }
 
-// Or returns the duration, or other if none is set.
-func (d Duration) Or(other time.Duration) time.Duration {
+// ValueOr returns the duration, or other if none is set.
+func (d Duration) ValueOr(other time.Duration) time.Duration {
 	if v := d.Value(); v > 0 {
 		return v
 	}
 	return other
 }
 
-// Or returns the size in bytes, or other if none is set.
-func (s Size) Or(other int) int {
-	if v := s.Value(); v > 0 {
+// BytesOr returns the size in bytes, or other if none is set.
+func (s Size) BytesOr(other int) int {
+	if v := s.Bytes(); v > 0 {
 		return v
 	}
 	return other
--- a/internal/wiring/convert.go
+++ b/internal/wiring/convert.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return Settings{}, err
 	}
-	material, err := h.Material()
+	material, err := h.LinkMaterial()
 	if err != nil {
 		return Settings{}, err
 	}
@@ -37,19 +37,19 @@
 		Limits:    entryLimits(h.Limits),
 		Node:      nodeSettings(h),
 	}
-	s.Routes = append(s.Routes, consoleRoutes(s, h.OperatorHashes()))
+	s.Routes = append(s.Routes, consoleRoutes(s, h.OperatorsByHash()))
 	return s, nil
 }
 
 func entryLimits(l settings.Limits) entry.Limits {
 	d := entry.DefaultLimits
 	limits := entry.Limits{
-		MaxBodyBytes:   l.Body.Or(d.MaxBodyBytes),
-		MaxHeaderBytes: l.Header.Or(d.MaxHeaderBytes),
+		MaxBodyBytes:   l.Body.BytesOr(d.MaxBodyBytes),
+		MaxHeaderBytes: l.Header.BytesOr(d.MaxHeaderBytes),
 		MaxConnections: l.Connections,
-		ReadTimeout:    l.Read.Or(d.ReadTimeout),
-		IdleTimeout:    l.Idle.Or(d.IdleTimeout),
-		StallTimeout:   l.Stall.Or(d.StallTimeout),
+		ReadTimeout:    l.Read.ValueOr(d.ReadTimeout),
+		IdleTimeout:    l.Idle.ValueOr(d.IdleTimeout),
+		StallTimeout:   l.Stall.ValueOr(d.StallTimeout),
 	}
 	if limits.MaxConnections == 0 {
 		limits.MaxConnections = d.MaxConnections
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -177,11 +177,11 @@
 func newRelayServer(s *settings.Relay, a PlatformAdapter, g *gateway.Gateway, client *upstream.Client, r metrics.Registry) *relay.Server {
 	d := relay.DefaultLimits
 	limits := relay.Limits{
-		MaxBodyBytes:   s.Limits.Body.Or(d.MaxBodyBytes),
-		MaxHeaderBytes: s.Limits.Header.Or(d.MaxHeaderBytes),
-		ReadTimeout:    s.Limits.Read.Or(d.ReadTimeout),
-		IdleTimeout:    s.Limits.Idle.Or(d.IdleTimeout),
-		StallTimeout:   s.Limits.Stall.Or(d.StallTimeout),
+		MaxBodyBytes:   s.Limits.Body.BytesOr(d.MaxBodyBytes),
+		MaxHeaderBytes: s.Limits.Header.BytesOr(d.MaxHeaderBytes),
+		ReadTimeout:    s.Limits.Read.ValueOr(d.ReadTimeout),
+		IdleTimeout:    s.Limits.Idle.ValueOr(d.IdleTimeout),
+		StallTimeout:   s.Limits.Stall.ValueOr(d.StallTimeout),
 	}
 	return relay.New(g, client, a.Dialect, limits, r)
 }
