--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -79,7 +79,7 @@
 // Register adds the gateway's workers to a supervision tree.
 func (g *Gateway) Register(t *supervise.Tree) {
 	t.Add("machine", g.run)
-	t.Add("ticker", supervise.Every(tickInterval, g.tick))
+	t.Add("ticker", supervise.Periodic(tickInterval, g.tick))
 	for _, w := range g.watches() {
 		t.Add("watch "+w.kind, w.run)
 	}
@@ -104,7 +104,7 @@
 // Notify queues an event for the machine and implements relay.Node. It blocks while
 // the ring is full, since an event that ends something must not be lost. The
 // machine's own worker must not call it: it would wait for itself.
-func (g *Gateway) Notify(e direct.Event) { g.events.Put(e) }
+func (g *Gateway) Notify(e direct.Event) { g.events.PushBlocking(e) }
 
 // Trusted reports whether a certificate's key is that of a registered host. It
 // waits for the machine.
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -74,7 +74,7 @@
 	h.orders.register(t)
 	h.polls.register(t)
 	t.Add("node", h.runNode)
-	t.Add("ticker", supervise.Every(tickInterval, h.tick))
+	t.Add("ticker", supervise.Periodic(tickInterval, h.tick))
 }
 
 // Now is the host's monotonic clock.
@@ -89,7 +89,7 @@
 // Notify enqueues an event and blocks while the queue is full: an event that ends
 // something must not be lost. The node's worker must not call it, as it would block
 // itself.
-func (h *Host) Notify(e node.Event) { h.events.Put(e) }
+func (h *Host) Notify(e node.Event) { h.events.PushBlocking(e) }
 
 // Offer enqueues an event. It returns false if the queue is full.
 func (h *Host) Offer(e node.Event) bool { return h.events.TryPush(e) }
--- a/internal/supervise/every.go
+++ b/internal/supervise/every.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Every returns a worker that calls f at an interval until its context ends.
-func Every(interval time.Duration, f func()) Duty {
+// Periodic returns a worker that calls f at an interval until its context ends.
+func Periodic(interval time.Duration, f func()) Worker {
 	return func(ctx context.Context) error {
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
--- a/internal/supervise/ring.go
+++ b/internal/supervise/ring.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// Put adds an item, whatever the ring's policy, and blocks while the ring is full: for items
+// PushBlocking adds an item, whatever the ring's policy, and blocks while the ring is full: for items
 // that must not be lost.
-func (r *Ring[T]) Put(item T) { r.items <- item }
+func (r *Ring[T]) PushBlocking(item T) { r.items <- item }
 
 func (r *Ring[T]) pushDroppingOldest(item T) {
 	for !r.TryPush(item) {
@@ -75,14 +75,14 @@
 
 // Stats holds a ring's length and its counters since it was created.
 type Stats struct {
-	Name    string
-	Length  int
-	Size    int
-	Dropped int64
-	Refused int64
+	Name     string
+	Length   int
+	Capacity int
+	Dropped  int64
+	Refused  int64
 }
 
 // Stats returns the ring's present length and counters.
 func (r *Ring[T]) Stats() Stats {
-	return Stats{Name: r.name, Length: len(r.items), Size: cap(r.items), Dropped: r.dropped.Load(), Refused: r.refused.Load()}
+	return Stats{Name: r.name, Length: len(r.items), Capacity: cap(r.items), Dropped: r.dropped.Load(), Refused: r.refused.Load()}
 }
--- a/internal/supervise/tree.go
+++ b/internal/supervise/tree.go
@@ -28,9 +28,9 @@
 	stopTimeout      = 5 * time.Second // for one worker to return
 )
 
-// Duty is the function of a worker. It returns when ctx ends; if it returns before, it is
+// Worker is the function of a worker. It returns when ctx ends; if it returns before, it is
 // restarted.
-type Duty func(ctx context.Context) error
+type Worker func(ctx context.Context) error
 
 // Tree supervises workers.
 type Tree struct {
@@ -72,7 +72,7 @@
 }
 
 // Add adds a worker, which runs while the tree does. name must not be in use.
-func (t *Tree) Add(name string, d Duty) {
+func (t *Tree) Add(name string, d Worker) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.tokens[name] = t.root.Add(&service{name: name, run: d})
@@ -100,7 +100,7 @@
 // service adapts a worker's function to suture.Service.
 type service struct {
 	name string
-	run  Duty
+	run  Worker
 }
 
 // Serve implements suture.Service.
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -243,7 +243,7 @@
 }
 
 // pageServer returns a worker that serves GET requests of one path.
-func pageServer(l net.Listener, path string, handler fasthttp.RequestHandler) supervise.Duty {
+func pageServer(l net.Listener, path string, handler fasthttp.RequestHandler) supervise.Worker {
 	const header, idle = 4 << 10, 30 * time.Second // bytes; between two requests
 	routes := router.New()
 	routes.GET(path, handler)
