--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -157,7 +157,7 @@
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	drained := make(chan error, 1)
 	stop := context.AfterFunc(ctx, func() { drained <- s.http.Shutdown() })
-	err := s.http.Serve(hangup.Listener{Listener: l, Stall: s.limits.StallTimeout})
+	err := s.http.Serve(hangup.Listener{Listener: l, StallTimeout: s.limits.StallTimeout})
 	if stop() {
 		return err
 	}
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -23,7 +23,7 @@
 // Listener wraps accepted connections so that they can be watched.
 type Listener struct {
 	net.Listener
-	Stall time.Duration // a write that takes longer fails
+	StallTimeout time.Duration // a write that takes longer fails
 }
 
 // Accept implements net.Listener.
@@ -35,7 +35,7 @@
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetWriteBuffer(sendBufferBytes)
 	}
-	return New(c, l.Stall), nil
+	return New(c, l.StallTimeout), nil
 }
 
 // Conn is a caller's connection that detects a hang-up while a request is served. The HTTP
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -85,7 +85,7 @@
 
 // Serve accepts connections from l until it is closed.
 func (s *Server) Serve(l net.Listener) error {
-	return s.http.Serve(hangup.Listener{Listener: l, Stall: s.limits.StallTimeout})
+	return s.http.Serve(hangup.Listener{Listener: l, StallTimeout: s.limits.StallTimeout})
 }
 
 // arrival makes the event of a new request. Its id is this host's request number and
