--- a/internal/exposition/exposition.go
+++ b/internal/exposition/exposition.go
@@ -36,8 +36,8 @@
 // series is a metric's name with its label, if any.
 type series struct{ name, label string }
 
-// Truth returns the gauge value of a boolean: 1 for true, 0 for false.
-func Truth(yes bool) int64 {
+// BoolValue returns the gauge value of a boolean: 1 for true, 0 for false.
+func BoolValue(yes bool) int64 {
 	if yes {
 		return 1
 	}
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -72,7 +72,7 @@
 	milliseconds("store.age_ms", s.StoreAge)
 	milliseconds("fleet.heartbeat_age_ms", s.OldestHeartbeatAge)
 	g.setGauge("fleet.active_hosts", int64(s.ActiveHosts))
-	g.setGauge("fleet.active", exposition.Truth(s.Active))
+	g.setGauge("fleet.active", exposition.BoolValue(s.Active))
 	metrics.GetOrRegisterGaugeFloat64("fleet.part", g.registry).Update(s.ReachableFraction)
 	g.setGauge("fleet.shards", int64(s.Shards))
 	g.setGauge("gateway.waiting", int64(s.Waiting))
--- a/internal/host/gauges.go
+++ b/internal/host/gauges.go
@@ -32,14 +32,14 @@
 // node's worker may call it.
 func (h *Host) updateGauges() {
 	v := h.node.Status()
-	h.gauge(GaugeReady, exposition.Truth(v.Ready))
+	h.gauge(GaugeReady, exposition.BoolValue(v.Ready))
 	h.gauge(GaugeInFlight, int64(v.InFlight))
 	h.gauge(GaugeMembers, int64(v.Members))
 	h.gauge(GaugeView, int64(v.View))
 	h.gauge(GaugeSettled, int64(v.LowestAppliedView))
-	h.gauge(GaugeLeaseHeld, exposition.Truth(v.LeaseValid))
-	h.gauge(GaugeStoreOutage, exposition.Truth(v.StoreOutage))
-	h.gauge(GaugeCutOff, exposition.Truth(v.CutOff))
+	h.gauge(GaugeLeaseHeld, exposition.BoolValue(v.LeaseValid))
+	h.gauge(GaugeStoreOutage, exposition.BoolValue(v.StoreOutage))
+	h.gauge(GaugeCutOff, exposition.BoolValue(v.CutOff))
 	h.gauge(GaugeConfiguration, int64(v.Configuration))
 	h.gauge(GaugeConfigurationAge, v.ConfigurationAge.Milliseconds())
 	h.gauge(GaugeUpstreamsOwned, int64(v.OwnedUpstreams))
