--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -37,21 +37,21 @@
 
 // Causes.
 const (
-	Unseen        Cause = "no host logged a decision about it: it reached no host, or the host ended first"
-	Served        Cause = "the logs show no failure: its answer was complete as far as they go"
-	NoRoute       Cause = "no route matches it in the configuration in force"
-	BadKey        Cause = "its key is not in the configuration in force"
-	OverRate      Cause = "its workspace had exceeded its rate"
-	Starting      Cause = "the host had not read its configuration and replicas yet"
-	Leaving       Cause = "the host was shutting down"
-	NobodyLoads   Cause = "no host could order a replica to load its adapter"
-	AdapterLate   Cause = "its adapter was not loaded in time"
-	ReplicasFull  Cause = "the replicas were saturated, rejected it or could not be reached"
-	ReplicaBroke  Cause = "a replica accepted it and gave no complete answer"
-	ReplicaFailed Cause = "the replica answered with an error"
-	TooLate       Cause = "its deadline passed before a replica answered"
-	CallerLeft    Cause = "its caller hung up"
-	WaitedLoad    Cause = "it was served after waiting for its adapter to be loaded"
+	NotLogged          Cause = "no host logged a decision about it: it reached no host, or the host ended first"
+	Served             Cause = "the logs show no failure: its answer was complete as far as they go"
+	NoRoute            Cause = "no route matches it in the configuration in force"
+	InvalidKey         Cause = "its key is not in the configuration in force"
+	RateLimited        Cause = "its workspace had exceeded its rate"
+	HostStarting       Cause = "the host had not read its configuration and replicas yet"
+	HostLeaving        Cause = "the host was shutting down"
+	NoLoader           Cause = "no host could order a replica to load its adapter"
+	AdapterLoadTimeout Cause = "its adapter was not loaded in time"
+	ReplicasSaturated  Cause = "the replicas were saturated, rejected it or could not be reached"
+	AnswerIncomplete   Cause = "a replica accepted it and gave no complete answer"
+	ReplicaFailed      Cause = "the replica answered with an error"
+	DeadlineExceeded   Cause = "its deadline passed before a replica answered"
+	CallerGone         Cause = "its caller hung up"
+	ServedAfterLoad    Cause = "it was served after waiting for its adapter to be loaded"
 )
 
 // Read returns the lines of one request, sorted by time. Lines that are not JSON are
@@ -74,7 +74,7 @@
 // a cause decides; without one, the request was served.
 func Why(lines []Line) Cause {
 	if len(lines) == 0 {
-		return Unseen
+		return NotLogged
 	}
 	for _, l := range slices.Backward(lines) {
 		if c, ok := finalCause(l, lines); ok {
@@ -85,7 +85,7 @@
 		return ReplicaFailed
 	}
 	if hasDecision(lines, "wait", "adapter") {
-		return WaitedLoad
+		return ServedAfterLoad
 	}
 	return Served
 }
@@ -97,29 +97,29 @@
 	case "admission unknown_route":
 		return NoRoute, true
 	case "admission invalid_key", "refusal key_withdrawn":
-		return BadKey, true
+		return InvalidKey, true
 	case "admission rate_limited":
-		return OverRate, true
+		return RateLimited, true
 	case "admission host_cut_off":
-		return Starting, true
+		return HostStarting, true
 	case "admission host_leaving":
-		return Leaving, true
+		return HostLeaving, true
 	case "cancel caller_gone":
-		return CallerLeft, true
+		return CallerGone, true
 	case "refusal deadline_exceeded":
-		return TooLate, true
+		return DeadlineExceeded, true
 	case "refusal upstream_failed":
-		return ReplicaBroke, true
+		return AnswerIncomplete, true
 	case "refusal no_upstream":
 		if strings.HasPrefix(l.Detail, "nobody") {
-			return NobodyLoads, true
+			return NoLoader, true
 		}
 		if hasDecision(all, "wait", "adapter") {
-			return AdapterLate, true
+			return AdapterLoadTimeout, true
 		}
-		return ReplicasFull, true
+		return ReplicasSaturated, true
 	case "refusal overloaded", "admission overloaded":
-		return ReplicasFull, true
+		return ReplicasSaturated, true
 	}
 	return "", false
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -17,7 +17,7 @@
 
 func TestCauseOfEachRequest(t *testing.T) {
 	is := is.New(t)
-	for request, want := range map[string]Cause{"a": AdapterLate, "b": ReplicaBroke, "c": Unseen} {
+	for request, want := range map[string]Cause{"a": AdapterLoadTimeout, "b": AnswerIncomplete, "c": NotLogged} {
 		lines, err := Read(strings.NewReader(logs), request)
 		is.NoErr(err)
 		is.Equal(Why(lines), want)
@@ -31,5 +31,5 @@
 	var out strings.Builder
 	is.NoErr(Write(&out, lines))
 	is.True(strings.Index(out.String(), "wait") < strings.Index(out.String(), "refusal"))
-	is.True(strings.HasSuffix(out.String(), "cause: "+string(AdapterLate)+"\n"))
+	is.True(strings.HasSuffix(out.String(), "cause: "+string(AdapterLoadTimeout)+"\n"))
 }
