--- a/cmd/gentiancroft/soak.go
+++ b/cmd/gentiancroft/soak.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return false, err
 	}
-	r, err := soak.Run(soak.Settings{Program: program, Dir: dir, Seed: seed, Length: length})
+	r, err := soak.Run(soak.Settings{Program: program, Dir: dir, Seed: seed, Duration: length})
 	if err != nil {
 		return false, err
 	}
