--- a/cmd/gentiancroft/config.go
+++ b/cmd/gentiancroft/config.go
@@ -210,7 +210,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.MadeFrom(ctx, base, from); err != nil {
+	if err := s.CheckBaseVersion(ctx, base, from); err != nil {
 		return err
 	}
 	plan, err := s.Plan(base, next, nil)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -123,9 +123,9 @@
 	history, err := s.History(ctx, 0, 99)
 	is.NoErr(err)
 	is.Equal(len(history), 1)
-	is.NoErr(s.MadeFrom(ctx, current, 1))
-	is.True(Conflict.Has(s.MadeFrom(ctx, current, 0))) // an old file does not revert their change
-	is.True(Invalid.Has(s.MadeFrom(ctx, current, 2)))
+	is.NoErr(s.CheckBaseVersion(ctx, current, 1))
+	is.True(Conflict.Has(s.CheckBaseVersion(ctx, current, 0))) // an old file does not revert their change
+	is.True(Invalid.Has(s.CheckBaseVersion(ctx, current, 2)))
 }
 
 func TestLostAnswersAreResolved(t *testing.T) {
@@ -204,7 +204,7 @@
 	_, err := other.Apply(ctx, ben, planAdding(t, other, "theirs"))
 	is.NoErr(err)
 	_, err = s.Apply(ctx, ana, p)
-	is.True(InDoubt.Has(err))
+	is.True(ResultUnknown.Has(err))
 	store.StaleReads(false)
 	current, err := s.Load(ctx)
 	is.NoErr(err)
@@ -226,7 +226,7 @@
 	collected := 0
 	api.before = func(c core.ObjectCall) {
 		if c.Key == config.HeadKey && c.Op == core.ObjectUpdate {
-			collected, err = collector.Collect(ctx) // right before the head is updated
+			collected, err = collector.CollectChunks(ctx) // right before the head is updated
 			is.NoErr(err)
 		}
 	}
@@ -240,7 +240,7 @@
 	is.Equal(len(current.Document.Workspaces), 1)
 	_, err = fresh.Apply(ctx, ana, planAdding(t, fresh, "three"))
 	is.NoErr(err)
-	n, err := fresh.Collect(ctx)
+	n, err := fresh.CollectChunks(ctx)
 	is.NoErr(err)
 	is.Equal(n, 2) // the chunks of versions 2 and 3
 	_, err = fresh.Load(ctx)
@@ -252,9 +252,9 @@
 	store := platform.NewStore()
 	s, _ := newService(store)
 	for v := uint64(1); v <= 2*pruneInterval; v++ { // old records
-		store.Do(core.ObjectCall{Op: core.ObjectCreate, Key: Record{Version: v, Token: "t"}.key(), Value: []byte{0xa0}})
+		store.Do(core.ObjectCall{Op: core.ObjectCreate, Key: Record{Version: v, WriteID: "t"}.key(), Value: []byte{0xa0}})
 	}
-	s.pruneRecords(ctx, KeepVersions+2*pruneInterval)
+	s.pruneRecords(ctx, AuditRetention+2*pruneInterval)
 	r := store.Do(core.ObjectCall{Op: core.ObjectList, Key: config.AuditPrefix})
 	is.Equal(len(r.Objects), 1) // of the 200 oldest, only version 200 is within the bound
 }
@@ -356,9 +356,9 @@
 	is.Equal(hash, config.HashKey(secret, key))
 	is.True(!strings.Contains(hash, key))
 	o := NewOperators(secret, map[string]string{"ana": hash})
-	name, err := o.Check(key)
+	name, err := o.Authenticate(key)
 	is.NoErr(err)
 	is.Equal(name, "ana")
-	_, err = o.Check(key + "x")
+	_, err = o.Authenticate(key + "x")
 	is.True(Denied.Has(err))
 }
--- a/internal/admin/apply.go
+++ b/internal/admin/apply.go
@@ -38,7 +38,7 @@
 	h.At = s.now().UTC()
 	h.WriteID = newWriteID()
 	if h.Version%collectInterval == 0 {
-		_, _ = s.Collect(ctx) // best effort: the next collection deletes the rest
+		_, _ = s.CollectChunks(ctx) // best effort: the next collection deletes the rest
 	}
 	record := newRecord(operator, p, h)
 	if err := s.store(ctx, record.key(), record.encode()); err != nil {
@@ -71,8 +71,8 @@
 	if err != nil {
 		return Invalid.Wrap(err)
 	}
-	call := core.ObjectCall{Op: core.ObjectUpdate, Key: config.HeadKey, Value: value, IfVersion: p.Base.Object}
-	if p.Base.Object == 0 {
+	call := core.ObjectCall{Op: core.ObjectUpdate, Key: config.HeadKey, Value: value, IfVersion: p.Base.ObjectVersion}
+	if p.Base.ObjectVersion == 0 {
 		call.Op = core.ObjectCreate
 	}
 	maybeAccepted, wait := false, firstRetryDelay
@@ -95,7 +95,7 @@
 		wait *= 2
 	}
 	if maybeAccepted {
-		return InDoubt.New("version %d by %s: no answer from the object API; check with config show before trying again", h.Version, h.By)
+		return ResultUnknown.New("version %d by %s: no answer from the object API; check with config show before trying again", h.Version, h.By)
 	}
 	return Unavailable.New("the object API did not answer; the change was not applied")
 }
@@ -106,22 +106,22 @@
 func (s *Service) resolveConflict(ctx context.Context, p *Plan, h config.Head, maybeAccepted bool) error {
 	current, err := s.Load(ctx)
 	if err != nil {
-		return InDoubt.New("%v", err)
+		return ResultUnknown.New("%v", err)
 	}
 	if current.Head.WriteID == h.WriteID {
 		return nil
 	}
 	if current.Head.Version <= p.Base.Head.Version {
-		return InDoubt.New("the object API returned a stale read; check with config show before trying again")
+		return ResultUnknown.New("the object API returned a stale read; check with config show before trying again")
 	}
 	if maybeAccepted && current.Head.Version > h.Version {
 		// An attempt without an answer may have been accepted and the
 		// configuration changed again since.
 		after, err := s.History(ctx, h.Version, h.Version)
 		if err != nil {
-			return InDoubt.New("%v", err)
+			return ResultUnknown.New("%v", err)
 		}
-		if len(after) == 1 && after[0].Token == h.WriteID {
+		if len(after) == 1 && after[0].WriteID == h.WriteID {
 			return nil
 		}
 	}
@@ -130,7 +130,7 @@
 
 // conflictError returns a Conflict error with the records of the changes between
 // two versions, or with the difference alone if those records are missing.
-func (s *Service) conflictError(ctx context.Context, base, current *Current) error {
+func (s *Service) conflictError(ctx context.Context, base, current *AcceptedConfiguration) error {
 	records, err := s.History(ctx, base.Head.Version+1, current.Head.Version)
 	if err != nil || len(records) == 0 {
 		records = []Record{{
@@ -140,19 +140,19 @@
 			Changes: config.Diff(base.Document, current.Document),
 		}}
 	}
-	return Conflict.Wrap(&ConflictError{Loaded: base.Head.Version, Present: current.Head.Version, Records: records})
+	return Conflict.Wrap(&ConflictError{BaseVersion: base.Head.Version, CurrentVersion: current.Head.Version, Records: records})
 }
 
-// MadeFrom returns a Conflict error if a version that a change was made from is
+// CheckBaseVersion returns a Conflict error if a version that a change was made from is
 // no longer the accepted one, and an Invalid error if it does not exist. Without
 // the check, an old file would revert what others changed since.
-func (s *Service) MadeFrom(ctx context.Context, current *Current, version uint64) error {
+func (s *Service) CheckBaseVersion(ctx context.Context, current *AcceptedConfiguration, version uint64) error {
 	if current.Head.Version == version {
 		return nil
 	}
 	if version > current.Head.Version {
 		return Invalid.New("version %d does not exist; the accepted one is %d", version, current.Head.Version)
 	}
-	base := &Current{Head: config.Head{Version: version}, Document: current.Document}
+	base := &AcceptedConfiguration{Head: config.Head{Version: version}, Document: current.Document}
 	return s.conflictError(ctx, base, current)
 }
--- a/internal/admin/audit.go
+++ b/internal/admin/audit.go
@@ -18,7 +18,7 @@
 
 // Bounds of the audit trail.
 const (
-	KeepVersions   = 100_000 // versions whose records are kept
+	AuditRetention = 100_000 // versions whose records are kept
 	pruneInterval  = 100     // versions between two prunings, and in one page
 	pageDigits     = 2       // last digits of the version, which differ within a page
 	maxRecordBytes = 32 << 10
@@ -28,32 +28,32 @@
 // Record is an entry of the audit trail: who changed the configuration, what, and
 // from which version to which.
 type Record struct {
-	Version   uint64          `cbor:"1,keyasint" json:"version"`
-	Token     string          `cbor:"2,keyasint" json:"token"`      // of the head that the change wrote
-	From      uint64          `cbor:"3,keyasint" json:"from"`       // the version that the change was made from
-	FromToken string          `cbor:"4,keyasint" json:"from_token"` // of the head of version From
-	By        string          `cbor:"5,keyasint" json:"by"`
-	Via       string          `cbor:"6,keyasint" json:"via"`
-	At        time.Time       `cbor:"7,keyasint" json:"at"`
-	Hash      string          `cbor:"8,keyasint" json:"hash"` // of the new document
-	Changes   []config.Change `cbor:"9,keyasint" json:"changes"`
-	Omitted   int             `cbor:"10,keyasint" json:"omitted,omitempty"` // changes left out because of maxRecordBytes
-	Signature string          `cbor:"11,keyasint" json:"signature,omitempty"`
+	Version     uint64          `cbor:"1,keyasint" json:"version"`
+	WriteID     string          `cbor:"2,keyasint" json:"token"`      // of the head that the change wrote
+	From        uint64          `cbor:"3,keyasint" json:"from"`       // the version that the change was made from
+	FromWriteID string          `cbor:"4,keyasint" json:"from_token"` // of the head of version From
+	By          string          `cbor:"5,keyasint" json:"by"`
+	Via         string          `cbor:"6,keyasint" json:"via"`
+	At          time.Time       `cbor:"7,keyasint" json:"at"`
+	Hash        string          `cbor:"8,keyasint" json:"hash"` // of the new document
+	Changes     []config.Change `cbor:"9,keyasint" json:"changes"`
+	Omitted     int             `cbor:"10,keyasint" json:"omitted,omitempty"` // changes left out because of maxRecordBytes
+	Signature   string          `cbor:"11,keyasint" json:"signature,omitempty"`
 }
 
 // newRecord returns the record of a plan that is accepted with head h. It leaves
 // out changes from the end until the record fits maxRecordBytes.
 func newRecord(operator Operator, p *Plan, h config.Head) Record {
 	r := Record{
-		Version:   h.Version,
-		Token:     h.WriteID,
-		From:      p.Base.Head.Version,
-		FromToken: p.Base.Head.WriteID,
-		By:        h.By,
-		Via:       operator.Via,
-		At:        h.At,
-		Hash:      h.Hash,
-		Changes:   p.Changes,
+		Version:     h.Version,
+		WriteID:     h.WriteID,
+		From:        p.Base.Head.Version,
+		FromWriteID: p.Base.Head.WriteID,
+		By:          h.By,
+		Via:         operator.Via,
+		At:          h.At,
+		Hash:        h.Hash,
+		Changes:     p.Changes,
 	}
 	if operator.Key != "" {
 		r.Signature = r.sign(operator.Key)
@@ -70,7 +70,7 @@
 // one before, the operator and the hash of the document.
 func (r Record) sign(key string) string {
 	mac := hmac.New(sha256.New, []byte(key))
-	fmt.Fprintf(mac, "%d\n%s\n%s\n%s\n%s", r.Version, r.Token, r.FromToken, r.By, r.Hash)
+	fmt.Fprintf(mac, "%d\n%s\n%s\n%s\n%s", r.Version, r.WriteID, r.FromWriteID, r.By, r.Hash)
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
@@ -80,7 +80,7 @@
 	return r.Signature != "" && hmac.Equal([]byte(r.Signature), []byte(r.sign(key)))
 }
 
-func (r Record) key() string { return versionPrefix(r.Version) + r.Token }
+func (r Record) key() string { return versionPrefix(r.Version) + r.WriteID }
 
 func (r Record) encode() []byte {
 	b, err := cbor.Marshal(r)
@@ -123,14 +123,14 @@
 		}
 		pageStart := version - version%pruneInterval
 		for ; version >= max(pageStart, from) && version > 0; version-- {
-			i := slices.IndexFunc(page, func(r Record) bool { return r.Version == version && r.Token == writeID })
+			i := slices.IndexFunc(page, func(r Record) bool { return r.Version == version && r.WriteID == writeID })
 			if i < 0 {
 				return out, nil // older records were pruned
 			}
 			if version <= to {
 				out = append(out, page[i])
 			}
-			writeID = page[i].FromToken
+			writeID = page[i].FromWriteID
 		}
 	}
 	return out, nil
@@ -145,7 +145,7 @@
 	var out []Record
 	for _, o := range r.Objects {
 		var record Record
-		if cbor.Unmarshal(o.Value, &record) != nil || !strings.HasSuffix(o.Key, record.Token) {
+		if cbor.Unmarshal(o.Value, &record) != nil || !strings.HasSuffix(o.Key, record.WriteID) {
 			continue // not an audit record
 		}
 		out = append(out, record)
@@ -157,10 +157,10 @@
 // deletes the page before that one, in case its pruning failed. It is best
 // effort.
 func (s *Service) pruneRecords(ctx context.Context, version uint64) {
-	if version%pruneInterval != 0 || version <= KeepVersions+pruneInterval {
+	if version%pruneInterval != 0 || version <= AuditRetention+pruneInterval {
 		return
 	}
-	oldest := version - KeepVersions - pruneInterval
+	oldest := version - AuditRetention - pruneInterval
 	for _, v := range []uint64{oldest, oldest - min(oldest, pruneInterval)} {
 		r := s.api.Do(ctx, core.ObjectCall{Op: core.ObjectList, Key: pagePrefix(v)})
 		for _, o := range r.Objects {
--- a/internal/admin/collect.go
+++ b/internal/admin/collect.go
@@ -8,7 +8,7 @@
 	"gentiancroft/internal/core/config"
 )
 
-// Collect deletes the chunks that are no longer referenced and returns how many.
+// CollectChunks deletes the chunks that are no longer referenced and returns how many.
 //
 // A chunk is deleted only if the head does not reference it and it was last
 // written before that head. A pending change that can still be accepted was made
@@ -16,7 +16,7 @@
 // after it, so that they stay. A change made from an older head fails its
 // conditional update. A host that fetches an older version finds a chunk missing
 // and reads the head again.
-func (s *Service) Collect(ctx context.Context) (int, error) {
+func (s *Service) CollectChunks(ctx context.Context) (int, error) {
 	// The list is read before the head: a listed chunk that the head does not
 	// reference was written before that head or belongs to a later one.
 	list := s.callWithRetry(ctx, core.ObjectCall{Op: core.ObjectList, Key: config.ChunkPrefix})
@@ -33,7 +33,7 @@
 	}
 	deleted := 0
 	for _, o := range list.Objects {
-		if needed[strings.TrimPrefix(o.Key, config.ChunkPrefix)] || o.Version >= head.Object {
+		if needed[strings.TrimPrefix(o.Key, config.ChunkPrefix)] || o.Version >= head.ObjectVersion {
 			continue
 		}
 		// Conditional on the version: a chunk rewritten since the list stays.
--- a/internal/admin/keys.go
+++ b/internal/admin/keys.go
@@ -33,9 +33,9 @@
 	return &Operators{secret: secret, hashes: hashes}
 }
 
-// Check returns the name of the operator with a key, or a Denied error. It
+// Authenticate returns the name of the operator with a key, or a Denied error. It
 // compares every hash, each in constant time.
-func (o *Operators) Check(key string) (string, error) {
+func (o *Operators) Authenticate(key string) (string, error) {
 	hash := []byte(config.HashKey(o.secret, key))
 	found := ""
 	for name, known := range o.hashes {
@@ -49,8 +49,8 @@
 	return found, nil
 }
 
-// Known reports whether the settings list an operator of this name.
-func (o *Operators) Known(name string) bool {
+// IsOperator reports whether the settings list an operator of this name.
+func (o *Operators) IsOperator(name string) bool {
 	_, ok := o.hashes[name]
 	return ok
 }
--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -61,11 +61,11 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Current is the accepted configuration as loaded.
-type Current struct {
-	Head     config.Head // zero if none was accepted yet
-	Object   uint64      // version of the head's object in the object API; 0: none
-	Document *config.Document
+// AcceptedConfiguration is the accepted configuration as loaded.
+type AcceptedConfiguration struct {
+	Head          config.Head // zero if none was accepted yet
+	ObjectVersion uint64      // version of the head's object in the object API; 0: none
+	Document      *config.Document
 }
 
 // callWithRetry makes a call and retries it while the object API does not answer.
@@ -84,7 +84,7 @@
 }
 
 // Load returns the accepted configuration, or an empty one if there is none.
-func (s *Service) Load(ctx context.Context) (*Current, error) {
+func (s *Service) Load(ctx context.Context) (*AcceptedConfiguration, error) {
 	for attempt := 1; ; attempt++ {
 		c, err := s.loadOnce(ctx)
 		if !errors.Is(err, errChunkMissing) || attempt == maxAttempts {
@@ -97,9 +97,9 @@
 
 var errChunkMissing = Damaged.New("a chunk of the configuration is missing")
 
-func (s *Service) loadOnce(ctx context.Context) (*Current, error) {
+func (s *Service) loadOnce(ctx context.Context) (*AcceptedConfiguration, error) {
 	c, err := s.loadHead(ctx)
-	if err != nil || c.Object == 0 {
+	if err != nil || c.ObjectVersion == 0 {
 		return c, err
 	}
 	chunks, err := s.fetchChunks(ctx, c.Head)
@@ -142,11 +142,11 @@
 }
 
 // loadHead returns the accepted head with an empty document.
-func (s *Service) loadHead(ctx context.Context) (*Current, error) {
+func (s *Service) loadHead(ctx context.Context) (*AcceptedConfiguration, error) {
 	r := s.callWithRetry(ctx, core.ObjectCall{Op: core.ObjectGet, Key: config.HeadKey})
 	switch r.Status {
 	case core.ObjectNotFound:
-		return &Current{Document: &config.Document{}}, nil
+		return &AcceptedConfiguration{Document: &config.Document{}}, nil
 	case core.ObjectOK:
 	default:
 		return nil, Unavailable.New("the object API does not answer")
@@ -155,12 +155,12 @@
 	if err != nil {
 		return nil, Damaged.Wrap(err)
 	}
-	return &Current{Head: h, Object: r.Object.Version, Document: &config.Document{}}, nil
+	return &AcceptedConfiguration{Head: h, ObjectVersion: r.Object.Version, Document: &config.Document{}}, nil
 }
 
 // Plan is a validated change that can be applied.
 type Plan struct {
-	Base     *Current
+	Base     *AcceptedConfiguration
 	Next     *config.Document
 	Changes  []config.Change
 	Warnings []config.Warning
@@ -169,7 +169,7 @@
 // Plan validates a document and compares it with the accepted one. inUse are the
 // adapter versions that requests use, for the warnings. For a document that is not
 // valid it returns an Invalid error that wraps a *config.InvalidError.
-func (s *Service) Plan(base *Current, next *config.Document, inUse []core.AdapterRef) (*Plan, error) {
+func (s *Service) Plan(base *AcceptedConfiguration, next *config.Document, inUse []core.AdapterRef) (*Plan, error) {
 	if err := config.Check(next); err != nil {
 		return nil, Invalid.Wrap(err)
 	}
--- a/internal/console/change.go
+++ b/internal/console/change.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.service.MadeFrom(callCtx, current, from); err != nil {
+	if err := c.service.CheckBaseVersion(callCtx, current, from); err != nil {
 		return nil, err
 	}
 	return e, c.planEdit(e, current)
@@ -61,7 +61,7 @@
 
 // planEdit validates the whole document that a form results in. It sets the plan,
 // or the errors to show.
-func (c *Console) planEdit(e *formEdit, current *admin.Current) error {
+func (c *Console) planEdit(e *formEdit, current *admin.AcceptedConfiguration) error {
 	id := strings.TrimSpace(e.values["id"])
 	if e.isNew && slices.ContainsFunc(sectionEntries(current.Document, e.section.Name), func(x config.Entry) bool { return x.Identity() == id }) {
 		e.errors["id"] = "already exists"
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -124,7 +124,7 @@
 	case admin.Invalid.Has(err):
 		status = fasthttp.StatusUnprocessableEntity
 		f.Text = "The change is not valid. Nothing was changed."
-	case admin.InDoubt.Has(err):
+	case admin.ResultUnknown.Has(err):
 		status = fasthttp.StatusBadGateway
 		f = failedBody{Text: "Nobody knows yet whether the change was accepted. Look at the audit trail before you try again.", Detail: err.Error()}
 	case admin.Unavailable.Has(err):
--- a/internal/console/session.go
+++ b/internal/console/session.go
@@ -58,7 +58,7 @@
 		return session{}, false
 	}
 	operator, err := hex.DecodeString(parts[0])
-	if err != nil || !c.operators.Known(string(operator)) {
+	if err != nil || !c.operators.IsOperator(string(operator)) {
 		return session{}, false // no longer an operator
 	}
 	return session{operator: string(operator), csrf: c.sign("form", cookie)}, true
@@ -89,7 +89,7 @@
 }
 
 func (c *Console) login(ctx *fasthttp.RequestCtx) {
-	operator, err := c.operators.Check(string(ctx.PostArgs().Peek("key")))
+	operator, err := c.operators.Authenticate(string(ctx.PostArgs().Peek("key")))
 	if err != nil {
 		c.render(ctx, fasthttp.StatusForbidden, "login", "Sign in", session{}, "This key belongs to no operator.")
 		return
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -188,7 +188,7 @@
 		return err
 	}
 	next := d.document
-	if current.Object != 0 {
+	if current.ObjectVersion != 0 {
 		next = config.Canonical(current.Document)
 	}
 	change(next)
