--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -18,8 +18,8 @@
 	"gentiancroft/internal/core/config"
 )
 
-// Root is the path prefix of the console.
-const Root = "/console"
+// RootPath is the path prefix of the console.
+const RootPath = "/console"
 
 // callTimeout bounds the object API calls of one page.
 const callTimeout = 10 * time.Second
@@ -29,11 +29,11 @@
 
 // Options of a console.
 type Options struct {
-	Service   *admin.Service
-	Operators *admin.Operators
-	Secret    []byte                   // the deployment's key, the same on every host
-	InUse     func() []core.AdapterRef // adapter versions in recent requests; may be nil
-	Now       func() time.Time         // nil: time.Now
+	Service        *admin.Service
+	Operators      *admin.Operators
+	Secret         []byte                   // the deployment's key, the same on every host
+	RecentAdapters func() []core.AdapterRef // adapter versions in recent requests; may be nil
+	Now            func() time.Time         // nil: time.Now
 }
 
 // Console serves the operators' pages.
@@ -51,14 +51,14 @@
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	if o.InUse == nil {
-		o.InUse = func() []core.AdapterRef { return nil }
+	if o.RecentAdapters == nil {
+		o.RecentAdapters = func() []core.AdapterRef { return nil }
 	}
 	c := &Console{
 		service:   o.Service,
 		operators: o.Operators,
 		secret:    o.Secret,
-		inUse:     o.InUse,
+		inUse:     o.RecentAdapters,
 		now:       o.Now,
 		pages:     map[string]*template.Template{},
 	}
@@ -70,15 +70,15 @@
 
 // Register adds the console's paths to a host's router.
 func Register(r *router.Router, c *Console) {
-	r.GET(Root, c.requireSession(c.home))
-	r.GET(Root+"/login", c.loginForm)
-	r.POST(Root+"/login", c.login)
-	r.POST(Root+"/logout", c.requireSession(c.logout))
-	r.GET(Root+"/audit", c.requireSession(c.audit))
-	r.GET(Root+"/list/{section}", c.requireSession(c.list))
-	r.GET(Root+"/edit/{section}", c.requireSession(c.edit))
-	r.POST(Root+"/preview/{section}", c.requireSession(c.preview))
-	r.POST(Root+"/apply/{section}", c.requireSession(c.apply))
+	r.GET(RootPath, c.requireSession(c.home))
+	r.GET(RootPath+"/login", c.loginForm)
+	r.POST(RootPath+"/login", c.login)
+	r.POST(RootPath+"/logout", c.requireSession(c.logout))
+	r.GET(RootPath+"/audit", c.requireSession(c.audit))
+	r.GET(RootPath+"/list/{section}", c.requireSession(c.list))
+	r.GET(RootPath+"/edit/{section}", c.requireSession(c.edit))
+	r.POST(RootPath+"/preview/{section}", c.requireSession(c.preview))
+	r.POST(RootPath+"/apply/{section}", c.requireSession(c.apply))
 }
 
 // page is the data of every template.
@@ -140,5 +140,5 @@
 }
 
 func (c *Console) home(ctx *fasthttp.RequestCtx, _ session) {
-	ctx.Redirect(Root+"/list/"+string(config.SectionWorkspaces), fasthttp.StatusSeeOther)
+	ctx.Redirect(RootPath+"/list/"+string(config.SectionWorkspaces), fasthttp.StatusSeeOther)
 }
--- a/internal/console/session.go
+++ b/internal/console/session.go
@@ -73,7 +73,7 @@
 	return func(ctx *fasthttp.RequestCtx) {
 		sess, ok := c.parseCookie(string(ctx.Request.Header.Cookie(cookieName)))
 		if !ok {
-			ctx.Redirect(Root+"/login", fasthttp.StatusSeeOther)
+			ctx.Redirect(RootPath+"/login", fasthttp.StatusSeeOther)
 			return
 		}
 		if ctx.IsPost() && !hmac.Equal(ctx.PostArgs().Peek("csrf"), []byte(sess.csrf)) {
@@ -95,19 +95,19 @@
 		return
 	}
 	setCookie(ctx, c.newCookie(operator), int(sessionTTL.Seconds()))
-	ctx.Redirect(Root, fasthttp.StatusSeeOther)
+	ctx.Redirect(RootPath, fasthttp.StatusSeeOther)
 }
 
 func (c *Console) logout(ctx *fasthttp.RequestCtx, _ session) {
 	setCookie(ctx, "", -1)
-	ctx.Redirect(Root+"/login", fasthttp.StatusSeeOther)
+	ctx.Redirect(RootPath+"/login", fasthttp.StatusSeeOther)
 }
 
 func setCookie(ctx *fasthttp.RequestCtx, value string, maxAge int) {
 	var k fasthttp.Cookie
 	k.SetKey(cookieName)
 	k.SetValue(value)
-	k.SetPath(Root)
+	k.SetPath(RootPath)
 	k.SetHTTPOnly(true)
 	k.SetSecure(ctx.IsTLS())
 	k.SetSameSite(fasthttp.CookieSameSiteStrictMode)
