--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -143,7 +143,7 @@
 // startUpstreams starts an emulator for each upstream and sets its address in
 // the document.
 func (d *deployment) startUpstreams() error {
-	weights := standin.NewWeightStore(standin.WeightSettings{LoadTime: 250 * time.Millisecond, Transit: 8, Rate: d.weightLoadRate, Burst: 8})
+	weights := standin.NewWeightStore(standin.WeightSettings{LoadTime: 250 * time.Millisecond, FullSpeedLoads: 8, LoadsPerSecond: d.weightLoadRate, LoadBurst: 8})
 	for i := range d.document.Upstreams {
 		u := &d.document.Upstreams[i]
 		address, err := d.startServer(d.newUpstream(u, weights))
@@ -158,20 +158,20 @@
 // newUpstream creates the emulator of an upstream and returns its handler.
 func (d *deployment) newUpstream(u *config.Upstream, weights *standin.WeightStore) http.Handler {
 	if u.Kind == config.UpstreamService {
-		s := standin.NewService(standin.ServiceSettings{Name: string(u.ID), Delay: 20 * time.Millisecond})
+		s := standin.NewService(standin.ServiceSettings{Name: string(u.ID), AnswerDelay: 20 * time.Millisecond})
 		d.services[u.ID] = s
 		return s.Handler()
 	}
 	e := standin.NewEngine(standin.EngineSettings{
-		Name:       string(u.ID),
-		FirstToken: 80 * time.Millisecond,
-		TokenTime:  20 * time.Millisecond,
-		Slowdown:   0.02,
-		Slots:      u.Slots,
-		Batch:      u.Batch,
-		ReportLag:  200 * time.Millisecond,
-		CheckFence: u.Fencing,
-		Weights:    weights,
+		Name:         string(u.ID),
+		PrefillTime:  80 * time.Millisecond,
+		TokenTime:    20 * time.Millisecond,
+		Slowdown:     0.02,
+		AdapterSlots: u.Slots,
+		BatchSize:    u.Batch,
+		ReportLag:    200 * time.Millisecond,
+		CheckFence:   u.Fencing,
+		Weights:      weights,
 	})
 	d.engines[u.ID] = e
 	return e.Handler()
--- a/internal/measure/overhead/fleet.go
+++ b/internal/measure/overhead/fleet.go
@@ -53,8 +53,8 @@
 func start() (*fleet, error) {
 	f := &fleet{client: upstream.NewClient(nil, nil), endless: newEndless(), done: make(chan error, 1)}
 	quietLog(f)
-	usual := standin.NewEngine(standin.EngineSettings{Name: "usual", FirstToken: 5 * time.Millisecond, TokenTime: time.Millisecond, Batch: places})
-	quick := standin.NewEngine(standin.EngineSettings{Name: "quick", Batch: places})
+	usual := standin.NewEngine(standin.EngineSettings{Name: "usual", PrefillTime: 5 * time.Millisecond, TokenTime: time.Millisecond, BatchSize: places})
+	quick := standin.NewEngine(standin.EngineSettings{Name: "quick", BatchSize: places})
 	store := platform.NewStore()
 	d := document()
 	for _, e := range []struct {
--- a/internal/standin/complete.go
+++ b/internal/standin/complete.go
@@ -100,7 +100,7 @@
 // serve runs the request in the batch and returns its outcome, as in Trace.
 func (x *engineRequest) serve(w http.ResponseWriter, priority int) string {
 	s := x.engine.settings
-	if s.Poison != "" && strings.Contains(x.body.prompt(), s.Poison) {
+	if s.PoisonPrompt != "" && strings.Contains(x.body.prompt(), s.PoisonPrompt) {
 		x.engine.Crash()
 		return "crashed"
 	}
@@ -112,7 +112,7 @@
 		<-x.ctx.Done()
 		return x.interruptedOutcome()
 	}
-	prefill := s.FirstToken
+	prefill := s.PrefillTime
 	if x.engine.prefixes.lookupOrInsert(x.body.Model, x.body.prompt()) {
 		prefill /= cachedPrefillSpeedup
 	}
@@ -120,9 +120,9 @@
 		return x.interruptedOutcome()
 	}
 	switch {
-	case x.faults.Drop:
+	case x.faults.DropAfterRun:
 		return "crashed"
-	case x.faults.Fail:
+	case x.faults.FailAfterRun:
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return "failed"
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -18,21 +18,21 @@
 // EngineSettings configure an emulated engine. Slots, Batch and Prefixes have
 // defaults that replace zero; a zero duration means no delay.
 type EngineSettings struct {
-	Name       string
-	LoadTime   time.Duration // of one adapter load; used if Weights is nil
-	FirstToken time.Duration // prefill time of an uncached prompt
-	TokenTime  time.Duration // time per token with one request in the batch
-	Slowdown   float64       // fraction of TokenTime that each further request in the batch adds
-	Slots      int           // maximum number of loaded adapters
-	Batch      int           // maximum number of running requests
-	Prefixes   int           // maximum number of cached prompt prefixes
-	ReportLag  time.Duration // maximum age of a load report
-	EventDelay time.Duration // delay of cache events
-	EventGap   int           // every EventGap-th cache event is lost; 0: none
-	Restart    time.Duration // time for which a crashed engine drops connections
-	CheckFence bool          // rejects load and unload orders with an outdated fencing number
-	Poison     string        // a prompt that contains it crashes the engine; "": none
-	Weights    *WeightStore  // may be shared by engines; nil: a load takes LoadTime
+	Name              string
+	LoadTime          time.Duration // of one adapter load; used if Weights is nil
+	PrefillTime       time.Duration // prefill time of an uncached prompt
+	TokenTime         time.Duration // time per token with one request in the batch
+	Slowdown          float64       // fraction of TokenTime that each further request in the batch adds
+	AdapterSlots      int           // maximum number of loaded adapters
+	BatchSize         int           // maximum number of running requests
+	PrefixCacheSize   int           // maximum number of cached prompt prefixes
+	ReportLag         time.Duration // maximum age of a load report
+	EventDelay        time.Duration // delay of cache events
+	LostEventInterval int           // every EventGap-th cache event is lost; 0: none
+	RestartTime       time.Duration // time for which a crashed engine drops connections
+	CheckFence        bool          // rejects load and unload orders with an outdated fencing number
+	PoisonPrompt      string        // a prompt that contains it crashes the engine; "": none
+	Weights           *WeightStore  // may be shared by engines; nil: a load takes LoadTime
 }
 
 // Defaults of EngineSettings, and the effect of the prefix cache.
@@ -66,16 +66,16 @@
 
 // NewEngine returns an engine without loaded adapters.
 func NewEngine(s EngineSettings) *Engine {
-	if s.Slots == 0 {
-		s.Slots = defaultSlots
+	if s.AdapterSlots == 0 {
+		s.AdapterSlots = defaultSlots
 	}
-	if s.Batch == 0 {
-		s.Batch = defaultBatch
+	if s.BatchSize == 0 {
+		s.BatchSize = defaultBatch
 	}
-	if s.Prefixes == 0 {
-		s.Prefixes = defaultPrefixes
+	if s.PrefixCacheSize == 0 {
+		s.PrefixCacheSize = defaultPrefixes
 	}
-	e := &Engine{settings: s, prefixes: newPrefixCache(s.Prefixes, s.EventDelay, s.EventGap)}
+	e := &Engine{settings: s, prefixes: newPrefixCache(s.PrefixCacheSize, s.EventDelay, s.LostEventInterval)}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.startIncarnation()
@@ -87,7 +87,7 @@
 func (e *Engine) startIncarnation() {
 	e.incarnationNumber++
 	e.incarnationCtx, e.endIncarnation = context.WithCancel(context.Background())
-	e.batch = &batch{capacity: e.settings.Batch}
+	e.batch = &batch{capacity: e.settings.BatchSize}
 	e.adapters = map[string]int{}
 	e.loading = map[string]bool{}
 	e.highestFence = 0
@@ -101,12 +101,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.endIncarnation()
-	e.unavailableUntil = time.Now().Add(e.settings.Restart)
+	e.unavailableUntil = time.Now().Add(e.settings.RestartTime)
 	e.startIncarnation()
 }
 
-// Set replaces the injected faults. The next load report is computed anew.
-func (e *Engine) Set(f Faults) {
+// SetFaults replaces the injected faults. The next load report is computed anew.
+func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
@@ -153,7 +153,7 @@
 	mux.HandleFunc("POST /v1/unload_lora_adapter", e.whenAvailable(e.unload))
 	mux.HandleFunc("GET /load", e.whenAvailable(e.serveLoadReport))
 	mux.HandleFunc("GET /cache_events", e.whenAvailable(e.cacheEvents))
-	mux.HandleFunc("POST /admin/faults", func(w http.ResponseWriter, r *http.Request) { setFaults(w, r, e.Set) })
+	mux.HandleFunc("POST /admin/faults", func(w http.ResponseWriter, r *http.Request) { setFaults(w, r, e.SetFaults) })
 	mux.HandleFunc("POST /admin/crash", func(http.ResponseWriter, *http.Request) { e.Crash() })
 	mux.HandleFunc("GET /admin/trace", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Traces()) })
 	return mux
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -54,7 +54,7 @@
 const completionBody = `{"model":"a@1","prompt":"p","max_tokens":2,"stream":true}`
 
 func TestSlotsAndFencing(t *testing.T) {
-	b := newEngineServer(t, EngineSettings{Slots: 1, CheckFence: true})
+	b := newEngineServer(t, EngineSettings{AdapterSlots: 1, CheckFence: true})
 	b.is.Equal(b.loadAdapter("a@1", "X-Fence: 5"), 200)
 	b.is.Equal(b.loadAdapter("b@1", "X-Fence: 5"), 409) // no slot
 	b.is.Equal(b.loadAdapter("a@1", "X-Fence: 4"), 409) // outdated fencing number, as from a former owner
@@ -80,7 +80,7 @@
 }
 
 func TestPoisonPromptRestartsEngineWithoutAdapters(t *testing.T) {
-	b := newEngineServer(t, EngineSettings{Name: "e", Poison: "poison"})
+	b := newEngineServer(t, EngineSettings{Name: "e", PoisonPrompt: "poison"})
 	b.is.Equal(b.loadAdapter("a@1"), 200)
 	before := b.currentReport().Incarnation
 	status, _ := b.post("/v1/completions", `{"model":"a@1","prompt":"poison","max_tokens":1}`)
@@ -120,7 +120,7 @@
 
 func TestWeightStoreSlowsOverTransitAndRefusesOverRate(t *testing.T) {
 	is := is.New(t)
-	w := NewWeightStore(WeightSettings{LoadTime: time.Second, Transit: 8, Rate: 1e-9, Burst: 16})
+	w := NewWeightStore(WeightSettings{LoadTime: time.Second, FullSpeedLoads: 8, LoadsPerSecond: 1e-9, LoadBurst: 16})
 	var times []time.Duration
 	for range 16 {
 		took, err := w.startLoad()
@@ -130,8 +130,8 @@
 	is.Equal(times[7], time.Second)
 	is.Equal(times[15], 2*time.Second)
 	_, err := w.startLoad()
-	is.True(StoreError.Has(err))
-	is.Equal(w.Counts(), WeightCounts{Started: 16, Refused: 1, Most: 16})
+	is.True(WeightStoreError.Has(err))
+	is.Equal(w.Counts(), WeightCounts{Started: 16, Refused: 1, MaxInTransit: 16})
 }
 
 func TestCacheEventsAreDelayedAndLost(t *testing.T) {
@@ -155,7 +155,7 @@
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
 	call := func(f Faults) {
-		s.Set(f)
+		s.SetFaults(f)
 		r, err := http.NewRequest("POST", server.URL+"/bookings", strings.NewReader(`{"job":1}`))
 		is.NoErr(err)
 		r.Header.Set("Idempotency-Key", "k")
@@ -164,7 +164,7 @@
 		}
 	}
 	call(Faults{})
-	call(Faults{Drop: true}) // the call takes effect, but its answer is lost
+	call(Faults{DropAfterRun: true}) // the call takes effect, but its answer is lost
 	call(Faults{Refuse: true})
 	is.Equal(s.Effects(), map[string]int{"k": 2})
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,23 +10,23 @@
 // Faults are the faults injected into an engine or a service; they last until
 // replaced.
 type Faults struct {
-	FailLoads  int     `json:"fail_loads"`  // number of next adapter loads that fail
-	BreakAfter int     `json:"break_after"` // streams break off after this number of tokens; 0: never
-	Refuse     bool    `json:"refuse"`      // answers 503 with X-Ran: no, without running the request
-	Fail       bool    `json:"fail"`        // answers 500 after running the request
-	Drop       bool    `json:"drop"`        // drops the connection after running the request
-	Hang       bool    `json:"hang"`        // accepts requests and never answers
-	Mute       bool    `json:"mute"`        // drops the connections of load report polls
-	Slow       float64 `json:"slow"`        // factor on all durations; 0: none
-	Leaving    bool    `json:"leaving"`     // load reports say that the upstream is leaving
+	FailLoads    int     `json:"fail_loads"`  // number of next adapter loads that fail
+	BreakAfter   int     `json:"break_after"` // streams break off after this number of tokens; 0: never
+	Refuse       bool    `json:"refuse"`      // answers 503 with X-Ran: no, without running the request
+	FailAfterRun bool    `json:"fail"`        // answers 500 after running the request
+	DropAfterRun bool    `json:"drop"`        // drops the connection after running the request
+	Hang         bool    `json:"hang"`        // accepts requests and never answers
+	DropPolls    bool    `json:"mute"`        // drops the connections of load report polls
+	SlowFactor   float64 `json:"slow"`        // factor on all durations; 0: none
+	Leaving      bool    `json:"leaving"`     // load reports say that the upstream is leaving
 }
 
 // slowed returns d multiplied by Slow.
 func (f Faults) slowed(d time.Duration) time.Duration {
-	if f.Slow <= 0 {
+	if f.SlowFactor <= 0 {
 		return d
 	}
-	return time.Duration(float64(d) * f.Slow)
+	return time.Duration(float64(d) * f.SlowFactor)
 }
 
 // Trace records one request that an upstream received.
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -129,17 +129,17 @@
 	var all []endpoint
 	var names []string
 	store := standin.NewWeightStore(standin.WeightSettings{
-		LoadTime: s.Weights.LoadTime.Value(),
-		Transit:  s.Weights.Transit,
-		Rate:     s.Weights.Rate,
-		Burst:    s.Weights.Burst,
+		LoadTime:       s.Weights.LoadTime.Value(),
+		FullSpeedLoads: s.Weights.Transit,
+		LoadsPerSecond: s.Weights.Rate,
+		LoadBurst:      s.Weights.Burst,
 	})
 	for _, e := range s.Engines {
 		all = append(all, endpoint{e.Name, e.Listen, standin.NewEngine(e.emulatorSettings(store)).Handler()})
 		names = append(names, e.Name)
 	}
 	for _, v := range s.Services {
-		service := standin.NewService(standin.ServiceSettings{Name: v.Name, Delay: v.Delay.Value()})
+		service := standin.NewService(standin.ServiceSettings{Name: v.Name, AnswerDelay: v.Delay.Value()})
 		all = append(all, endpoint{v.Name, v.Listen, service.Handler()})
 		names = append(names, v.Name)
 	}
@@ -152,20 +152,20 @@
 // emulatorSettings converts the settings of an engine.
 func (e Engine) emulatorSettings(store *standin.WeightStore) standin.EngineSettings {
 	return standin.EngineSettings{
-		Name:       e.Name,
-		FirstToken: e.FirstToken.Value(),
-		TokenTime:  e.TokenTime.Value(),
-		Slowdown:   e.Slowdown,
-		Slots:      e.Slots,
-		Batch:      e.Batch,
-		Prefixes:   e.Prefixes,
-		ReportLag:  e.ReportLag.Value(),
-		EventDelay: e.EventDelay.Value(),
-		EventGap:   e.EventGap,
-		Restart:    e.Restart.Value(),
-		CheckFence: e.CheckFence,
-		Poison:     e.Poison,
-		Weights:    store,
+		Name:              e.Name,
+		PrefillTime:       e.FirstToken.Value(),
+		TokenTime:         e.TokenTime.Value(),
+		Slowdown:          e.Slowdown,
+		AdapterSlots:      e.Slots,
+		BatchSize:         e.Batch,
+		PrefixCacheSize:   e.Prefixes,
+		ReportLag:         e.ReportLag.Value(),
+		EventDelay:        e.EventDelay.Value(),
+		LostEventInterval: e.EventGap,
+		RestartTime:       e.Restart.Value(),
+		CheckFence:        e.CheckFence,
+		PoisonPrompt:      e.Poison,
+		Weights:           store,
 	}
 }
 
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -78,7 +78,7 @@
 	if _, loaded := e.adapters[name]; loaded {
 		return nil, http.StatusOK
 	}
-	if e.loading[name] || len(e.adapters)+len(e.loading) >= e.settings.Slots {
+	if e.loading[name] || len(e.adapters)+len(e.loading) >= e.settings.AdapterSlots {
 		return nil, http.StatusConflict
 	}
 	e.loading[name] = true
@@ -118,7 +118,7 @@
 
 // serveLoadReport answers with a load report that is up to ReportLag old.
 func (e *Engine) serveLoadReport(w http.ResponseWriter, _ *http.Request) {
-	if e.currentFaults().Mute {
+	if e.currentFaults().DropPolls {
 		dropConnection()
 	}
 	e.mu.Lock()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -14,8 +14,8 @@
 
 // ServiceSettings configure an emulated plain service.
 type ServiceSettings struct {
-	Name  string
-	Delay time.Duration // of the answer to each call
+	Name        string
+	AnswerDelay time.Duration // of the answer to each call
 }
 
 // maxCallBytes is the size at which the body of a call is truncated.
@@ -39,8 +39,8 @@
 	return &Service{settings: s, effects: map[string]int{}}
 }
 
-// Set replaces the injected faults.
-func (s *Service) Set(f Faults) {
+// SetFaults replaces the injected faults.
+func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
@@ -70,7 +70,7 @@
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /load", s.serveLoadReport)
-	mux.HandleFunc("POST /admin/faults", func(w http.ResponseWriter, r *http.Request) { setFaults(w, r, s.Set) })
+	mux.HandleFunc("POST /admin/faults", func(w http.ResponseWriter, r *http.Request) { setFaults(w, r, s.SetFaults) })
 	mux.HandleFunc("GET /admin/effects", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Effects()) })
 	mux.HandleFunc("GET /admin/trace", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Traces()) })
 	mux.HandleFunc("/", s.call)
@@ -81,7 +81,7 @@
 	s.mu.Lock()
 	faults := s.faults
 	s.mu.Unlock()
-	if faults.Mute {
+	if faults.DropPolls {
 		dropConnection()
 	}
 	writeJSON(w, upstream.LoadReport{Incarnation: s.settings.Name, Leaving: faults.Leaving})
@@ -105,13 +105,13 @@
 	case faults.Hang:
 		<-r.Context().Done()
 		return
-	case faults.Drop:
+	case faults.DropAfterRun:
 		dropConnection()
 	}
-	if !supervise.Sleep(r.Context(), faults.slowed(s.settings.Delay)) {
+	if !supervise.Sleep(r.Context(), faults.slowed(s.settings.AnswerDelay)) {
 		return
 	}
-	if faults.Fail {
+	if faults.FailAfterRun {
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -10,16 +10,16 @@
 	"gentiancroft/internal/supervise"
 )
 
-// StoreError is the class of loads that the weight store refused or that were
+// WeightStoreError is the class of loads that the weight store refused or that were
 // cancelled.
-var StoreError = errs.Class("weight store")
+var WeightStoreError = errs.Class("weight store")
 
 // WeightSettings configure a weight store.
 type WeightSettings struct {
-	LoadTime time.Duration // of one adapter at full speed
-	Transit  int           // concurrent loads at full speed; more slow each other down; 0: unlimited
-	Rate     float64       // loads per second; loads over the rate are refused; 0: unlimited
-	Burst    int           // loads that may start at once within the rate; 0: 1
+	LoadTime       time.Duration // of one adapter at full speed
+	FullSpeedLoads int           // concurrent loads at full speed; more slow each other down; 0: unlimited
+	LoadsPerSecond float64       // loads per second; loads over the rate are refused; 0: unlimited
+	LoadBurst      int           // loads that may start at once within the rate; 0: 1
 }
 
 // WeightStore emulates the store from which all engines of a deployment load
@@ -38,10 +38,10 @@
 
 // NewWeightStore returns an idle store.
 func NewWeightStore(s WeightSettings) *WeightStore {
-	if s.Burst == 0 {
-		s.Burst = 1
+	if s.LoadBurst == 0 {
+		s.LoadBurst = 1
 	}
-	return &WeightStore{settings: s, tokens: float64(s.Burst), refilledAt: time.Now()}
+	return &WeightStore{settings: s, tokens: float64(s.LoadBurst), refilledAt: time.Now()}
 }
 
 // Load waits for the duration of one load. With more than Transit concurrent
@@ -54,7 +54,7 @@
 	}
 	defer w.endLoad()
 	if !supervise.Sleep(ctx, duration) {
-		return StoreError.Wrap(ctx.Err())
+		return WeightStoreError.Wrap(ctx.Err())
 	}
 	return nil
 }
@@ -66,14 +66,14 @@
 	defer w.mu.Unlock()
 	if !w.takeToken() {
 		w.refused++
-		return 0, StoreError.New("the load exceeds the rate of %g loads per second", w.settings.Rate)
+		return 0, WeightStoreError.New("the load exceeds the rate of %g loads per second", w.settings.LoadsPerSecond)
 	}
 	w.started++
 	w.inTransit++
 	w.maxInTransit = max(w.maxInTransit, w.inTransit)
 	duration := w.settings.LoadTime
-	if w.settings.Transit > 0 && w.inTransit > w.settings.Transit {
-		duration = duration * time.Duration(w.inTransit) / time.Duration(w.settings.Transit)
+	if w.settings.FullSpeedLoads > 0 && w.inTransit > w.settings.FullSpeedLoads {
+		duration = duration * time.Duration(w.inTransit) / time.Duration(w.settings.FullSpeedLoads)
 	}
 	return duration, nil
 }
@@ -81,11 +81,11 @@
 // takeToken refills the token bucket, takes one token and reports whether there
 // was one. The caller holds mu.
 func (w *WeightStore) takeToken() bool {
-	if w.settings.Rate == 0 {
+	if w.settings.LoadsPerSecond == 0 {
 		return true
 	}
 	now := time.Now()
-	w.tokens = min(float64(w.settings.Burst), w.tokens+now.Sub(w.refilledAt).Seconds()*w.settings.Rate)
+	w.tokens = min(float64(w.settings.LoadBurst), w.tokens+now.Sub(w.refilledAt).Seconds()*w.settings.LoadsPerSecond)
 	w.refilledAt = now
 	if w.tokens < 1 {
 		return false
@@ -102,9 +102,9 @@
 
 // WeightCounts are the counters of a weight store.
 type WeightCounts struct {
-	Started int `json:"started"`
-	Refused int `json:"refused"`
-	Most    int `json:"most_in_transit"`
+	Started      int `json:"started"`
+	Refused      int `json:"refused"`
+	MaxInTransit int `json:"most_in_transit"`
 }
 
 // Counts returns the loads started and refused, and the maximum number of
@@ -112,5 +112,5 @@
 func (w *WeightStore) Counts() WeightCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return WeightCounts{Started: w.started, Refused: w.refused, Most: w.maxInTransit}
+	return WeightCounts{Started: w.started, Refused: w.refused, MaxInTransit: w.maxInTransit}
 }
