--- a/internal/core/dispatch/once/expiry_test.go
+++ b/internal/core/dispatch/once/expiry_test.go
@@ -56,7 +56,7 @@
 	store := platform.NewStore()
 	a := newScript(store, "a")
 	a.advanceAsCollector((RetentionEpochs + 2) * EpochDuration)
-	before := store.Total()
+	before := store.TotalCalls()
 	a.advanceAsCollector(EpochDuration)
-	is.True(store.Total()-before <= bucketCount+2) // a list for each bucket, and the epochs
+	is.True(store.TotalCalls()-before <= bucketCount+2) // a list for each bucket, and the epochs
 }
--- a/internal/core/dispatch/once/once_test.go
+++ b/internal/core/dispatch/once/once_test.go
@@ -70,16 +70,16 @@
 	store := platform.NewStore()
 	a, b := newScript(store, "a"), newScript(store, "b")
 	is.Equal(a.begin("1", 7).Kind, Run)
-	is.Equal(store.Total(), 1) // one call before the dispatch
+	is.Equal(store.TotalCalls(), 1) // one call before the dispatch
 
 	early := b.begin("2", 7) // the first attempt is running
 	is.Equal(early.Refusal.Code, core.CodeOutcomeUnknown)
 	is.Equal(early.Refusal.Ran, core.RanUnknown)
 	is.True(early.Refusal.RetryAfter > 0)
 
-	calls := store.Total()
+	calls := store.TotalCalls()
 	a.finish("1", core.RanYes)
-	is.Equal(store.Total(), calls+1) // and one after it
+	is.Equal(store.TotalCalls(), calls+1) // and one after it
 	late := b.begin("3", 7)
 	is.Equal(late.Kind, Replay)
 	is.Equal(string(late.Outcome.Body), "booked")
@@ -133,9 +133,9 @@
 	a.begin("1", 7)
 	store.SetDown(true)
 	a.finish("1", core.RanYes)
-	before := store.Total()
+	before := store.TotalCalls()
 	a.advance(10 * time.Minute)
-	is.True(store.Total()-before < 60) // backoff
+	is.True(store.TotalCalls()-before < 60) // backoff
 	store.SetDown(false)
 	a.advance(time.Minute)
 	is.Equal(newScript(store, "b").begin("2", 7).Kind, Replay)
--- a/internal/measure/once/calls.go
+++ b/internal/measure/once/calls.go
@@ -102,11 +102,11 @@
 
 // counted counts the calls of two stages.
 func counted(k *keyed, before, after func()) (int, int) {
-	start := k.store.Total()
+	start := k.store.TotalCalls()
 	before()
-	middle := k.store.Total()
+	middle := k.store.TotalCalls()
 	after()
-	return middle - start, k.store.Total() - middle
+	return middle - start, k.store.TotalCalls() - middle
 }
 
 func callTable(seed uint64) measure.Table {
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -49,7 +49,7 @@
 	is.Equal(do(core.ObjectDelete, "a/ü&x", "", made.Object.Version).Status, core.ObjectConflict)
 	is.Equal(do(core.ObjectDelete, "a/ü&x", "", changed.Object.Version).Status, core.ObjectOK)
 	is.Equal(do(core.ObjectDelete, "a/ü&x", "", 0).Status, core.ObjectNotFound)
-	is.Equal(server.Store.Total(), 9)
+	is.Equal(server.Store.TotalCalls(), 9)
 }
 
 func TestWatchWaitsForANewerVersion(t *testing.T) {
@@ -60,14 +60,14 @@
 	go func() {
 		got <- c.Do(context.Background(), core.ObjectCall{Op: core.ObjectWatch, Key: "w/", IfVersion: first.Object.Version})
 	}()
-	for server.Store.Calls()[core.ObjectWatch] == 0 {
+	for server.Store.CallCounts()[core.ObjectWatch] == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	second := server.Store.Do(core.ObjectCall{Op: core.ObjectUpdate, Key: "w/a", Value: []byte("2"), IfVersion: first.Object.Version})
 	r := <-got
 	is.Equal(r.Status, core.ObjectOK)
 	is.Equal(r.Objects[0].Version, second.Object.Version)
-	is.Equal(server.Store.Calls()[core.ObjectWatch], 1) // a watch that waits is a single call
+	is.Equal(server.Store.CallCounts()[core.ObjectWatch], 1) // a watch that waits is a single call
 }
 
 func TestCloseEndsAWaitingWatch(t *testing.T) {
@@ -77,7 +77,7 @@
 	go func() {
 		got <- c.Do(context.Background(), core.ObjectCall{Op: core.ObjectWatch, Key: "w/"})
 	}()
-	for server.Store.Calls()[core.ObjectWatch] == 0 {
+	for server.Store.CallCounts()[core.ObjectWatch] == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	c.Close()
@@ -98,7 +98,7 @@
 	server.Store.DropAnswers(1)
 	is.Equal(c.Do(ctx, create).Status, core.ObjectUnknown) // sent, but not answered
 	is.Equal(c.Do(ctx, create).Status, core.ObjectConflict)
-	is.Equal(server.Store.Total(), 3) // the client sent each call once
+	is.Equal(server.Store.TotalCalls(), 3) // the client sent each call once
 
 	create.Value = make([]byte, platform.MaxValueBytes+1)
 	is.Equal(c.Do(ctx, create).Status, core.ObjectUnavailable)
@@ -133,16 +133,16 @@
 	c, server := newTestClient(t)
 	ctx := context.Background()
 	made := server.Store.Do(core.ObjectCall{Op: core.ObjectCreate, Key: "k", Value: []byte("old")})
-	server.Store.StaleReads(true)
+	server.Store.SetStaleReads(true)
 	server.Store.Do(core.ObjectCall{Op: core.ObjectUpdate, Key: "k", Value: []byte("new"), IfVersion: made.Object.Version})
 	is.Equal(string(c.Do(ctx, core.ObjectCall{Op: core.ObjectGet, Key: "k"}).Object.Value), "old")
-	server.Store.StaleReads(false)
+	server.Store.SetStaleReads(false)
 	is.Equal(string(c.Do(ctx, core.ObjectCall{Op: core.ObjectGet, Key: "k"}).Object.Value), "new")
 
-	server.List("u1", false)
-	server.List("u2", true)
-	server.SetLag(time.Hour)
-	server.Unlist("u1")
+	server.SetHost("u1", false)
+	server.SetHost("u2", true)
+	server.SetHostListLag(time.Hour)
+	server.RemoveHost("u1")
 	hosts, err := c.ListHosts(ctx)
 	is.NoErr(err)
 	is.Equal(hosts, []platform.ListEntry{{Name: "u1"}, {Name: "u2", Leaving: true}}) // the list lags
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -175,15 +175,15 @@
 	store := platform.NewStore()
 	server := platform.NewServer(store)
 	for _, name := range append(upstreams, p.Hosts...) {
-		server.List(name, false)
+		server.SetHost(name, false)
 	}
-	server.SetLag(p.Lag.Value())
+	server.SetHostListLag(p.Lag.Value())
 	mux := http.NewServeMux()
 	mux.Handle("/", server.Handler())
 	mux.HandleFunc("POST /admin/store", func(w http.ResponseWriter, r *http.Request) { setStoreFaults(w, r, store) })
 	mux.HandleFunc("POST /admin/list", func(w http.ResponseWriter, r *http.Request) { changeHostList(w, r, server) })
 	mux.HandleFunc("GET /admin/weights", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, weights.Counts()) })
-	mux.HandleFunc("GET /admin/calls", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, store.Calls()) })
+	mux.HandleFunc("GET /admin/calls", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, store.CallCounts()) })
 	return mux
 }
 
@@ -204,7 +204,7 @@
 	store.SetDown(f.Down)
 	store.SetDelay(f.Delay.Value())
 	store.DropAnswers(f.DropAnswers)
-	store.StaleReads(f.StaleReads)
+	store.SetStaleReads(f.StaleReads)
 }
 
 // hostListChange adds, changes or removes an entry of the host list.
@@ -220,10 +220,10 @@
 		return
 	}
 	if e.Removed {
-		server.Unlist(e.Name)
+		server.RemoveHost(e.Name)
 		return
 	}
-	server.List(e.Name, e.Leaving)
+	server.SetHost(e.Name, e.Leaving)
 }
 
 // decodeBody decodes a JSON body strictly. It reports whether that succeeded;
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -38,21 +38,21 @@
 // NewServer returns a server for the objects of s, with an empty host list.
 func NewServer(s *Store) *Server { return &Server{Store: s} }
 
-// SetLag sets the delay until later changes of the host list become visible.
-func (s *Server) SetLag(d time.Duration) {
+// SetHostListLag sets the delay until later changes of the host list become visible.
+func (s *Server) SetHostListLag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lag = d
 }
 
-// List adds a host or upstream to the list, or changes its entry, after the
+// SetHost adds a host or upstream to the list, or changes its entry, after the
 // lag.
-func (s *Server) List(name string, leaving bool) {
+func (s *Server) SetHost(name string, leaving bool) {
 	s.appendChange(listChange{ListEntry: platform.ListEntry{Name: name, Leaving: leaving}})
 }
 
-// Unlist removes a name from the list, after the lag.
-func (s *Server) Unlist(name string) {
+// RemoveHost removes a name from the list, after the lag.
+func (s *Server) RemoveHost(name string) {
 	s.appendChange(listChange{ListEntry: platform.ListEntry{Name: name}, removed: true})
 }
 
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -64,10 +64,10 @@
 	s.answersToDrop = n
 }
 
-// StaleReads sets whether reads return the objects as they are now, ignoring
+// SetStaleReads sets whether reads return the objects as they are now, ignoring
 // later writes. Conditions of writes are still checked against the current
 // objects.
-func (s *Store) StaleReads(on bool) {
+func (s *Store) SetStaleReads(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.staleObjects = nil
@@ -77,17 +77,17 @@
 	}
 }
 
-// Calls returns the number of calls by operation; a waiting watch counts once.
-func (s *Store) Calls() map[core.ObjectOp]int {
+// CallCounts returns the number of calls by operation; a waiting watch counts once.
+func (s *Store) CallCounts() map[core.ObjectOp]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.calls)
 }
 
-// Total returns the number of all calls.
-func (s *Store) Total() int {
+// TotalCalls returns the number of all calls.
+func (s *Store) TotalCalls() int {
 	total := 0
-	for _, n := range s.Calls() {
+	for _, n := range s.CallCounts() {
 		total += n
 	}
 	return total
