--- a/cmd/gentiancroft/demo.go
+++ b/cmd/gentiancroft/demo.go
@@ -29,7 +29,7 @@
 	}
 	c.Flags().StringVar(&options.Deployment, "deployment", "parapet", "sample deployment: parapet or embalse")
 	c.Flags().StringVar(&options.Output, "output", "text", "text or json")
-	c.Flags().BoolVar(&options.Keep, "keep", false, "leave the deployment running and print curl commands")
+	c.Flags().BoolVar(&options.KeepRunning, "keep", false, "leave the deployment running and print curl commands")
 	c.Flags().BoolVar(&logs, "logs", false, "write the hosts' log lines to standard error")
 	return c
 }
--- a/cmd/gentiancroft/main.go
+++ b/cmd/gentiancroft/main.go
@@ -80,7 +80,7 @@
 // key material or a document. Cobra's own errors have no type, so their first words
 // are matched.
 func isUsage(err error) bool {
-	if errUsage.Has(err) || demo.Usage.Has(err) || settings.Invalid.Has(err) || admin.Invalid.Has(err) || load.Invalid.Has(err) || peer.MaterialError.Has(err) {
+	if errUsage.Has(err) || demo.InvalidOptions.Has(err) || settings.Invalid.Has(err) || admin.Invalid.Has(err) || load.Invalid.Has(err) || peer.MaterialError.Has(err) {
 		return true
 	}
 	for _, prefix := range []string{"unknown command", "accepts ", "requires at least", "required flag"} {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -17,15 +17,15 @@
 	// Failed is the class of demos in which a step failed or a condition was
 	// not met in time.
 	Failed = errs.Class("demo")
-	// Usage is the class of invalid options.
-	Usage = errs.Class("demo options")
+	// InvalidOptions is the class of invalid options.
+	InvalidOptions = errs.Class("demo options")
 )
 
 // Options of a demo run.
 type Options struct {
-	Deployment string // parapet or embalse
-	Output     string // text or json
-	Keep       bool   // skip the tour and run until interrupted
+	Deployment  string // parapet or embalse
+	Output      string // text or json
+	KeepRunning bool   // skip the tour and run until interrupted
 }
 
 // Step is the result of one step of the tour.
@@ -45,7 +45,7 @@
 // result as JSON. It returns an error if a step failed.
 func Run(ctx context.Context, w io.Writer, o Options) error {
 	if o.Output != "text" && o.Output != "json" {
-		return Usage.New("output is %q; it must be text or json", o.Output)
+		return InvalidOptions.New("output is %q; it must be text or json", o.Output)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,7 +59,7 @@
 		text = io.Discard
 	}
 	fmt.Fprintf(text, "%s: %d hosts, %d engines, %d services, %d adapters\n\n", o.Deployment, len(d.hosts), len(d.engines), len(d.services), len(d.document.Adapters))
-	if o.Keep {
+	if o.KeepRunning {
 		return d.keepRunning(ctx, text)
 	}
 	result := d.runTour(ctx, text)
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -89,8 +89,8 @@
 
 func TestInvalidOptionsAreRejected(t *testing.T) {
 	is := is.New(t)
-	is.True(Usage.Has(Run(context.Background(), &bytes.Buffer{}, Options{Deployment: "parapet", Output: "xml"})))
-	is.True(Usage.Has(Run(context.Background(), &bytes.Buffer{}, Options{Deployment: "nobody", Output: "json"})))
+	is.True(InvalidOptions.Has(Run(context.Background(), &bytes.Buffer{}, Options{Deployment: "parapet", Output: "xml"})))
+	is.True(InvalidOptions.Has(Run(context.Background(), &bytes.Buffer{}, Options{Deployment: "nobody", Output: "json"})))
 }
 
 // Metric names can be built from parts, so only the last part of each
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -83,7 +83,7 @@
 func start(ctx context.Context, name string) (*deployment, error) {
 	s, ok := scenarios[name]
 	if !ok {
-		return nil, Usage.New("deployment is %q; it must be parapet or embalse", name)
+		return nil, InvalidOptions.New("deployment is %q; it must be parapet or embalse", name)
 	}
 	d := &deployment{scenario: s, engines: map[core.UpstreamID]*standin.Engine{}, services: map[core.UpstreamID]*standin.Service{}}
 	for _, step := range []func() error{
