--- a/cmd/gentiancroft/load.go
+++ b/cmd/gentiancroft/load.go
@@ -10,7 +10,7 @@
 )
 
 func loadCommand() *cobra.Command {
-	o := load.Options{Follow: true}
+	o := load.Options{UseEntries: true}
 	var adapters int
 	var prefix, output string
 	c := &cobra.Command{
@@ -41,19 +41,19 @@
 	f.StringSliceVar(&o.Targets, "target", nil, "ip:port of a host on this machine; may be repeated")
 	f.StringSliceVar(&o.Keys, "key", nil, "a caller's key; may be repeated")
 	f.StringVar(&o.Path, "path", "/v1/completions", "path of the completions endpoint")
-	f.Float64Var(&o.Rate, "rate", 10, "requests per second")
-	f.IntVar(&o.Requests, "requests", 100_000, "maximum number of requests")
+	f.Float64Var(&o.RequestsPerSecond, "rate", 10, "requests per second")
+	f.IntVar(&o.MaxRequests, "requests", 100_000, "maximum number of requests")
 	f.DurationVar(&o.Duration, "duration", 10*time.Second, "maximum time during which requests are started")
-	f.DurationVar(&o.Timeout, "timeout", time.Minute, "timeout of one request")
+	f.DurationVar(&o.RequestTimeout, "timeout", time.Minute, "timeout of one request")
 	f.IntVar(&adapters, "adapters", 0, "number of adapters, named --adapter-prefix and a number from 0")
 	f.StringVar(&prefix, "adapter-prefix", "adapter-", "prefix of the adapters' names")
 	f.StringSliceVar(&o.Adapters, "adapter", nil, "an adapter by name, the most popular first; may be repeated")
-	f.Float64Var(&o.Skew, "skew", 1.1, "exponent of Zipf's law, above 1")
+	f.Float64Var(&o.ZipfExponent, "skew", 1.1, "exponent of Zipf's law, above 1")
 	f.IntVar(&o.MaxTokens, "max-tokens", 64, "max_tokens of a request")
-	f.IntVar(&o.Prompt, "prompt", 512, "bytes of the prompt")
-	f.Float64Var(&o.Cancel, "cancel", 0, "fraction of callers that hang up")
-	f.DurationVar(&o.CancelAfter, "cancel-after", time.Second, "mean time until a hang-up")
-	f.BoolVar(&o.Follow, "follow", true, "get the hosts' addresses from GET /v1/entries and refresh them when that answer expires")
+	f.IntVar(&o.PromptBytes, "prompt", 512, "bytes of the prompt")
+	f.Float64Var(&o.CancelFraction, "cancel", 0, "fraction of callers that hang up")
+	f.DurationVar(&o.MeanCancelDelay, "cancel-after", time.Second, "mean time until a hang-up")
+	f.BoolVar(&o.UseEntries, "follow", true, "get the hosts' addresses from GET /v1/entries and refresh them when that answer expires")
 	f.Uint64Var(&o.Seed, "seed", defaultSeed, "seed of arrivals, adapters and hang-ups")
 	f.StringVar(&output, "output", "text", "text or json")
 	return c
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -59,7 +59,7 @@
 // its outcome. due is the time at which the plan starts it; latencies count
 // from there.
 func (c *loadClient) send(ctx context.Context, p plan, due time.Time) sample {
-	ctx, stop := context.WithTimeout(ctx, c.options.Timeout)
+	ctx, stop := context.WithTimeout(ctx, c.options.RequestTimeout)
 	defer stop()
 	if p.cancelAfter > 0 {
 		var hangUp context.CancelFunc
@@ -72,7 +72,7 @@
 	case s.outcome == outcomeOK:
 	case p.cancelAfter > 0 && s.total >= p.cancelAfter:
 		s.outcome = outcomeCancelled
-	case s.total >= c.options.Timeout:
+	case s.total >= c.options.RequestTimeout:
 		s.outcome = outcomeTimeout
 	}
 	return s
@@ -103,9 +103,9 @@
 // request's number, so that prompts differ.
 func (c *loadClient) newCall(address string, p plan) upstream.Call {
 	const filler = "level of the reservoir "
-	text := fmt.Sprintf("%d %s", p.number, strings.Repeat(filler, c.options.Prompt/len(filler)+1))
+	text := fmt.Sprintf("%d %s", p.number, strings.Repeat(filler, c.options.PromptBytes/len(filler)+1))
 	body, _ := json.Marshal(map[string]any{
-		"model": p.adapter, "prompt": text[:max(c.options.Prompt, 1)], "max_tokens": c.options.MaxTokens, "stream": true,
+		"model": p.adapter, "prompt": text[:max(c.options.PromptBytes, 1)], "max_tokens": c.options.MaxTokens, "stream": true,
 	})
 	return upstream.Call{Address: address, Method: "POST", Path: c.options.Path, Body: body, Headers: bearer(p.key)}
 }
@@ -195,7 +195,7 @@
 // targets returns the hosts to send to, the best first: with Follow those of
 // GET /v1/entries, if any host answers it.
 func (c *loadClient) targets(ctx context.Context, key string) []string {
-	if !c.options.Follow {
+	if !c.options.UseEntries {
 		return c.options.Targets
 	}
 	c.mu.Lock()
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -33,24 +33,24 @@
 
 // Options of a run.
 type Options struct {
-	Targets  []string      // ip:port of the hosts to start with; loopback only
-	Keys     []string      // API keys of callers, drawn uniformly
-	Path     string        // of completions
-	Rate     float64       // mean requests per second
-	Requests int           // maximum number of requests
-	Duration time.Duration // maximum time in which requests start
-	Timeout  time.Duration // of one request
-
-	Adapters  []string // most popular first
-	Skew      float64  // exponent of Zipf's law over Adapters, above 1
-	MaxTokens int
-	Prompt    int     // bytes of the prompt
-	Cancel    float64 // fraction of requests that the caller cancels
-	// CancelAfter is the mean of the exponentially distributed time until a
+	Targets           []string      // ip:port of the hosts to start with; loopback only
+	Keys              []string      // API keys of callers, drawn uniformly
+	Path              string        // of completions
+	RequestsPerSecond float64       // mean requests per second
+	MaxRequests       int           // maximum number of requests
+	Duration          time.Duration // maximum time in which requests start
+	RequestTimeout    time.Duration // of one request
+
+	Adapters       []string // most popular first
+	ZipfExponent   float64  // exponent of Zipf's law over Adapters, above 1
+	MaxTokens      int
+	PromptBytes    int     // bytes of the prompt
+	CancelFraction float64 // fraction of requests that the caller cancels
+	// MeanCancelDelay is the mean of the exponentially distributed time until a
 	// cancellation.
-	CancelAfter time.Duration
-	Follow      bool // use the addresses of GET /v1/entries, for as long as the answer may be cached
-	Seed        uint64
+	MeanCancelDelay time.Duration
+	UseEntries      bool // use the addresses of GET /v1/entries, for as long as the answer may be cached
+	Seed            uint64
 }
 
 func (o Options) check() error {
@@ -59,21 +59,21 @@
 		return Invalid.New("no target")
 	case len(o.Keys) == 0 || len(o.Adapters) == 0:
 		return Invalid.New("no key or no adapter")
-	case !(o.Rate > 0) || math.IsInf(o.Rate, 0):
-		return Invalid.New("rate: %v is not a positive number of requests per second", o.Rate)
-	case o.Requests < 1 || o.Requests > maxRequests:
-		return Invalid.New("requests: %d is not between 1 and %d", o.Requests, maxRequests)
+	case !(o.RequestsPerSecond > 0) || math.IsInf(o.RequestsPerSecond, 0):
+		return Invalid.New("rate: %v is not a positive number of requests per second", o.RequestsPerSecond)
+	case o.MaxRequests < 1 || o.MaxRequests > maxRequests:
+		return Invalid.New("requests: %d is not between 1 and %d", o.MaxRequests, maxRequests)
 	case o.Duration <= 0 || o.Duration > maxDuration:
 		return Invalid.New("duration: %v is not above 0 and at most %v", o.Duration, maxDuration)
-	case o.Timeout <= 0 || o.Timeout > maxDuration:
-		return Invalid.New("timeout: %v is not above 0 and at most %v", o.Timeout, maxDuration)
-	case !(o.Skew > 1):
-		return Invalid.New("skew: %v is not above 1", o.Skew)
-	case !(o.Cancel >= 0 && o.Cancel <= 1):
-		return Invalid.New("cancel: %v is not a fraction between 0 and 1", o.Cancel)
-	case o.Cancel > 0 && o.CancelAfter <= 0:
-		return Invalid.New("cancel-after: %v is not above 0", o.CancelAfter)
-	case o.MaxTokens < 1 || o.Prompt < 1:
+	case o.RequestTimeout <= 0 || o.RequestTimeout > maxDuration:
+		return Invalid.New("timeout: %v is not above 0 and at most %v", o.RequestTimeout, maxDuration)
+	case !(o.ZipfExponent > 1):
+		return Invalid.New("skew: %v is not above 1", o.ZipfExponent)
+	case !(o.CancelFraction >= 0 && o.CancelFraction <= 1):
+		return Invalid.New("cancel: %v is not a fraction between 0 and 1", o.CancelFraction)
+	case o.CancelFraction > 0 && o.MeanCancelDelay <= 0:
+		return Invalid.New("cancel-after: %v is not above 0", o.MeanCancelDelay)
+	case o.MaxTokens < 1 || o.PromptBytes < 1:
 		return Invalid.New("max-tokens and prompt must be at least 1")
 	}
 	for _, t := range o.Targets {
@@ -112,7 +112,7 @@
 	p := &planner{options: o, rng: core.NewRand(o.Seed)}
 	total := 0.0
 	for i := range o.Adapters {
-		total += math.Pow(float64(i+1), -o.Skew)
+		total += math.Pow(float64(i+1), -o.ZipfExponent)
 		p.cumulativeWeights = append(p.cumulativeWeights, total)
 	}
 	return p
@@ -121,16 +121,16 @@
 // next draws the next request; false at the end of the run.
 func (p *planner) next() (plan, bool) {
 	o := p.options
-	p.startOffset += time.Duration(p.rng.ExpFloat64() / o.Rate * float64(time.Second))
-	if p.number >= o.Requests || p.startOffset > o.Duration {
+	p.startOffset += time.Duration(p.rng.ExpFloat64() / o.RequestsPerSecond * float64(time.Second))
+	if p.number >= o.MaxRequests || p.startOffset > o.Duration {
 		return plan{}, false
 	}
 	r := plan{startOffset: p.startOffset, number: p.number}
 	p.number++
 	r.key = o.Keys[p.rng.IntN(len(o.Keys))]
 	r.adapter = o.Adapters[p.pickAdapter()]
-	if p.rng.Float64() < o.Cancel {
-		r.cancelAfter = 1 + time.Duration(p.rng.ExpFloat64()*float64(o.CancelAfter))
+	if p.rng.Float64() < o.CancelFraction {
+		r.cancelAfter = 1 + time.Duration(p.rng.ExpFloat64()*float64(o.MeanCancelDelay))
 	}
 	return r, true
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -18,8 +18,8 @@
 func options(target string) Options {
 	return Options{
 		Targets: []string{target}, Keys: []string{"k1", "k2"}, Path: "/v1/completions",
-		Rate: 1000, Requests: 50, Duration: time.Minute, Timeout: 10 * time.Second,
-		Adapters: []string{"a", "b", "c"}, Skew: 1.2, MaxTokens: 4, Prompt: 64, Seed: 1,
+		RequestsPerSecond: 1000, MaxRequests: 50, Duration: time.Minute, RequestTimeout: 10 * time.Second,
+		Adapters: []string{"a", "b", "c"}, ZipfExponent: 1.2, MaxTokens: 4, PromptBytes: 64, Seed: 1,
 	}
 }
 
@@ -69,7 +69,7 @@
 	r, err := Run(context.Background(), options(strings.TrimPrefix(s.URL, "http://")))
 	is.NoErr(err)
 	is.Equal(r.Summary().Outcomes, map[string]int{"ok": 10, "rate_limited": 10, "cut: stream_broken": 10, outcomeIncomplete: 10, outcomeWrongAdapter: 10})
-	is.Equal(r.Summary().First.Count, int64(10))
+	is.Equal(r.Summary().FirstToken.Count, int64(10))
 	var text bytes.Buffer
 	is.NoErr(r.WriteText(&text))
 	is.True(strings.Contains(text.String(), "rate_limited"))
@@ -84,10 +84,10 @@
 	})
 	defer s.Close()
 	o := options(strings.TrimPrefix(s.URL, "http://"))
-	o.Follow, o.Requests, o.Rate, o.Keys = true, 3, 20, []string{"k1"}
+	o.UseEntries, o.MaxRequests, o.RequestsPerSecond, o.Keys = true, 3, 20, []string{"k1"}
 	r, err := Run(context.Background(), o)
 	is.NoErr(err)
-	is.Equal(r.Outcome(outcomeOK), 3) // the first loopback address can't be reached
+	is.Equal(r.OutcomeCount(outcomeOK), 3) // the first loopback address can't be reached
 	is.True(entries.Load() >= 1)
 }
 
@@ -97,16 +97,16 @@
 	s := newFakeHost(&entries, func(_ http.ResponseWriter, r *http.Request, _ string) { <-r.Context().Done() })
 	defer s.Close()
 	o := options(strings.TrimPrefix(s.URL, "http://"))
-	o.Cancel, o.CancelAfter = 1, time.Millisecond
+	o.CancelFraction, o.MeanCancelDelay = 1, time.Millisecond
 	r, err := Run(context.Background(), o)
 	is.NoErr(err)
-	is.Equal(r.Summary().Outcomes, map[string]int{outcomeCancelled: o.Requests})
+	is.Equal(r.Summary().Outcomes, map[string]int{outcomeCancelled: o.MaxRequests})
 }
 
 func TestPlanIsSeededAndSkewed(t *testing.T) {
 	is := is.New(t)
 	o := options("127.0.0.1:1")
-	o.Requests = 10000
+	o.MaxRequests = 10000
 	draw := func() (plans []plan) {
 		p := newPlanner(o)
 		for r, ok := p.next(); ok; r, ok = p.next() {
@@ -130,11 +130,11 @@
 	for _, change := range []func(*Options){
 		func(o *Options) { o.Targets = []string{"10.0.0.1:80"} },
 		func(o *Options) { o.Targets = []string{"localhost:80"} },
-		func(o *Options) { o.Requests = maxRequests + 1 },
+		func(o *Options) { o.MaxRequests = maxRequests + 1 },
 		func(o *Options) { o.Duration = maxDuration + 1 },
-		func(o *Options) { o.Rate = 0 },
-		func(o *Options) { o.Cancel = 2 },
-		func(o *Options) { o.Skew = 1 },
+		func(o *Options) { o.RequestsPerSecond = 0 },
+		func(o *Options) { o.CancelFraction = 2 },
+		func(o *Options) { o.ZipfExponent = 1 },
 	} {
 		o := options("127.0.0.1:1")
 		change(&o)
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -64,11 +64,11 @@
 	r.elapsed = took
 }
 
-// Count returns the number of requests offered.
-func (r *Result) Count() int { return r.count }
+// RequestCount returns the number of requests offered.
+func (r *Result) RequestCount() int { return r.count }
 
-// Outcome returns the number of requests with an outcome.
-func (r *Result) Outcome(name string) int { return r.outcomes[name] }
+// OutcomeCount returns the number of requests with an outcome.
+func (r *Result) OutcomeCount(name string) int { return r.outcomes[name] }
 
 // Latency is a latency distribution in milliseconds.
 type Latency struct {
@@ -82,13 +82,13 @@
 
 // Summary is a result as written in JSON.
 type Summary struct {
-	Requests int            `json:"requests"`
-	Seconds  float64        `json:"seconds"`
-	Rate     float64        `json:"requests_per_second"`
-	Outcomes map[string]int `json:"outcomes"`
-	First    Latency        `json:"first_token"`
-	Total    Latency        `json:"total"`
-	Between  Latency        `json:"between_tokens"`
+	Requests          int            `json:"requests"`
+	Seconds           float64        `json:"seconds"`
+	RequestsPerSecond float64        `json:"requests_per_second"`
+	Outcomes          map[string]int `json:"outcomes"`
+	FirstToken        Latency        `json:"first_token"`
+	Total             Latency        `json:"total"`
+	BetweenTokens     Latency        `json:"between_tokens"`
 }
 
 // Summary returns the summary of a result.
@@ -96,13 +96,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Summary{
-		Requests: r.count,
-		Seconds:  r.elapsed.Seconds(),
-		Rate:     float64(r.count) / max(r.elapsed.Seconds(), time.Microsecond.Seconds()),
-		Outcomes: r.outcomes,
-		First:    latency(r.firstToken),
-		Total:    latency(r.total),
-		Between:  latency(r.tokenGaps),
+		Requests:          r.count,
+		Seconds:           r.elapsed.Seconds(),
+		RequestsPerSecond: float64(r.count) / max(r.elapsed.Seconds(), time.Microsecond.Seconds()),
+		Outcomes:          r.outcomes,
+		FirstToken:        latency(r.firstToken),
+		Total:             latency(r.total),
+		BetweenTokens:     latency(r.tokenGaps),
 	}
 }
 
@@ -123,12 +123,12 @@
 func (r *Result) WriteText(w io.Writer) error {
 	s := r.Summary()
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "%d requests in %.1f s, %.1f a second\n\n", s.Requests, s.Seconds, s.Rate)
+	fmt.Fprintf(t, "%d requests in %.1f s, %.1f a second\n\n", s.Requests, s.Seconds, s.RequestsPerSecond)
 	fmt.Fprintln(t, "ms\tcount\tp50\tp95\tp99\tp99.9\tmax")
 	for _, row := range []struct {
 		name string
 		l    Latency
-	}{{"first token", s.First}, {"total", s.Total}, {"between tokens", s.Between}} {
+	}{{"first token", s.FirstToken}, {"total", s.Total}, {"between tokens", s.BetweenTokens}} {
 		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", row.name, row.l.Count, row.l.P50, row.l.P95, row.l.P99, row.l.P999, row.l.Max)
 	}
 	fmt.Fprintln(t, "\noutcome\tcount")
