--- a/internal/core/direct/catalog_test.go
+++ b/internal/core/relaynode/catalog_test.go
@@ -1,4 +1,4 @@
-package direct
+package relaynode
 
 import (
 	"flag"
@@ -18,5 +18,5 @@
 	}
 	b, err := os.ReadFile(file)
 	is.NoErr(err)
-	is.Equal(string(b), LogsPage()) // go test ./internal/core/direct -run TestLogsPageIsCurrent -update
+	is.Equal(string(b), LogsPage()) // go test ./internal/core/relaynode -run TestLogsPageIsCurrent -update
 }
--- a/internal/core/direct/events.go
+++ b/internal/core/relaynode/events.go
@@ -9,7 +9,7 @@
 //
 // Its inputs are events, each with the present time; its outputs are effects, which
 // the caller carries out. The package does no I/O and reads no clock.
-package direct
+package relaynode
 
 import (
 	"time"
--- a/internal/core/direct/leaving.go
+++ b/internal/core/relaynode/leaving.go
@@ -1,4 +1,4 @@
-package direct
+package relaynode
 
 // startLeaving starts a graceful shutdown: the host is no longer advertised to
 // callers, releases its leases, and for a while still serves the requests that
--- a/internal/core/direct/settings.go
+++ b/internal/core/relaynode/settings.go
@@ -1,4 +1,4 @@
-package direct
+package relaynode
 
 import (
 	"time"
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -7,19 +7,19 @@
 	"github.com/apex/log"
 
 	"gentiancroft/internal/core"
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/relay"
 )
 
 // StartRequest implements relay.Node. A request that finds the event ring full is refused
 // at once.
-func (g *Gateway) StartRequest(a direct.RequestArrived) relay.Exchange {
-	x := &exchange{id: a.ID, gateway: g, decisions: make(chan direct.Effect, decisionBuffer)}
+func (g *Gateway) StartRequest(a relaynode.RequestArrived) relay.Exchange {
+	x := &exchange{id: a.ID, gateway: g, decisions: make(chan relaynode.Effect, decisionBuffer)}
 	g.mu.Lock()
 	g.exchanges[a.ID] = x
 	g.mu.Unlock()
 	if !g.events.TryPush(a) {
-		x.decisions <- direct.Refuse{ID: a.ID, Refusal: core.Refuse(core.CodeOverloaded, overloadRetryAfter, "the host is overloaded")}
+		x.decisions <- relaynode.Refuse{ID: a.ID, Refusal: core.Refuse(core.CodeOverloaded, overloadRetryAfter, "the host is overloaded")}
 	}
 	return x
 }
@@ -32,7 +32,7 @@
 }
 
 // sendDecision hands a decision to the request's handler.
-func (g *Gateway) sendDecision(id core.RequestID, e direct.Effect) {
+func (g *Gateway) sendDecision(id core.RequestID, e relaynode.Effect) {
 	if x := g.findExchange(id); x != nil {
 		select {
 		case x.decisions <- e:
@@ -42,7 +42,7 @@
 	}
 }
 
-func (g *Gateway) cancel(c direct.Cancel) {
+func (g *Gateway) cancel(c relaynode.Cancel) {
 	if x := g.findExchange(c.ID); x != nil {
 		x.cancelAttempt(c)
 	}
@@ -52,7 +52,7 @@
 type exchange struct {
 	id        core.RequestID
 	gateway   *Gateway
-	decisions chan direct.Effect
+	decisions chan relaynode.Effect
 
 	mu               sync.Mutex
 	currentAttempt   int
@@ -62,7 +62,7 @@
 }
 
 // Decisions implements relay.Exchange.
-func (x *exchange) Decisions() <-chan direct.Effect { return x.decisions }
+func (x *exchange) Decisions() <-chan relaynode.Effect { return x.decisions }
 
 // StartAttempt implements relay.Exchange. The context of an attempt that was cancelled
 // before is already done.
@@ -90,7 +90,7 @@
 
 // cancelAttempt cancels an attempt and those before it. Where c asks for that only
 // before the answer has started, and it has, the attempt goes on.
-func (x *exchange) cancelAttempt(c direct.Cancel) {
+func (x *exchange) cancelAttempt(c relaynode.Cancel) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if c.OnlyIfUnanswered && x.startedAttempt >= c.Attempt {
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 )
 
 // Guards against a lost stream: the timeout for the first event cancelled an attempt
@@ -17,9 +17,9 @@
 	attempt, end := x.StartAttempt(context.Background(), 1)
 	defer end()
 	is.True(x.StartAnswer(1))
-	x.cancelAttempt(direct.Cancel{Attempt: 1, OnlyIfUnanswered: true})
+	x.cancelAttempt(relaynode.Cancel{Attempt: 1, OnlyIfUnanswered: true})
 	is.NoErr(attempt.Err())
-	x.cancelAttempt(direct.Cancel{Attempt: 1}) // its deadline has passed
+	x.cancelAttempt(relaynode.Cancel{Attempt: 1}) // its deadline has passed
 	is.True(attempt.Err() != nil)
 }
 
@@ -28,7 +28,7 @@
 	x := &exchange{}
 	attempt, end := x.StartAttempt(context.Background(), 1)
 	defer end()
-	x.cancelAttempt(direct.Cancel{Attempt: 1, OnlyIfUnanswered: true})
+	x.cancelAttempt(relaynode.Cancel{Attempt: 1, OnlyIfUnanswered: true})
 	is.True(attempt.Err() != nil)
 	is.True(!x.StartAnswer(1))
 	_, end = x.StartAttempt(context.Background(), 2)
--- a/internal/gateway/executors.go
+++ b/internal/gateway/executors.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"gentiancroft/internal/core"
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/core/replicas"
 	"gentiancroft/internal/core/residency"
 	"gentiancroft/internal/core/table"
@@ -64,7 +64,7 @@
 	if done.Err != nil {
 		log.WithField("upstream", string(o.Replica)).WithError(done.Err).Warn("order without an answer")
 	}
-	g.Notify(direct.OrderDone{OrderDone: done})
+	g.Notify(relaynode.OrderDone{OrderDone: done})
 }
 
 // readReport reads a replica's report for the machine.
@@ -73,7 +73,7 @@
 	if report.Err != nil {
 		log.WithField("upstream", string(p.Replica)).WithError(report.Err).Warn("report not read")
 	}
-	g.Notify(direct.ReportReceived{Report: report})
+	g.Notify(relaynode.ReportReceived{Report: report})
 }
 
 // callStore carries out a write of the machine.
@@ -81,7 +81,7 @@
 	result := g.carriers.Store.Do(ctx, c)
 	result.Tag = c.Tag
 	g.reportStoreStatus(result.Status)
-	g.Notify(direct.WriteDone{Result: result})
+	g.Notify(relaynode.WriteDone{Result: result})
 }
 
 // reportStoreStatus counts a call's outcome, reports to the machine whether the
@@ -90,9 +90,9 @@
 	g.count("store.calls." + storeOutcomes[s])
 	reached := s != core.ObjectUnavailable && s != core.ObjectUnknown
 	if reached {
-		g.Notify(direct.StoreAnswered{})
+		g.Notify(relaynode.StoreAnswered{})
 	} else {
-		g.Notify(direct.StoreCallFailed{})
+		g.Notify(relaynode.StoreCallFailed{})
 	}
 	if g.storeReachable.Swap(reached) != reached {
 		log.WithField("dependency", "store").WithField("reached", reached).Warn("dependency changed")
@@ -109,7 +109,7 @@
 }
 
 // sendToPeers encodes a message once and sends it to each of its receivers.
-func (g *Gateway) sendToPeers(x direct.SendToPeers) {
+func (g *Gateway) sendToPeers(x relaynode.SendToPeers) {
 	payload, err := cbor.Marshal(x.Message)
 	if err != nil {
 		log.WithError(err).Error("peer message not encoded")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,7 +18,7 @@
 	metrics "github.com/rcrowley/go-metrics"
 
 	"gentiancroft/internal/core"
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/supervise"
 )
 
@@ -35,11 +35,11 @@
 
 // Gateway owns a machine and the ring of its events.
 type Gateway struct {
-	machine          *direct.Machine
+	machine          *relaynode.Machine
 	carriers         Executors
 	clock            Clock
 	registry         metrics.Registry
-	events           *supervise.Ring[direct.Event]
+	events           *supervise.Ring[relaynode.Event]
 	mayExit          chan struct{}
 	status           atomic.Pointer[status]
 	storeReachable   atomic.Bool // whether the last call reached the store
@@ -56,17 +56,17 @@
 	ready     bool
 	leaving   bool
 	addresses []string
-	reading   direct.ReadPlan // how the store is to be read
+	reading   relaynode.ReadPlan // how the store is to be read
 }
 
 // New returns a gateway whose workers are not running yet; see Register.
-func New(m *direct.Machine, c Executors, clock Clock, r metrics.Registry) *Gateway {
+func New(m *relaynode.Machine, c Executors, clock Clock, r metrics.Registry) *Gateway {
 	g := &Gateway{
 		machine:          m,
 		carriers:         c,
 		clock:            clock,
 		registry:         r,
-		events:           supervise.NewRing[direct.Event]("events", eventRingSize, supervise.Refuse),
+		events:           supervise.NewRing[relaynode.Event]("events", eventRingSize, supervise.Refuse),
 		mayExit:          make(chan struct{}, 1),
 		decisionCounters: map[string]metrics.Counter{},
 		exchanges:        map[core.RequestID]*exchange{},
@@ -90,7 +90,7 @@
 func (g *Gateway) Done() <-chan struct{} { return g.mayExit }
 
 // Leave starts a graceful shutdown.
-func (g *Gateway) Leave() { g.Notify(direct.Leave{}) }
+func (g *Gateway) Leave() { g.Notify(relaynode.Leave{}) }
 
 // Ready reports whether the host can serve callers.
 func (g *Gateway) Ready() bool { return g.status.Load().ready }
@@ -104,20 +104,20 @@
 // Notify queues an event for the machine and implements relay.Node. It blocks while
 // the ring is full, since an event that ends something must not be lost. The
 // machine's own worker must not call it: it would wait for itself.
-func (g *Gateway) Notify(e direct.Event) { g.events.PushBlocking(e) }
+func (g *Gateway) Notify(e relaynode.Event) { g.events.PushBlocking(e) }
 
 // Trusted reports whether a certificate's key is that of a registered host. It
 // waits for the machine.
 func (g *Gateway) Trusted(h core.HostID, key string) bool {
 	answer := make(chan bool, 1)
-	g.Notify(direct.Query{Read: func(m *direct.Machine) { answer <- m.Trusted(h, key) }})
+	g.Notify(relaynode.Query{Read: func(m *relaynode.Machine) { answer <- m.Trusted(h, key) }})
 	return <-answer
 }
 
 // ReceiveFromPeer decodes a payload from another host and queues it for the machine. It is
 // dropped where the ring is full, as it may be on the network.
 func (g *Gateway) ReceiveFromPeer(from core.HostID, payload []byte) {
-	var m direct.Message
+	var m relaynode.Message
 	if err := cbor.Unmarshal(payload, &m); err != nil {
 		log.WithField("peer", string(from)).WithError(err).Warn("peer message not decoded")
 		return
@@ -125,7 +125,7 @@
 	if len(m.Configuration) > 0 {
 		g.configurationReceived(from, m.Configuration)
 	}
-	if !g.events.TryPush(direct.MessageReceived{From: from, Message: m}) {
+	if !g.events.TryPush(relaynode.MessageReceived{From: from, Message: m}) {
 		g.count("gateway.peer_messages_dropped")
 	}
 }
@@ -144,12 +144,12 @@
 
 // step handles one event. The status is published only after events that may
 // change it.
-func (g *Gateway) step(ctx context.Context, e direct.Event) {
+func (g *Gateway) step(ctx context.Context, e relaynode.Event) {
 	for _, effect := range g.machine.Step(g.clock(), e) {
 		g.execute(ctx, effect)
 	}
 	switch e.(type) {
-	case direct.Tick, direct.Leave, direct.ConfigurationRead, direct.ReplicasListed:
+	case relaynode.Tick, relaynode.Leave, relaynode.ConfigurationRead, relaynode.ReplicasListed:
 		g.publishStatus()
 	}
 }
@@ -183,7 +183,7 @@
 }
 
 func (g *Gateway) tick() {
-	if !g.events.TryPush(direct.Tick{}) {
+	if !g.events.TryPush(relaynode.Tick{}) {
 		g.count("gateway.ticks_dropped")
 	}
 }
@@ -191,37 +191,37 @@
 func (g *Gateway) count(name string) { metrics.GetOrRegisterCounter(name, g.registry).Inc(1) }
 
 // execute carries out one effect. I/O that can block runs in its own goroutine.
-func (g *Gateway) execute(ctx context.Context, effect direct.Effect) {
+func (g *Gateway) execute(ctx context.Context, effect relaynode.Effect) {
 	switch x := effect.(type) {
-	case direct.Dispatch:
+	case relaynode.Dispatch:
 		g.sendDecision(x.ID, x)
-	case direct.Refuse:
+	case relaynode.Refuse:
 		g.sendDecision(x.ID, x)
-	case direct.DeliverFailure:
+	case relaynode.DeliverFailure:
 		g.sendDecision(x.ID, x)
-	case direct.AbortAnswer:
+	case relaynode.AbortAnswer:
 		g.sendDecision(x.ID, x)
-	case direct.Cancel:
+	case relaynode.Cancel:
 		g.cancel(x)
-	case direct.SendOrder:
+	case relaynode.SendOrder:
 		go g.sendOrder(ctx, x.Order)
-	case direct.RequestReport:
+	case relaynode.RequestReport:
 		go g.readReport(ctx, x.Probe)
-	case direct.WriteObject:
+	case relaynode.WriteObject:
 		go g.callStore(ctx, x.Call)
-	case direct.SendToPeers:
+	case relaynode.SendToPeers:
 		g.sendToPeers(x)
-	case direct.LogDecision:
+	case relaynode.LogDecision:
 		g.logDecision(x)
-	case direct.RequestEnded:
+	case relaynode.RequestEnded:
 		g.recordServed(x)
-	case direct.LeaveCompleted:
+	case relaynode.LeaveCompleted:
 		g.mayExit <- struct{}{} // sent once, so the buffer of one never blocks
 	}
 }
 
 // logDecision counts a decision and, unless it is for the metrics only, logs it.
-func (g *Gateway) logDecision(n direct.LogDecision) {
+func (g *Gateway) logDecision(n relaynode.LogDecision) {
 	name := "decision." + n.Name + "." + n.Reason
 	c := g.decisionCounters[name]
 	if c == nil {
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -6,7 +6,7 @@
 
 	metrics "github.com/rcrowley/go-metrics"
 
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/exposition"
 )
 
@@ -27,7 +27,7 @@
 
 // recordServed counts a finished request by route and outcome and records its
 // latencies.
-func (g *Gateway) recordServed(s direct.RequestEnded) {
+func (g *Gateway) recordServed(s relaynode.RequestEnded) {
 	const reservoir, decay = 128, 0.015
 	route := s.Route
 	if route == "" {
@@ -53,8 +53,8 @@
 // UpdateMetrics updates the gauges that describe the machine's state. It is called when
 // the metrics page is read, so that a host without a scraper spends nothing on it.
 func (g *Gateway) UpdateMetrics() {
-	answer := make(chan direct.State, 1)
-	if !g.events.TryPush(direct.Query{Read: func(m *direct.Machine) { answer <- m.State() }}) {
+	answer := make(chan relaynode.State, 1)
+	if !g.events.TryPush(relaynode.Query{Read: func(m *relaynode.Machine) { answer <- m.State() }}) {
 		return
 	}
 	select {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (g *Gateway) publish(s direct.State) {
+func (g *Gateway) publish(s relaynode.State) {
 	milliseconds := func(name string, d time.Duration) { g.setGauge(name, d.Milliseconds()) }
 	g.setGauge("configuration.version", int64(s.Configuration))
 	milliseconds("configuration.age_ms", s.ConfigurationAge)
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -7,25 +7,25 @@
 	"github.com/matryer/is"
 	metrics "github.com/rcrowley/go-metrics"
 
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 )
 
 func TestMetricsOfRemovedObjectsAreDropped(t *testing.T) {
 	is := is.New(t)
 	r := metrics.NewRegistry()
-	g := New(direct.New(direct.Settings{}), Executors{}, nil, r)
-	g.recordServed(direct.RequestEnded{Route: "a", Outcome: "ok", FirstByte: time.Millisecond, Total: time.Second})
-	g.recordServed(direct.RequestEnded{Route: "b", Outcome: "ok", Total: time.Second})
-	g.recordServed(direct.RequestEnded{Outcome: "unknown_route"})
-	state := direct.State{
-		Replicas:   []direct.ReplicaState{{ID: "i.1", Own: 2}},
-		Workspaces: []direct.WorkspaceState{{ID: "w", Level: -3}},
+	g := New(relaynode.New(relaynode.Settings{}), Executors{}, nil, r)
+	g.recordServed(relaynode.RequestEnded{Route: "a", Outcome: "ok", FirstByte: time.Millisecond, Total: time.Second})
+	g.recordServed(relaynode.RequestEnded{Route: "b", Outcome: "ok", Total: time.Second})
+	g.recordServed(relaynode.RequestEnded{Outcome: "unknown_route"})
+	state := relaynode.State{
+		Replicas:   []relaynode.ReplicaState{{ID: "i.1", Own: 2}},
+		Workspaces: []relaynode.WorkspaceState{{ID: "w", Level: -3}},
 		Routes:     map[string]bool{"a": true, "b": true},
 	}
 	g.publish(state)
 	is.Equal(metrics.GetOrRegisterGauge("upstream.i.1.in_flight", r).Value(), int64(2))
 	is.Equal(metrics.GetOrRegisterGauge("workspace.w.tokens_left", r).Value(), int64(-3))
-	g.publish(direct.State{Routes: map[string]bool{"a": true}})
+	g.publish(relaynode.State{Routes: map[string]bool{"a": true}})
 	is.True(r.Get("upstream.i.1.in_flight") == nil)
 	is.True(r.Get("workspace.w.tokens_left") == nil)
 	is.True(r.Get("route.b.total_us") == nil)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -10,8 +10,8 @@
 	"github.com/apex/log"
 
 	"gentiancroft/internal/core"
-	"gentiancroft/internal/core/direct"
 	"gentiancroft/internal/core/fleet"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/core/replicas"
 	"gentiancroft/internal/core/shard"
 )
@@ -68,7 +68,7 @@
 		{gateway: g, kind: d.ConfigurationKind, minInterval: minConfigurationInterval, reread: true, onList: forEach(g.configurationChanged), onChange: g.configurationChanged},
 		{gateway: g, kind: d.ReplicasKind, minInterval: minReplicasInterval, urgent: true, onList: g.replicasListed, onChange: g.replicaChanged},
 		{gateway: g, kind: d.VersionsKind, minInterval: minVersionsInterval, reread: true, onList: g.versionsListed, onChange: g.versionChanged},
-		{gateway: g, kind: strings.TrimSuffix(direct.HostsPrefix, "/"), minInterval: minHostsInterval, startAtOnce: true, onList: forEach(g.hostChanged), onChange: g.hostChanged},
+		{gateway: g, kind: strings.TrimSuffix(relaynode.HostsPrefix, "/"), minInterval: minHostsInterval, startAtOnce: true, onList: forEach(g.hostChanged), onChange: g.hostChanged},
 	}
 }
 
@@ -206,7 +206,7 @@
 		logSkipped(o, err)
 		return
 	}
-	g.Notify(direct.ConfigurationRead{Table: t, Document: o.Value})
+	g.Notify(relaynode.ConfigurationRead{Table: t, Document: o.Value})
 }
 
 // configurationReceived decodes a configuration that another host has read from the
@@ -217,7 +217,7 @@
 		log.WithField("peer", string(from)).WithError(err).Warn("configuration of a peer skipped")
 		return
 	}
-	g.Notify(direct.ConfigurationRead{Table: t})
+	g.Notify(relaynode.ConfigurationRead{Table: t})
 }
 
 func (g *Gateway) replicasListed(all []core.Object) {
@@ -230,12 +230,12 @@
 		}
 		entries = append(entries, e)
 	}
-	g.Notify(direct.ReplicasListed{Entries: entries})
+	g.Notify(relaynode.ReplicasListed{Entries: entries})
 }
 
 func (g *Gateway) replicaChanged(o core.Object) {
 	if o.Deleted {
-		g.Notify(direct.ReplicaUnlisted{ID: core.UpstreamID(objectName(o))})
+		g.Notify(relaynode.ReplicaUnlisted{ID: core.UpstreamID(objectName(o))})
 		return
 	}
 	e, err := g.carriers.Documents.DecodeReplica(objectName(o), o.Value)
@@ -243,14 +243,14 @@
 		logSkipped(o, err)
 		return
 	}
-	g.Notify(direct.ReplicaListed{Entry: e})
+	g.Notify(relaynode.ReplicaListed{Entry: e})
 }
 
 func (g *Gateway) versionsListed(all []core.Object) {
 	for _, o := range all {
 		g.sendVersion(o, true)
 	}
-	g.Notify(direct.VersionsRead{})
+	g.Notify(relaynode.VersionsRead{})
 }
 
 func (g *Gateway) versionChanged(o core.Object) { g.sendVersion(o, false) }
@@ -264,12 +264,12 @@
 		logSkipped(o, err)
 		return
 	}
-	g.Notify(direct.VersionAnnounced{Model: model, Adapter: ref, Listed: listed})
+	g.Notify(relaynode.VersionAnnounced{Model: model, Adapter: ref, Listed: listed})
 }
 
 func (g *Gateway) hostChanged(o core.Object) {
 	if o.Deleted {
-		g.Notify(direct.HostUnlisted{Name: objectName(o)})
+		g.Notify(relaynode.HostUnlisted{Name: objectName(o)})
 		return
 	}
 	var r fleet.Registration
@@ -277,7 +277,7 @@
 		logSkipped(o, err)
 		return
 	}
-	g.Notify(direct.HostListed{Host: r})
+	g.Notify(relaynode.HostListed{Host: r})
 }
 
 // readLeases lists the shards' leases periodically. After the first list, stale
@@ -289,7 +289,7 @@
 		result := g.carriers.Store.Do(ctx, call)
 		g.reportStoreStatus(result.Status)
 		if result.Status == core.ObjectOK || result.Status == core.ObjectNotFound {
-			g.Notify(direct.LeasesListed{Objects: result.Objects})
+			g.Notify(relaynode.LeasesListed{Objects: result.Objects})
 			first = false
 		}
 		if g.status.Load().reading.Standby {
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -9,7 +9,7 @@
 	metrics "github.com/rcrowley/go-metrics"
 
 	"gentiancroft/internal/core"
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 )
 
 // firstCallHangs is a fake store whose first call hangs until it is cancelled.
@@ -32,7 +32,7 @@
 func TestAFirstListThatIsInterruptedIsReadAgainAtOnce(t *testing.T) {
 	is := is.New(t)
 	store := firstCallHangs{calls: make(chan core.ObjectCall, 8)}
-	g := New(direct.New(direct.Settings{}), Executors{Store: store}, nil, metrics.NewRegistry())
+	g := New(relaynode.New(relaynode.Settings{}), Executors{Store: store}, nil, metrics.NewRegistry())
 	w := &watch{gateway: g, kind: "k", onList: func([]core.Object) {}, onChange: func(core.Object) {}}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 
 	"gentiancroft/internal/core"
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 )
 
 // RequestFields is what the header of a caller's request declares.
@@ -66,9 +66,9 @@
 // Node decides what happens to requests.
 type Node interface {
 	// StartRequest starts a request.
-	StartRequest(direct.RequestArrived) Exchange
+	StartRequest(relaynode.RequestArrived) Exchange
 	// Notify reports what happened to a request.
-	Notify(direct.Event)
+	Notify(relaynode.Event)
 	// Leaving reports whether the host is shutting down.
 	Leaving() bool
 }
@@ -77,7 +77,7 @@
 type Exchange interface {
 	// Decisions returns the channel of the node's decisions: dispatch to a replica,
 	// refuse, deliver a replica's error answer, or cut off the answer.
-	Decisions() <-chan direct.Effect
+	Decisions() <-chan relaynode.Effect
 	// StartAttempt starts an attempt. It returns the attempt's context, which the node can
 	// cancel, and the function that releases it.
 	StartAttempt(parent context.Context, attempt int) (context.Context, context.CancelFunc)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -17,7 +17,7 @@
 	"github.com/valyala/fasthttp"
 
 	"gentiancroft/internal/core"
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/upstream"
 )
 
@@ -60,22 +60,22 @@
 // decision.
 type fakeNode struct {
 	mu        sync.Mutex
-	script    []func(direct.RequestArrived) direct.Effect
-	events    chan direct.Event
+	script    []func(relaynode.RequestArrived) relaynode.Effect
+	events    chan relaynode.Event
 	x         *fakeExchange
 	cancelled int // attempts up to this one may not begin
 }
 
 type fakeExchange struct {
 	node      *fakeNode
-	arrive    direct.RequestArrived
-	decisions chan direct.Effect
+	arrive    relaynode.RequestArrived
+	decisions chan relaynode.Effect
 	cancel    context.CancelFunc
 	cancelled int // attempts up to this one may not begin
 }
 
-func (n *fakeNode) StartRequest(a direct.RequestArrived) Exchange {
-	n.x = &fakeExchange{node: n, arrive: a, decisions: make(chan direct.Effect, 8), cancelled: n.cancelled}
+func (n *fakeNode) StartRequest(a relaynode.RequestArrived) Exchange {
+	n.x = &fakeExchange{node: n, arrive: a, decisions: make(chan relaynode.Effect, 8), cancelled: n.cancelled}
 	n.decide()
 	return n.x
 }
@@ -91,16 +91,16 @@
 	n.x.decisions <- next(n.x.arrive)
 }
 
-func (n *fakeNode) Notify(e direct.Event) {
+func (n *fakeNode) Notify(e relaynode.Event) {
 	n.events <- e
-	if x, ok := e.(direct.AttemptEnded); ok && x.Kind != direct.EndOK {
+	if x, ok := e.(relaynode.AttemptEnded); ok && x.Kind != relaynode.EndOK {
 		n.decide()
 	}
 }
 
 func (n *fakeNode) Leaving() bool { return false }
 
-func (x *fakeExchange) Decisions() <-chan direct.Effect { return x.decisions }
+func (x *fakeExchange) Decisions() <-chan relaynode.Effect { return x.decisions }
 
 func (x *fakeExchange) StartAttempt(parent context.Context, _ int) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
@@ -122,8 +122,8 @@
 }
 
 // newHarness starts a server and a fake replica that handles each request by answer.
-func newHarness(t *testing.T, answer func(net.Conn, *http.Request), script ...func(direct.RequestArrived) direct.Effect) *harness {
-	h := &harness{t: t, is: is.New(t), node: &fakeNode{script: script, events: make(chan direct.Event, 64)}}
+func newHarness(t *testing.T, answer func(net.Conn, *http.Request), script ...func(relaynode.RequestArrived) relaynode.Effect) *harness {
+	h := &harness{t: t, is: is.New(t), node: &fakeNode{script: script, events: make(chan relaynode.Event, 64)}}
 	h.replica = h.listen(func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
@@ -163,13 +163,13 @@
 }
 
 // dispatch returns a decision to send attempt n to the fake replica.
-func (h *harness) dispatch(n int, after string) func(direct.RequestArrived) direct.Effect {
-	return func(a direct.RequestArrived) direct.Effect {
-		return direct.Dispatch{ID: a.ID, Attempt: n, Upstream: "r", Address: h.replica, LastEvent: after, NonRepeatable: true}
+func (h *harness) dispatch(n int, after string) func(relaynode.RequestArrived) relaynode.Effect {
+	return func(a relaynode.RequestArrived) relaynode.Effect {
+		return relaynode.Dispatch{ID: a.ID, Attempt: n, Upstream: "r", Address: h.replica, LastEvent: after, NonRepeatable: true}
 	}
 }
 
-func (h *harness) script(f ...func(direct.RequestArrived) direct.Effect) { h.node.script = f }
+func (h *harness) script(f ...func(relaynode.RequestArrived) relaynode.Effect) { h.node.script = f }
 
 // request sends raw bytes and reads the answer's header.
 func (h *harness) request(raw string) (*http.Response, net.Conn) {
@@ -185,12 +185,12 @@
 }
 
 // ended returns the next end of an attempt that is reported to the node.
-func (h *harness) ended() direct.AttemptEnded {
+func (h *harness) ended() relaynode.AttemptEnded {
 	h.is.Helper()
 	for {
 		select {
 		case e := <-h.node.events:
-			if x, ok := e.(direct.AttemptEnded); ok {
+			if x, ok := e.(relaynode.AttemptEnded); ok {
 				return x
 			}
 		case <-time.After(waitTimeout):
@@ -233,7 +233,7 @@
 	got, err := body(r)
 	h.is.NoErr(err)
 	h.is.Equal(got, "POST /a//b/../c%2F?x=1 abc")
-	h.is.Equal(h.ended().Kind, direct.EndOK)
+	h.is.Equal(h.ended().Kind, relaynode.EndOK)
 }
 
 func TestALateAnswerToAnotherRequestIsDropped(t *testing.T) {
@@ -253,37 +253,37 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n"+madeHeader+"Content-Length: 100\r\n\r\nshort")
 		_ = c.Close()
 	})
-	h.script(h.dispatch(1, ""), func(a direct.RequestArrived) direct.Effect {
-		return direct.Refuse{ID: a.ID, Refusal: &core.Refusal{Code: core.CodeUpstreamFailed, Ran: core.RanUnknown}}
+	h.script(h.dispatch(1, ""), func(a relaynode.RequestArrived) relaynode.Effect {
+		return relaynode.Refuse{ID: a.ID, Refusal: &core.Refusal{Code: core.CodeUpstreamFailed, Ran: core.RanUnknown}}
 	})
 	r, _ := h.request(get("1"))
 	h.is.Equal(r.StatusCode, http.StatusBadGateway)
-	h.is.Equal(h.ended().Kind, direct.EndBroken)
+	h.is.Equal(h.ended().Kind, relaynode.EndBroken)
 }
 
 func TestAnAnswerWithoutTheReplicasMarkIsBroken(t *testing.T) {
 	h := newHarness(t, func(c net.Conn, r *http.Request) { answer(c, "1", "", "not by the replica") })
-	h.script(h.dispatch(1, ""), func(a direct.RequestArrived) direct.Effect {
-		return direct.Refuse{ID: a.ID, Refusal: &core.Refusal{Code: core.CodeUpstreamFailed, Ran: core.RanUnknown}}
+	h.script(h.dispatch(1, ""), func(a relaynode.RequestArrived) relaynode.Effect {
+		return relaynode.Refuse{ID: a.ID, Refusal: &core.Refusal{Code: core.CodeUpstreamFailed, Ran: core.RanUnknown}}
 	})
 	r, _ := h.request(get("1"))
 	h.is.Equal(r.StatusCode, http.StatusBadGateway)
-	h.is.Equal(h.ended().Kind, direct.EndBroken)
+	h.is.Equal(h.ended().Kind, relaynode.EndBroken)
 }
 
 func TestNotRunAndMissingAreReported(t *testing.T) {
-	for head, want := range map[string]direct.EndKind{
-		"HTTP/1.1 503 Busy\r\nNot-Run: 1\r\n":      direct.EndNotRun,
-		"HTTP/1.1 421 Misdirected\r\n":             direct.EndAdapterMissing,
-		"HTTP/1.1 500 Failed\r\nMade: 1\r\n":       direct.EndError,
-		"HTTP/1.1 503 Unavailable\r\nMade: 1\r\n":  direct.EndError,
-		"HTTP/1.1 503 Unavailable\r\nOther: 1\r\n": direct.EndBroken,
+	for head, want := range map[string]relaynode.EndKind{
+		"HTTP/1.1 503 Busy\r\nNot-Run: 1\r\n":      relaynode.EndNotRun,
+		"HTTP/1.1 421 Misdirected\r\n":             relaynode.EndAdapterMissing,
+		"HTTP/1.1 500 Failed\r\nMade: 1\r\n":       relaynode.EndError,
+		"HTTP/1.1 503 Unavailable\r\nMade: 1\r\n":  relaynode.EndError,
+		"HTTP/1.1 503 Unavailable\r\nOther: 1\r\n": relaynode.EndBroken,
 	} {
 		h := newHarness(t, func(c net.Conn, r *http.Request) {
 			_, _ = io.WriteString(c, head+"Id: 1\r\nContent-Length: 0\r\n\r\n")
 		})
-		h.script(h.dispatch(1, ""), func(a direct.RequestArrived) direct.Effect {
-			return direct.Refuse{ID: a.ID, Refusal: core.Refuse(core.CodeOverloaded, 250*time.Millisecond, "")}
+		h.script(h.dispatch(1, ""), func(a relaynode.RequestArrived) relaynode.Effect {
+			return relaynode.Refuse{ID: a.ID, Refusal: core.Refuse(core.CodeOverloaded, 250*time.Millisecond, "")}
 		})
 		r, _ := h.request(get("1"))
 		h.is.Equal(r.StatusCode, http.StatusServiceUnavailable)
@@ -297,7 +297,7 @@
 		h := newHarness(t, func(c net.Conn, r *http.Request) {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nId: 1\r\n%sContent-Length: 4\r\n\r\nfail", status, madeHeader)
 		})
-		h.script(h.dispatch(1, ""), func(a direct.RequestArrived) direct.Effect { return direct.DeliverFailure{ID: a.ID} })
+		h.script(h.dispatch(1, ""), func(a relaynode.RequestArrived) relaynode.Effect { return relaynode.DeliverFailure{ID: a.ID} })
 		r, _ := h.request(get("1"))
 		h.is.Equal(r.StatusCode, want)
 		h.is.Equal(r.Header.Get("Made") != "", status == want)
@@ -323,7 +323,7 @@
 	h.is.NoErr(err)
 	h.is.Equal(rest, "id: 2\ndata: b\n\n")
 	e := h.ended()
-	h.is.Equal(e.Kind, direct.EndOK)
+	h.is.Equal(e.Kind, relaynode.EndOK)
 	h.is.Equal(e.LastEvent, "2")
 }
 
@@ -333,13 +333,13 @@
 		chunk(c, "id: 1\ndata: a\n\nid: 2\nda")
 		_ = c.Close()
 	})
-	h.script(h.dispatch(1, ""), func(a direct.RequestArrived) direct.Effect { return direct.AbortAnswer{ID: a.ID} })
+	h.script(h.dispatch(1, ""), func(a relaynode.RequestArrived) relaynode.Effect { return relaynode.AbortAnswer{ID: a.ID} })
 	r, _ := h.request(get("1"))
 	got, err := body(r)
 	h.is.True(err != nil)
 	h.is.Equal(got, "id: 1\ndata: a\n\n") // no incomplete event
 	e := h.ended()
-	h.is.Equal(e.Kind, direct.EndBroken)
+	h.is.Equal(e.Kind, relaynode.EndBroken)
 	h.is.Equal(e.LastEvent, "1")
 }
 
@@ -379,7 +379,7 @@
 	h.is.NoErr(err)
 	h.is.Equal(text, "id: 1\ndata: 2\n\n")
 	first := h.ended()
-	h.is.Equal(first.Kind, direct.EndCancelled)
+	h.is.Equal(first.Kind, relaynode.EndCancelled)
 	h.is.Equal(first.LastEvent, "") // nothing of it was sent to the caller
 }
 
@@ -403,9 +403,9 @@
 	case <-time.After(waitTimeout):
 		t.Fatal("the connection to the replica was not closed")
 	}
-	_, gone := (<-h.node.events).(direct.CallerGone)
+	_, gone := (<-h.node.events).(relaynode.CallerGone)
 	h.is.True(gone)
-	h.is.Equal(h.ended().Kind, direct.EndCancelled)
+	h.is.Equal(h.ended().Kind, relaynode.EndCancelled)
 }
 
 func TestAnEarlyAnswerToALongBodyIsForwarded(t *testing.T) {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -15,7 +15,7 @@
 
 	"gentiancroft/internal/badrequest"
 	"gentiancroft/internal/core"
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/core/table"
 	"gentiancroft/internal/hangup"
 	"gentiancroft/internal/upstream"
@@ -90,8 +90,8 @@
 
 // arrival makes the event of a new request. Its id is this host's request number and
 // the caller's request id.
-func (s *Server) arrival(ctx *fasthttp.RequestCtx, d RequestFields) direct.RequestArrived {
-	a := direct.RequestArrived{
+func (s *Server) arrival(ctx *fasthttp.RequestCtx, d RequestFields) relaynode.RequestArrived {
+	a := relaynode.RequestArrived{
 		ID:         core.RequestID(strconv.FormatUint(s.requestCount.Add(1), 10) + " " + d.RequestID),
 		Host:       string(ctx.Request.Header.Host()),
 		Path:       path(ctx.Request.Header.RequestURI()),
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp"
 	"github.com/zeebo/errs"
 
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/upstream"
 )
 
@@ -37,7 +37,7 @@
 // reads and closes it.
 type stream struct {
 	task       *task
-	dispatch   direct.Dispatch
+	dispatch   relaynode.Dispatch
 	attempt    context.Context
 	cancel     context.CancelFunc
 	answer     *upstream.Answer
@@ -51,7 +51,7 @@
 
 // beginStream waits for the first complete event and starts the caller's answer. It
 // returns false where the attempt failed or was cancelled before.
-func (t *task) beginStream(ctx *fasthttp.RequestCtx, d direct.Dispatch, attempt context.Context, cancel context.CancelFunc, answer *upstream.Answer) bool {
+func (t *task) beginStream(ctx *fasthttp.RequestCtx, d relaynode.Dispatch, attempt context.Context, cancel context.CancelFunc, answer *upstream.Answer) bool {
 	s := &stream{task: t, dispatch: d, attempt: attempt, cancel: cancel, answer: answer, lastEvent: d.LastEvent}
 	for s.readyBytes == 0 && !s.complete {
 		if err := s.fill(); err != nil {
@@ -61,11 +61,11 @@
 	}
 	if !t.exchange.StartAnswer(d.Attempt) {
 		s.lastEvent = d.LastEvent // nothing of this attempt was sent to the caller
-		s.release(direct.AttemptEnded{Kind: direct.EndCancelled})
+		s.release(relaynode.AttemptEnded{Kind: relaynode.EndCancelled})
 		return false
 	}
 	t.server.metrics.firstByte.Update(time.Since(t.started).Microseconds())
-	t.server.node.Notify(direct.AnswerStarted{ID: t.id, Attempt: d.Attempt, PartDelivered: true})
+	t.server.node.Notify(relaynode.AnswerStarted{ID: t.id, Attempt: d.Attempt, PartDelivered: true})
 	s.passed = true
 	t.server.dialect.CopyAnswerHeader(&ctx.Response.Header, answer.Header())
 	ctx.SetBodyStream(s, -1)
@@ -73,7 +73,7 @@
 }
 
 // release ends the current attempt, if it has not ended yet, and reports e.
-func (s *stream) release(e direct.AttemptEnded) {
+func (s *stream) release(e relaynode.AttemptEnded) {
 	if s.released {
 		return
 	}
@@ -130,7 +130,7 @@
 func (s *stream) Read(p []byte) (int, error) {
 	for s.readyBytes == 0 {
 		if s.complete {
-			s.release(direct.AttemptEnded{Kind: direct.EndOK})
+			s.release(relaynode.AttemptEnded{Kind: relaynode.EndOK})
 			return 0, io.EOF
 		}
 		err := s.fill()
@@ -153,7 +153,7 @@
 func (s *stream) resume() bool {
 	s.buffer = s.buffer[:0] // an incomplete event is sent again by the next replica
 	for {
-		d, ok := s.task.nextDecision().(direct.Dispatch)
+		d, ok := s.task.nextDecision().(relaynode.Dispatch)
 		if !ok {
 			return false
 		}
@@ -167,7 +167,7 @@
 		answered := s.task.server.dialect.ParseAnswer(answer.Header())
 		if !isEventStream(answer, answered) || !s.task.exchange.StartAnswer(d.Attempt) {
 			end := endOfAnswer(answered)
-			if end.Kind == direct.EndOK {
+			if end.Kind == relaynode.EndOK {
 				end = endOfError(attempt, upstream.Broken.New("the answer is not an event stream"))
 			}
 			answer.Close()
@@ -175,7 +175,7 @@
 			s.task.attemptEnded(d, end)
 			continue
 		}
-		s.task.server.node.Notify(direct.AnswerStarted{ID: d.ID, Attempt: d.Attempt})
+		s.task.server.node.Notify(relaynode.AnswerStarted{ID: d.ID, Attempt: d.Attempt})
 		s.dispatch, s.attempt, s.cancel, s.answer = d, attempt, cancel, answer
 		s.released, s.complete = false, false
 		return true
@@ -187,7 +187,7 @@
 func (s *stream) Close() error {
 	if !s.released {
 		s.task.hangUp()
-		s.release(direct.AttemptEnded{Kind: direct.EndCancelled})
+		s.release(relaynode.AttemptEnded{Kind: relaynode.EndCancelled})
 	}
 	s.task.finish()
 	return nil
--- a/internal/relay/task.go
+++ b/internal/relay/task.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 
 	"gentiancroft/internal/core"
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/hangup"
 	"gentiancroft/internal/upstream"
 )
@@ -45,7 +45,7 @@
 func (t *task) hangUp() {
 	t.hangUpOnce.Do(func() {
 		t.server.metrics.hungUp.Inc(1)
-		t.server.node.Notify(direct.CallerGone{ID: t.id})
+		t.server.node.Notify(relaynode.CallerGone{ID: t.id})
 		t.cancel()
 	})
 }
@@ -65,15 +65,15 @@
 func (t *task) run(ctx *fasthttp.RequestCtx) {
 	for {
 		switch d := t.nextDecision().(type) {
-		case direct.Dispatch:
+		case relaynode.Dispatch:
 			if t.runAttempt(ctx, d) {
 				return
 			}
-		case direct.DeliverFailure:
+		case relaynode.DeliverFailure:
 			t.deliverFailure(ctx)
 			t.finish()
 			return
-		case direct.Refuse:
+		case relaynode.Refuse:
 			t.server.refuse(ctx, t.requestID, d.Refusal)
 			t.finish()
 			return
@@ -88,7 +88,7 @@
 
 // nextDecision waits for the node's next decision. It returns nil once the caller has
 // hung up.
-func (t *task) nextDecision() direct.Effect {
+func (t *task) nextDecision() relaynode.Effect {
 	select {
 	case d := <-t.exchange.Decisions():
 		return d
@@ -98,7 +98,7 @@
 }
 
 // send sends the request of an attempt and waits for the header of its answer.
-func (t *task) send(ctx context.Context, d direct.Dispatch) (*upstream.Answer, error) {
+func (t *task) send(ctx context.Context, d relaynode.Dispatch) (*upstream.Answer, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	t.server.dialect.BuildRequest(request, t.request, AttemptFields{
@@ -125,7 +125,7 @@
 
 // runAttempt carries out one attempt. It returns true where the caller's answer has
 // started, so that run makes no further attempts.
-func (t *task) runAttempt(ctx *fasthttp.RequestCtx, d direct.Dispatch) bool {
+func (t *task) runAttempt(ctx *fasthttp.RequestCtx, d relaynode.Dispatch) bool {
 	attempt, cancel := t.exchange.StartAttempt(t.ctx, d.Attempt)
 	answer, err := t.send(attempt, d)
 	if err != nil {
@@ -143,7 +143,7 @@
 
 // forwardWhole reads an answer that is not a stream and, where it is a success,
 // forwards it. It returns whether it did.
-func (t *task) forwardWhole(ctx *fasthttp.RequestCtx, d direct.Dispatch, attempt context.Context, answer *upstream.Answer, answered AnswerFields) bool {
+func (t *task) forwardWhole(ctx *fasthttp.RequestCtx, d relaynode.Dispatch, attempt context.Context, answer *upstream.Answer, answered AnswerFields) bool {
 	defer answer.Close()
 	body, err := upstream.ReadBody(answer, upstream.MaxAnswerBytes)
 	if err != nil {
@@ -151,11 +151,11 @@
 		return false
 	}
 	end := endOfAnswer(answered)
-	if end.Kind == direct.EndError {
+	if end.Kind == relaynode.EndError {
 		t.failure = &failure{body: body}
 		answer.Header().CopyTo(&t.failure.header)
 	}
-	if end.Kind != direct.EndOK {
+	if end.Kind != relaynode.EndOK {
 		t.attemptEnded(d, end)
 		return false
 	}
@@ -168,33 +168,33 @@
 }
 
 // endOfAnswer returns how an attempt with a complete answer ended.
-func endOfAnswer(a AnswerFields) direct.AttemptEnded {
+func endOfAnswer(a AnswerFields) relaynode.AttemptEnded {
 	switch {
 	case a.Misdirected:
-		return direct.AttemptEnded{Kind: direct.EndAdapterMissing}
+		return relaynode.AttemptEnded{Kind: relaynode.EndAdapterMissing}
 	case a.NotRun:
-		return direct.AttemptEnded{Kind: direct.EndNotRun, RetryAfter: a.RetryAfter}
+		return relaynode.AttemptEnded{Kind: relaynode.EndNotRun, RetryAfter: a.RetryAfter}
 	case !a.Produced:
-		return direct.AttemptEnded{Kind: direct.EndBroken} // not produced by the replica
+		return relaynode.AttemptEnded{Kind: relaynode.EndBroken} // not produced by the replica
 	case a.Status >= 200 && a.Status < 300:
-		return direct.AttemptEnded{Kind: direct.EndOK}
+		return relaynode.AttemptEnded{Kind: relaynode.EndOK}
 	}
-	return direct.AttemptEnded{Kind: direct.EndError}
+	return relaynode.AttemptEnded{Kind: relaynode.EndError}
 }
 
 // endOfError returns how an attempt without a complete answer ended.
-func endOfError(attempt context.Context, err error) direct.AttemptEnded {
+func endOfError(attempt context.Context, err error) relaynode.AttemptEnded {
 	switch {
 	case attempt.Err() != nil:
-		return direct.AttemptEnded{Kind: direct.EndCancelled}
+		return relaynode.AttemptEnded{Kind: relaynode.EndCancelled}
 	case upstream.NotReached.Has(err):
-		return direct.AttemptEnded{Kind: direct.EndNotReached}
+		return relaynode.AttemptEnded{Kind: relaynode.EndNotReached}
 	}
-	return direct.AttemptEnded{Kind: direct.EndBroken, ConnectionClosed: upstream.ConnectionClosed(err)}
+	return relaynode.AttemptEnded{Kind: relaynode.EndBroken, ConnectionClosed: upstream.ConnectionClosed(err)}
 }
 
 // attemptEnded reports the end of an attempt to the node.
-func (t *task) attemptEnded(d direct.Dispatch, e direct.AttemptEnded) {
+func (t *task) attemptEnded(d relaynode.Dispatch, e relaynode.AttemptEnded) {
 	e.ID, e.Attempt = d.ID, d.Attempt
 	t.server.node.Notify(e)
 }
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 
 	"gentiancroft/internal/core"
-	"gentiancroft/internal/core/direct"
 	"gentiancroft/internal/core/fleet"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/exposition"
 	"gentiancroft/internal/gateway"
 	"gentiancroft/internal/peer"
@@ -123,9 +123,9 @@
 	return k, err
 }
 
-func newRelayMachine(s *settings.Relay, id identity, k *linkCertificate) *direct.Machine {
+func newRelayMachine(s *settings.Relay, id identity, k *linkCertificate) *relaynode.Machine {
 	shutdown := s.Shutdown.Value() - shutdownMargin
-	return direct.New(direct.Settings{
+	return relaynode.New(relaynode.Settings{
 		Self: fleet.Registration{
 			Name:   s.Host.Name,
 			Host:   id.host,
@@ -157,7 +157,7 @@
 	return l.links.Send(to, address, payload)
 }
 
-func newGateway(s *settings.Relay, a PlatformAdapter, m *direct.Machine, client *upstream.Client, late *lateBoundSender, k *linkCertificate, r metrics.Registry) *gateway.Gateway {
+func newGateway(s *settings.Relay, a PlatformAdapter, m *relaynode.Machine, client *upstream.Client, late *lateBoundSender, k *linkCertificate, r metrics.Registry) *gateway.Gateway {
 	carriers := a.Executors(s.Store, client)
 	carriers.Links = late
 	g := gateway.New(m, carriers, newBootClock(), r)
--- a/internal/wiring/reload.go
+++ b/internal/wiring/reload.go
@@ -6,7 +6,7 @@
 
 	"github.com/apex/log"
 
-	"gentiancroft/internal/core/direct"
+	"gentiancroft/internal/core/relaynode"
 	"gentiancroft/internal/settings"
 )
 
@@ -17,7 +17,7 @@
 	if s.Log != "" {
 		log.SetLevelFromString(s.Log)
 	}
-	r.gateway.Notify(direct.SettingsChanged{
+	r.gateway.Notify(relaynode.SettingsChanged{
 		RetryShare:   s.Retry.Share,
 		RetrySlack:   s.Retry.Slack,
 		RetryWindow:  s.Retry.Window.Value(),
