--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,5 +1,6 @@
-// Package measure defines the form of a measurement: a seeded run that prints
-// a policy beside its baselines and says which targets it met.
+// Package measure defines the form of a measurement: a seeded run that reports
+// a policy beside its baselines, and which targets were met. It prints reports;
+// the packages below it measure.
 package measure
 
 // Measure is one named measurement.
@@ -9,7 +10,7 @@
 	Run   func(seed uint64) (Report, error)
 }
 
-// Report is what one run gave.
+// Report is the result of one run.
 type Report struct {
 	Name    string   `json:"name"`
 	Seed    uint64   `json:"seed"`
@@ -30,7 +31,7 @@
 	Values []float64 `json:"values"`
 }
 
-// Target is a bound that the users or the size stated, and what was measured.
+// Target is a stated bound, the measured value and whether the bound is met.
 type Target struct {
 	Name     string  `json:"name"`
 	Bound    string  `json:"bound"`
--- a/internal/measure/overhead/alone.go
+++ b/internal/measure/overhead/alone.go
@@ -9,13 +9,13 @@
 	"gentiancroft/internal/entry"
 )
 
-// immediate is a node that dispatches every request at once, so that what it
-// adds is the callers' interface alone.
-type immediate struct{ engine string }
+// immediateNode is a node that dispatches every request at once, so that only
+// the callers' interface adds latency.
+type immediateNode struct{ engine string }
 
 // Begin implements entry.Node.
-func (n immediate) Begin(a node.Arrive) entry.Exchange {
-	x := instant{decisions: make(chan node.Effect, 1)}
+func (n immediateNode) Begin(a node.Arrive) entry.Exchange {
+	x := immediateExchange{decisions: make(chan node.Effect, 1)}
 	x.decisions <- node.Dispatch{
 		ID: a.ID, Attempt: 1, Upstream: "usual", Address: n.engine, Workspace: "w",
 		Adapter: core.AdapterRef{ID: adapterName, Version: 1},
@@ -24,34 +24,35 @@
 }
 
 // Tell implements entry.Node.
-func (immediate) Tell(node.Event) {}
+func (immediateNode) Tell(node.Event) {}
 
-type instant struct{ decisions chan node.Effect }
+// immediateExchange is an exchange whose only decision is ready from the start.
+type immediateExchange struct{ decisions chan node.Effect }
 
 // Decisions implements entry.Exchange.
-func (x instant) Decisions() <-chan node.Effect { return x.decisions }
+func (x immediateExchange) Decisions() <-chan node.Effect { return x.decisions }
 
 // Attempt implements entry.Exchange.
-func (instant) Attempt(parent context.Context) (context.Context, context.CancelFunc) {
+func (immediateExchange) Attempt(parent context.Context) (context.Context, context.CancelFunc) {
 	return context.WithCancel(parent)
 }
 
 // CutBy implements entry.Exchange.
-func (instant) CutBy() *core.Refusal { return nil }
+func (immediateExchange) CutBy() *core.Refusal { return nil }
 
 // Close implements entry.Exchange.
-func (instant) Close() {}
+func (immediateExchange) Close() {}
 
-// startAlone serves the callers' interface before an immediate node. The
-// returned function ends it.
-func (f *fleet) startAlone() (address string, stop func(), err error) {
+// startEntryOnly serves the callers' interface on an immediate node. The
+// returned function stops it.
+func (f *testbed) startEntryOnly() (address string, stop func(), err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, Error.Wrap(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	server := entry.NewFor(immediate{engine: f.engine}, keySecret)
+	server := entry.NewFor(immediateNode{engine: f.engine}, keySecret)
 	go func() {
 		_ = server.Serve(ctx, l)
 		close(done)
--- a/internal/measure/overhead/hangup.go
+++ b/internal/measure/overhead/hangup.go
@@ -13,27 +13,27 @@
 	"gentiancroft/internal/standin"
 )
 
-// reports is how many events of the engine may wait to be read.
-const reports = 1024
+// eventBuffer is the buffer size of each channel of an endless engine.
+const eventBuffer = 1024
 
-// endless is an engine whose answers never end by themselves. It reports when
-// a request begins and when it is cancelled.
-type endless struct {
+// endlessEngine is an engine whose answers end only when the request is
+// cancelled. It signals the start and the cancellation of each request.
+type endlessEngine struct {
 	inner     http.Handler
-	began     chan struct{}
+	started   chan struct{}
 	cancelled chan time.Time
 }
 
-func newEndless() *endless {
+func newEndless() *endlessEngine {
 	engine := standin.NewEngine(standin.EngineSettings{Name: "endless"})
-	return &endless{inner: engine.Handler(), began: make(chan struct{}, reports), cancelled: make(chan time.Time, reports)}
+	return &endlessEngine{inner: engine.Handler(), started: make(chan struct{}, eventBuffer), cancelled: make(chan time.Time, eventBuffer)}
 }
 
-// prefillMarker in a prompt keeps the engine from sending a first token.
+// prefillMarker in a prompt makes the engine send no token at all.
 const prefillMarker = "long prefill"
 
 // ServeHTTP implements http.Handler.
-func (e *endless) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *endlessEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !strings.HasSuffix(r.URL.Path, "/completions") {
 		e.inner.ServeHTTP(w, r)
 		return
@@ -47,43 +47,46 @@
 		fmt.Fprint(w, "data: {\"choices\":[{\"text\":\"a\"}]}\n\n")
 		w.(http.Flusher).Flush()
 	}
-	e.began <- struct{}{}
+	e.started <- struct{}{}
 	<-r.Context().Done()
 	e.cancelled <- time.Now()
 }
 
-// hangUps measures from a caller's close to the engine's notice of it.
-func hangUps(f *fleet, s sizes) ([]measure.Table, []measure.Target, error) {
-	f.endless.settle()
+// measureHangUps measures the time from a caller's hang-up until the engine
+// sees the cancellation.
+func measureHangUps(f *testbed, s sizes) ([]measure.Table, []measure.Target, error) {
+	f.endless.drainSignals()
 	table := measure.Table{
 		Title:   "from a caller's hang-up to the cancel seen by the engine",
 		Columns: []string{"p50 µs", "p99 µs"},
 	}
 	for _, phase := range []struct{ name, prompt string }{{"during prefill", prefillMarker}, {"mid-stream", "level"}} {
-		var took []time.Duration
+		var delays []time.Duration
 		for range s.hangUps {
 			d, err := f.hangUp(phase.prompt)
 			if err != nil {
 				return nil, nil, err
 			}
-			took = append(took, d)
+			delays = append(delays, d)
 		}
 		self := func(d time.Duration) time.Duration { return d }
-		table.Rows = append(table.Rows, measure.Row{Label: phase.name, Values: []float64{quantile(took, 0.50, self), quantile(took, 0.99, self)}})
+		table.Rows = append(table.Rows, measure.Row{Label: phase.name, Values: []float64{quantile(delays, 0.50, self), quantile(delays, 0.99, self)}})
 	}
 	return []measure.Table{table}, nil, nil
 }
 
-// settle forgets the requests of the warming up.
-func (e *endless) settle() {
-	for len(e.began) > 0 {
-		<-e.began
+// drainSignals drains the signals of the warm-up requests.
+func (e *endlessEngine) drainSignals() {
+	for len(e.started) > 0 {
+		<-e.started
 		<-e.cancelled
 	}
 }
 
-func (f *fleet) hangUp(prompt string) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), readyTime)
+// hangUp starts a request, hangs up once the engine runs it, and returns the
+// time until the engine sees the cancellation.
+func (f *testbed) hangUp(prompt string) (time.Duration, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	c, err := net.Dial("tcp", f.host)
 	if err != nil {
@@ -100,7 +103,7 @@
 		}
 	}
 	select {
-	case <-f.endless.began:
+	case <-f.endless.started:
 	case <-ctx.Done():
 		return 0, Error.New("the engine did not see the request")
 	}
--- a/internal/measure/overhead/links.go
+++ b/internal/measure/overhead/links.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	linkPeers   = 40    // hosts that one host is linked with
-	linkPayload = 200   // bytes, about a ticket with its envelope
-	linkBatch   = 20000 // payloads
-	linkWindow  = 200   // payloads under way at once, so that no ring overflows
-	linkWait    = 10 * time.Second
+	linkedHosts         = 40    // hosts linked with the first one
+	payloadBytes        = 200   // about a ticket with its envelope
+	payloadCount        = 20000 // sent from one host to another
+	maxPayloadsInFlight = 200   // so that no ring overflows
+	payloadTimeout      = 10 * time.Second
 )
 
-// linkHost is one host's links and a signal for each payload that came.
+// linkHost is one host's links and a signal for each received payload.
 type linkHost struct {
 	*peer.Links
-	id   core.HostID
-	came chan struct{}
+	id       core.HostID
+	received chan struct{}
 }
 
-// links measures what links cost: memory of an idle pair, and the time of a
-// payload between two hosts, both ends included.
-func links(_ *fleet, s sizes) ([]measure.Table, []measure.Target, error) {
+// measureLinks measures the memory and goroutines of an idle link, and the time
+// of a payload between two hosts, both ends included.
+func measureLinks(_ *testbed, s sizes) ([]measure.Table, []measure.Target, error) {
 	authority, err := peer.NewAuthority("overhead", time.Hour)
 	if err != nil {
 		return nil, nil, err
@@ -53,24 +53,24 @@
 			_ = h.Serve(ctx)
 		}()
 	}
-	before, goroutines := inUse()
+	bytesBefore, goroutinesBefore := memoryInUse()
 	for _, h := range hosts[1:] {
-		if err := exchange(hosts[0], h); err != nil {
+		if err := exchangePayloads(hosts[0], h); err != nil {
 			return nil, nil, err
 		}
 	}
-	after, more := inUse()
-	took, err := throughput(hosts[0], hosts[1], s.payloads)
+	bytesAfter, goroutinesAfter := memoryInUse()
+	took, err := sendPayloads(hosts[0], hosts[1], s.payloads)
 	if err != nil {
 		return nil, nil, err
 	}
 	ends := float64(2 * s.peers) // both ends of a pair are in this process
 	table := measure.Table{
-		Title:   fmt.Sprintf("host links: %d peers, both directions, payloads of %d bytes", s.peers, linkPayload),
+		Title:   fmt.Sprintf("host links: %d peers, both directions, payloads of %d bytes", s.peers, payloadBytes),
 		Columns: []string{"per end of a pair"},
 		Rows: []measure.Row{
-			{Label: "memory KB", Values: []float64{float64(after-before) / ends / 1024}},
-			{Label: "goroutines", Values: []float64{float64(more-goroutines) / ends}},
+			{Label: "memory KB", Values: []float64{float64(bytesAfter-bytesBefore) / ends / 1024}},
+			{Label: "goroutines", Values: []float64{float64(goroutinesAfter-goroutinesBefore) / ends}},
 			{Label: "µs a payload, both ends", Values: []float64{float64(took.Nanoseconds()) / 1000 / float64(s.payloads)}},
 		},
 	}
@@ -82,56 +82,59 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &linkHost{id: core.HostID(name), came: make(chan struct{}, linkBatch)}
+	h := &linkHost{id: core.HostID(name), received: make(chan struct{}, payloadCount)}
 	h.Links, err = peer.New(peer.Settings{
 		Self: h.id, Listen: "127.0.0.1:0", Material: material, Registry: metrics.NewRegistry(),
 	}, func(core.HostID, []byte) {
-		h.came <- struct{}{}
+		h.received <- struct{}{}
 	})
 	return h, err
 }
 
-// exchange sends one payload each way, so that both links stand.
-func exchange(a, b *linkHost) error {
-	payload := make([]byte, linkPayload)
+// exchangePayloads sends one payload each way, which opens both links.
+func exchangePayloads(a, b *linkHost) error {
+	payload := make([]byte, payloadBytes)
 	a.Send(b.id, b.Address(), payload)
-	came := arrives(b)
+	ok := awaitPayload(b)
 	b.Send(a.id, a.Address(), payload)
-	if !came || !arrives(a) {
+	if !ok || !awaitPayload(a) {
 		return Error.New("a payload between two hosts did not arrive")
 	}
 	return nil
 }
 
-func arrives(h *linkHost) bool {
-	t := time.NewTimer(linkWait)
+// awaitPayload waits for a payload and reports whether one came in time.
+func awaitPayload(h *linkHost) bool {
+	t := time.NewTimer(payloadTimeout)
 	defer t.Stop()
 	select {
-	case <-h.came:
+	case <-h.received:
 		return true
 	case <-t.C:
 		return false
 	}
 }
 
-func throughput(a, b *linkHost, payloads int) (time.Duration, error) {
-	payload := make([]byte, linkPayload)
+// sendPayloads returns the time that a number of payloads takes from a to b.
+func sendPayloads(a, b *linkHost, payloads int) (time.Duration, error) {
+	payload := make([]byte, payloadBytes)
 	to := b.id
 	started := time.Now()
-	for sent, come := 0, 0; come < payloads; come++ {
-		for sent < payloads && sent-come < linkWindow {
+	for sent, received := 0, 0; received < payloads; received++ {
+		for sent < payloads && sent-received < maxPayloadsInFlight {
 			a.Send(to, b.Address(), payload)
 			sent++
 		}
-		if !arrives(b) {
+		if !awaitPayload(b) {
 			return 0, Error.New("payloads between two hosts were lost")
 		}
 	}
 	return time.Since(started), nil
 }
 
-// inUse is the memory in use after a collection, in bytes, and the goroutines.
-func inUse() (int64, int) {
+// memoryInUse returns the bytes in use after garbage collection and the number
+// of goroutines.
+func memoryInUse() (int64, int) {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/measure/overhead/overhead.go
+++ b/internal/measure/overhead/overhead.go
@@ -1,6 +1,7 @@
-// Package overhead measures what one entry host adds to a request. Unlike the
-// other measurements it runs in real time over loopback, with caller, host and
-// engine in one process, so its figures vary from run to run.
+// Package overhead measures the latency, allocations and memory that one entry
+// host adds to a request. Unlike the other measurements it runs in real time
+// over loopback, with caller, host and engine in one process, so its figures
+// vary from run to run and only throughput has a target.
 package overhead
 
 import (
@@ -19,33 +20,34 @@
 	"gentiancroft/internal/upstream"
 )
 
-// Error is the class of failures of this measurement.
+// Error is the class of errors of this measurement.
 var Error = errs.Class("measure overhead")
 
-// Measure is listed by the command line.
+// Measure is the measurement as the command line lists it.
 var Measure = measure.Measure{
 	Name:  "overhead",
 	Short: "What one entry host adds to a request (real time, over loopback)",
 	Run:   func(seed uint64) (measure.Report, error) { return run(seed, full) },
 }
 
-// sizes of a run.
+// sizes are the sample counts and durations of a run.
 type sizes struct {
-	pairs    int           // of a direct request and one through the host
-	hangUps  int           // callers that hang up in each phase
-	saturate time.Duration // of each closed loop
-	peers    int           // that one host is linked with
-	payloads int           // between two hosts
+	rounds       int           // rounds of one request to each endpoint
+	hangUps      int           // per phase of an answer
+	loopDuration time.Duration // length of each closed loop
+	peers        int           // hosts linked with the first one
+	payloads     int           // sent from one host to another
 }
 
-var full = sizes{pairs: 300, hangUps: 300, saturate: 4 * time.Second, peers: linkPeers, payloads: linkBatch}
+var full = sizes{rounds: 300, hangUps: 300, loopDuration: 4 * time.Second, peers: linkedHosts, payloads: payloadCount}
 
 const (
-	warmUps   = 20
-	tokens    = 16
-	readyTime = 20 * time.Second
-	// needed is the target's peak of 2,400 requests a second over 350 hosts.
-	needed = 2400.0 / 350
+	warmUpRounds = 20 // not measured
+	answerTokens = 16
+	readyTimeout = 20 * time.Second
+	// minAnswersPerSecond is one host's part of the target peak: 2,400
+	// requests/s over 350 hosts.
+	minAnswersPerSecond = 2400.0 / 350
 )
 
 func run(seed uint64, s sizes) (measure.Report, error) {
@@ -55,8 +57,8 @@
 		return report, err
 	}
 	defer f.stop()
-	for _, part := range []func(*fleet, sizes) ([]measure.Table, []measure.Target, error){streamed, hangUps, saturation, links} {
-		tables, targets, err := part(f, s)
+	for _, step := range []func(*testbed, sizes) ([]measure.Table, []measure.Target, error){measureStreaming, measureHangUps, measureSaturation, measureLinks} {
+		tables, targets, err := step(f, s)
 		if err != nil {
 			return report, err
 		}
@@ -66,13 +68,14 @@
 	return report, nil
 }
 
-// times of one streamed request.
-type times struct{ first, total time.Duration }
+// requestTimes are the latencies of one streamed request.
+type requestTimes struct{ first, total time.Duration }
 
-// streamed alternates between the engine itself, a bare relay of bytes, the
-// callers' interface alone and the whole host, so that all see the same machine.
-func streamed(f *fleet, s sizes) ([]measure.Table, []measure.Target, error) {
-	alone, stop, err := f.startAlone()
+// measureStreaming compares latencies of the engine itself, a byte relay, the
+// callers' interface alone and the whole host. It alternates between them, so
+// that changes of the machine's load affect all alike.
+func measureStreaming(f *testbed, s sizes) ([]measure.Table, []measure.Target, error) {
+	alone, stop, err := f.startEntryOnly()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -82,65 +85,65 @@
 		return nil, nil, err
 	}
 	defer bare.stop()
-	ways := []struct{ address, model string }{
+	endpoints := []struct{ address, model string }{
 		{f.engine, adapterName + "@1"}, {bare.address(), adapterName + "@1"}, {alone, adapterName}, {f.host, adapterName},
 	}
-	took := make([][]times, len(ways))
-	for i := range s.pairs + warmUps {
-		for w, way := range ways {
-			t, err := f.request(way.address, way.model)
+	latencies := make([][]requestTimes, len(endpoints))
+	for round := range s.rounds + warmUpRounds {
+		for n, endpoint := range endpoints {
+			t, err := f.request(endpoint.address, endpoint.model)
 			if err != nil {
 				return nil, nil, err
 			}
-			if i >= warmUps {
-				took[w] = append(took[w], t)
+			if round >= warmUpRounds {
+				latencies[n] = append(latencies[n], t)
 			}
 		}
 	}
-	return []measure.Table{compare(took)}, nil, nil
+	return []measure.Table{latencyTable(latencies)}, nil, nil
 }
 
-func compare(took [][]times) measure.Table {
+func latencyTable(latencies [][]requestTimes) measure.Table {
 	table := measure.Table{
 		Title:   "streamed request of 16 tokens, 1 ms to the first (cached prompt) and 1 ms between",
 		Columns: []string{"direct µs", "bare relay µs", "entry alone µs", "whole host µs", "added µs", "ratio"},
 	}
-	first := func(t times) time.Duration { return t.first }
-	total := func(t times) time.Duration { return t.total }
+	first := func(t requestTimes) time.Duration { return t.first }
+	total := func(t requestTimes) time.Duration { return t.total }
 	for _, q := range []struct {
 		name  string
 		at    float64
-		value func(times) time.Duration
+		value func(requestTimes) time.Duration
 	}{{"first token p50", 0.50, first}, {"first token p99", 0.99, first}, {"whole answer p50", 0.50, total}, {"whole answer p99", 0.99, total}} {
 		row := measure.Row{Label: q.name}
-		for _, way := range took {
-			row.Values = append(row.Values, quantile(way, q.at, q.value))
+		for _, endpoint := range latencies {
+			row.Values = append(row.Values, quantile(endpoint, q.at, q.value))
 		}
-		direct, host := row.Values[0], row.Values[len(took)-1]
+		direct, host := row.Values[0], row.Values[len(latencies)-1]
 		row.Values = append(row.Values, host-direct, host/direct)
 		table.Rows = append(table.Rows, row)
 	}
 	return table
 }
 
-// request makes one streamed request and times it.
-func (f *fleet) request(address, model string) (times, error) {
+// request sends one streamed request and measures its latencies.
+func (f *testbed) request(address, model string) (requestTimes, error) {
 	started := time.Now()
-	a, err := f.client.Do(context.Background(), call(address, model, tokens))
+	a, err := f.client.Do(context.Background(), completionCall(address, model, answerTokens))
 	if err != nil {
-		return times{}, Error.Wrap(err)
+		return requestTimes{}, Error.Wrap(err)
 	}
 	defer a.Close()
 	if a.Status != http.StatusOK {
 		body, _ := upstream.ReadWhole(a, upstream.MaxAnswer)
-		return times{}, Error.New("%s answered %d: %s", address, a.Status, body)
+		return requestTimes{}, Error.New("%s answered %d: %s", address, a.Status, body)
 	}
-	var t times
+	var t requestTimes
 	lines := bufio.NewReader(a.Body)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return times{}, Error.New("the answer of %s broke off: %w", address, err)
+			return requestTimes{}, Error.New("the answer of %s ended early: %w", address, err)
 		}
 		if t.first == 0 {
 			t.first = time.Since(started)
@@ -153,7 +156,7 @@
 	}
 }
 
-func call(address, model string, n int) upstream.Call {
+func completionCall(address, model string, n int) upstream.Call {
 	body, _ := json.Marshal(map[string]any{"model": model, "prompt": "level of the reservoir", "max_tokens": n, "stream": true})
 	return upstream.Call{
 		Address: address, Method: "POST", Path: "/v1/completions", Body: body,
@@ -161,7 +164,7 @@
 	}
 }
 
-// quantile is in microseconds.
+// quantile returns the quantile at (0 to 1) of the values, in microseconds.
 func quantile[T any](all []T, at float64, value func(T) time.Duration) float64 {
 	values := make([]time.Duration, 0, len(all))
 	for _, x := range all {
--- a/internal/measure/overhead/overhead_test.go
+++ b/internal/measure/overhead/overhead_test.go
@@ -9,9 +9,9 @@
 	"gentiancroft/internal/measure"
 )
 
-func TestReportIsWhole(t *testing.T) {
+func TestReportIsComplete(t *testing.T) {
 	is := is.New(t)
-	r, err := run(1, sizes{pairs: 10, hangUps: 10, saturate: 200 * time.Millisecond, peers: 2, payloads: 100})
+	r, err := run(1, sizes{rounds: 10, hangUps: 10, loopDuration: 200 * time.Millisecond, peers: 2, payloads: 100})
 	is.NoErr(err)
 	is.Equal(len(r.Tables), 4)
 	for _, table := range r.Tables {
--- a/internal/measure/overhead/relay.go
+++ b/internal/measure/overhead/relay.go
@@ -6,38 +6,38 @@
 	"sync"
 )
 
-// relay copies bytes between callers and one address and looks at none of
-// them: the least that any host in between can add.
-type relay struct {
+// byteRelay copies bytes between callers and one address without parsing them:
+// the minimum that any host in between adds.
+type byteRelay struct {
 	listener net.Listener
-	to       string
-	all      sync.WaitGroup
+	target   string
+	running  sync.WaitGroup
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-func startRelay(to string) (*relay, error) {
+func startRelay(to string) (*byteRelay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	r := &relay{listener: l, to: to}
-	r.all.Add(1)
+	r := &byteRelay{listener: l, target: to}
+	r.running.Add(1)
 	go r.accept()
 	return r, nil
 }
 
-func (r *relay) address() string { return r.listener.Addr().String() }
+func (r *byteRelay) address() string { return r.listener.Addr().String() }
 
-func (r *relay) accept() {
-	defer r.all.Done()
+func (r *byteRelay) accept() {
+	defer r.running.Done()
 	for {
 		caller, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		engine, err := net.Dial("tcp", r.to)
+		engine, err := net.Dial("tcp", r.target)
 		if err != nil {
 			_ = caller.Close()
 			continue
@@ -50,22 +50,22 @@
 	}
 }
 
-func (r *relay) copy(to, from net.Conn) {
-	r.all.Add(1)
+func (r *byteRelay) copy(to, from net.Conn) {
+	r.running.Add(1)
 	go func() {
-		defer r.all.Done()
+		defer r.running.Done()
 		_, _ = io.Copy(to, from)
 		_ = to.Close()
 	}()
 }
 
-// stop closes everything and waits for it.
-func (r *relay) stop() {
+// stop closes the listener and all connections and waits for the copying to end.
+func (r *byteRelay) stop() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	for _, c := range r.conns {
 		_ = c.Close()
 	}
 	r.mu.Unlock()
-	r.all.Wait()
+	r.running.Wait()
 }
--- a/internal/measure/overhead/fleet.go
+++ b/internal/measure/overhead/testbed.go
@@ -21,46 +21,46 @@
 )
 
 const (
-	adapterName = "bulletins"
-	callerKey   = "overhead-key"
-	places      = 256     // in the engines' batches
-	plenty      = 1 << 30 // tokens a second: the limit is not what is measured
+	adapterName   = "bulletins"
+	callerKey     = "overhead-key"
+	engineBatch   = 256     // requests that an engine runs at once
+	unlimitedRate = 1 << 30 // tokens per second: no request is rate limited
 )
 
 var keySecret = []byte("overhead-secret-of-the-deployment")
 
-// fleet is one host before a usual engine, one without any delay, and one that
-// never ends an answer.
-type fleet struct {
+// testbed is one host with three engines: a usual one, one without delays, and
+// one whose answers never end.
+type testbed struct {
 	client  *upstream.Client
 	host    string // ip:port
-	engine  string // the usual one
-	quick   string
-	endless *endless
+	engine  string // ip:port of the usual engine
+	quick   string // ip:port of the engine without delays
+	endless *endlessEngine
 	cancel  context.CancelFunc
 	done    chan error
 	servers []*http.Server
 	level   log.Level
 }
 
-// routes, one for each engine.
+// Paths of the routes, one for each engine.
 const (
 	pathUsual   = "/v1/completions"
 	pathQuick   = "/quick/completions"
 	pathEndless = "/endless/completions"
 )
 
-func start() (*fleet, error) {
-	f := &fleet{client: upstream.NewClient(nil, nil), endless: newEndless(), done: make(chan error, 1)}
-	quietLog(f)
-	usual := standin.NewEngine(standin.EngineSettings{Name: "usual", FirstToken: 5 * time.Millisecond, TokenTime: time.Millisecond, Batch: places})
-	quick := standin.NewEngine(standin.EngineSettings{Name: "quick", Batch: places})
+func start() (*testbed, error) {
+	f := &testbed{client: upstream.NewClient(nil, nil), endless: newEndless(), done: make(chan error, 1)}
+	disableLog(f)
+	usual := standin.NewEngine(standin.EngineSettings{Name: "usual", FirstToken: 5 * time.Millisecond, TokenTime: time.Millisecond, Batch: engineBatch})
+	quick := standin.NewEngine(standin.EngineSettings{Name: "quick", Batch: engineBatch})
 	store := platform.NewStore()
 	d := document()
 	for _, e := range []struct {
 		name, path string
 		handler    http.Handler
-	}{{"usual", pathUsual, usual.Handler()}, {"quick", pathQuick, rebased(quick.Handler())}, {"endless", pathEndless, f.endless}} {
+	}{{"usual", pathUsual, usual.Handler()}, {"quick", pathQuick, rewriteCompletionsPath(quick.Handler())}, {"endless", pathEndless, f.endless}} {
 		address, err := f.serve(e.handler)
 		if err != nil {
 			return nil, err
@@ -72,7 +72,7 @@
 			f.quick = address
 		}
 		d.Routes = append(d.Routes, config.Route{Path: e.path, Kind: config.RouteCompletions, Pool: e.name, Idempotent: true, Class: "interactive"})
-		d.Upstreams = append(d.Upstreams, config.Upstream{ID: core.UpstreamID(e.name), Kind: config.UpstreamEngine, Pool: e.name, Address: address, Domain: "a", Base: "base", Slots: 8, Batch: places})
+		d.Upstreams = append(d.Upstreams, config.Upstream{ID: core.UpstreamID(e.name), Kind: config.UpstreamEngine, Pool: e.name, Address: address, Domain: "a", Base: "base", Slots: 8, Batch: engineBatch})
 	}
 	if err := publish(store, d); err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 func document() *config.Document {
 	return &config.Document{
 		BaseModels: []config.BaseModel{{ID: "base"}},
-		Workspaces: []config.Workspace{{ID: "w", Rate: plenty, Burst: plenty, Weight: 1}},
+		Workspaces: []config.Workspace{{ID: "w", Rate: unlimitedRate, Burst: unlimitedRate, Weight: 1}},
 		Keys:       []config.Key{{ID: "k", Workspace: "w", Hash: config.HashKey(keySecret, callerKey)}},
 		Adapters:   []config.Adapter{{ID: adapterName, Base: "base", Versions: []int{1}, Default: 1}},
 	}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func (f *fleet) serve(h http.Handler) (string, error) {
+func (f *testbed) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", Error.Wrap(err)
@@ -121,7 +121,7 @@
 	return l.Addr().String(), nil
 }
 
-func (f *fleet) startHost(platformAddress string) error {
+func (f *testbed) startHost(platformAddress string) error {
 	authority, err := peer.NewAuthority("overhead", time.Hour)
 	if err != nil {
 		return err
@@ -141,21 +141,22 @@
 	f.cancel = cancel
 	f.host = h.Address
 	go func() { f.done <- h.Run(ctx) }()
-	return f.warm()
+	return f.waitReady()
 }
 
-// warm waits until the host serves each route with its adapter loaded, and
-// loads the adapter into the engine that is asked directly.
-func (f *fleet) warm() error {
-	end := time.Now().Add(readyTime)
+// waitReady waits until the host serves each route. Its requests load the
+// adapter into the engines, also for the requests that go to an engine
+// directly.
+func (f *testbed) waitReady() error {
+	end := time.Now().Add(readyTimeout)
 	for _, path := range []string{pathUsual, pathQuick, pathEndless} {
 		for {
-			err := f.try(path)
+			err := f.probe(path)
 			if err == nil {
 				break
 			}
 			if time.Now().After(end) {
-				return Error.New("the host did not get ready: %w", err)
+				return Error.New("the host is not ready in time: %w", err)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -163,8 +164,8 @@
 	return nil
 }
 
-func (f *fleet) try(path string) error {
-	c := call(f.host, adapterName, 1)
+func (f *testbed) probe(path string) error {
+	c := completionCall(f.host, adapterName, 1)
 	c.Path = path
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -184,7 +185,7 @@
 	return err
 }
 
-func (f *fleet) stop() {
+func (f *testbed) stop() {
 	f.cancel()
 	<-f.done
 	f.client.Close()
@@ -194,8 +195,9 @@
 	log.SetLevel(f.level)
 }
 
-// quietLog keeps request lines out of the report; writing them is not measured.
-func quietLog(f *fleet) {
+// disableLog disables logging: request lines would mix with the report, and
+// writing them is not measured.
+func disableLog(f *testbed) {
 	f.level = log.InfoLevel
 	if l, ok := log.Log.(*log.Logger); ok {
 		f.level = l.Level
@@ -203,8 +205,9 @@
 	log.SetLevel(log.FatalLevel)
 }
 
-// rebased serves /quick/completions as the engine's own path.
-func rebased(h http.Handler) http.Handler {
+// rewriteCompletionsPath rewrites the path of completion requests to the one
+// that the engine serves.
+func rewriteCompletionsPath(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/completions") {
 			r.URL.Path = pathUsual
