--- a/internal/measure/membership/baseline.go
+++ b/internal/measure/membership/baseline.go
@@ -6,52 +6,52 @@
 	"gentiancroft/internal/core"
 )
 
-// The two baselines are small models on the same latencies, sizes and slow
-// link; they pay for nothing but the changes themselves.
+// The two baselines are small models with the same latencies, sizes and slow
+// link. Their figures cover only the changes themselves, no other traffic.
 
-// headBytes is the size of a head that names every chunk.
+// headBytes is the size of a configuration head, which names every chunk.
 const headBytes = chunkCount*68 + 100
 
-// baseline is the fleet of a baseline: places only.
-type baseline struct {
-	f     *Fleet
-	hosts []*Host
-	bytes []int
-	link  []core.Instant // the slow host's link is busy until
-	p     *progress
-	out   forced
+// baselineFleet is a fleet of hosts without machines.
+type baselineFleet struct {
+	fleet         *Fleet
+	hosts         []*Host
+	bytes         []int          // received and sent, by host
+	linkBusyUntil []core.Instant // time until which a host's link is busy, used for the slow host
+	progress      *rolloutProgress
+	result        rollout
 }
 
-func newBaseline(seed uint64, n int) *baseline {
-	b := &baseline{f: NewFleet(seed), bytes: make([]int, n), link: make([]core.Instant, n)}
-	places := Places(domainsFor(n))
+func newBaseline(seed uint64, n int) *baselineFleet {
+	b := &baselineFleet{fleet: NewFleet(seed), bytes: make([]int, n), linkBusyUntil: make([]core.Instant, n)}
+	places := Places(domainCount(n))
 	for i := range n {
 		id := core.HostID(rune('a'+i%26)) + core.HostID(rune('0'+i/26%10)) + core.HostID(rune('0'+i/260))
 		b.hosts = append(b.hosts, &Host{Member: core.Member{Host: id, Domain: places[i%len(places)].Domain, Region: places[i%len(places)].Region}})
-		b.f.Order = append(b.f.Order, id)
+		b.fleet.Order = append(b.fleet.Order, id)
 	}
 	slow := b.hosts[n-1].Member.Host
-	b.p = &progress{accepted: map[uint64]core.Instant{}, reached: map[core.HostID]uint64{}, out: &b.out, slow: slow}
+	b.progress = &rolloutProgress{accepted: map[uint64]core.Instant{}, reached: map[core.HostID]uint64{}, result: &b.result, slow: slow}
 	return b
 }
 
-// transfer is how long a payload takes from one host to another (-1: the
-// store, in r1).
-func (b *baseline) transfer(from, to, size int) time.Duration {
+// transfer returns the time that a payload takes from one host (-1: from the
+// store, in region r1) to another, and counts its bytes.
+func (b *baselineFleet) transfer(from, to, size int) time.Duration {
 	h := b.hosts[to]
 	var d time.Duration
 	switch {
 	case from >= 0:
-		d = b.f.latency(b.hosts[from], h, size)
+		d = b.fleet.linkDelay(b.hosts[from], h, size)
 	case h.Member.Region == "r1":
-		d = storeServes
+		d = storeServiceTime
 	default:
-		d = storeServes + betweenRegion
+		d = storeServiceTime + crossRegionDelay
 	}
-	if h.Member.Host == b.p.slow {
-		took := time.Duration(size) * time.Second / slowBytes
-		b.link[to] = max(b.link[to], b.f.Now).Add(took)
-		d += b.link[to].Sub(b.f.Now)
+	if h.Member.Host == b.progress.slow {
+		took := time.Duration(size) * time.Second / slowLinkBytesPerSecond
+		b.linkBusyUntil[to] = max(b.linkBusyUntil[to], b.fleet.Now).Add(took)
+		d += b.linkBusyUntil[to].Sub(b.fleet.Now)
 	}
 	b.bytes[to] += size
 	if from >= 0 {
@@ -60,68 +60,68 @@
 	return d
 }
 
-func (b *baseline) finish(n int) forced {
-	b.f.Run(drainFor)
-	b.p.finish(b.f.Now, b.f.Order, changes)
-	total, most := 0, 0
+func (b *baselineFleet) finish(n int) rollout {
+	b.fleet.Run(rolloutTimeout)
+	b.progress.recordRemaining(b.fleet.Now, b.fleet.Order, changes)
+	total, busiest := 0, 0
 	for _, x := range b.bytes {
-		total, most = total+x, max(most, x)
+		total, busiest = total+x, max(busiest, x)
 	}
-	b.out.perHost, b.out.busiest = float64(total)/float64(n)/changes, float64(most)/changes
-	return b.out
+	b.result.bytesPerHost, b.result.maxBytesPerHost = float64(total)/float64(n)/changes, float64(busiest)/changes
+	return b.result
 }
 
-// eachWatching has every host watch the store and read what changed. The store
-// answers its stated rate of reads.
-func eachWatching(seed uint64, n int) forced {
+// runWatchingHosts models hosts that each watch the store and read the changes.
+// The store serves storeReads per second.
+func runWatchingHosts(seed uint64, n int) rollout {
 	b := newBaseline(seed, n)
-	var busy core.Instant
+	var storeBusyUntil core.Instant
 	calls := 0
 	for v := uint64(1); v <= changes; v++ {
-		b.p.accepted[v] = b.f.Now
+		b.progress.accepted[v] = b.fleet.Now
 		for i := range n {
-			calls += 2 // the watch's answer and the chunk
-			busy = max(busy, b.f.Now).Add(2 * storeAnswers)
-			wait := busy.Sub(b.f.Now)
+			calls += 2 // one for the watch, one for the chunk
+			storeBusyUntil = max(storeBusyUntil, b.fleet.Now).Add(2 * storeReadInterval)
+			wait := storeBusyUntil.Sub(b.fleet.Now)
 			d := b.transfer(-1, i, headBytes+chunkBytes)
 			id := b.hosts[i].Member.Host
-			b.f.After(wait+2*d, func() { b.p.reach(b.f.Now, id, v) })
+			b.fleet.After(wait+2*d, func() { b.progress.record(b.fleet.Now, id, v) })
 		}
-		b.f.Run(changeEvery)
+		b.fleet.Run(changeInterval)
 	}
-	b.out.calls = float64(calls) / (changes * changeEvery).Seconds()
+	b.result.callsPerSecond = float64(calls) / (changes * changeInterval).Seconds()
 	return b.finish(n)
 }
 
-// coupledRelay has hosts store and forward over a tree of the same fan-out.
-// A host takes the next change once all its children have taken the last one:
-// the back-pressure of bounded buffers.
-func coupledRelay(seed uint64, n int) forced {
+// runCoupledRelay models hosts that store and forward over a tree of the feed's
+// fan-out. A host receives the next change once all its children have passed on
+// the last one: the back-pressure of bounded buffers.
+func runCoupledRelay(seed uint64, n int) rollout {
 	b := newBaseline(seed, n)
 	const fanOut = 4
-	taken := make([]uint64, n)  // versions that a host has received
-	passed := make([]uint64, n) // versions that all its children have
-	var pass func(i int)
+	received := make([]uint64, n)  // latest version that a host has received
+	forwarded := make([]uint64, n) // latest version that all its children have forwarded
+	var forward func(i int)
 	receive := func(i int, v uint64) {
-		taken[i] = v
-		b.p.reach(b.f.Now, b.hosts[i].Member.Host, v)
-		pass(i)
+		received[i] = v
+		b.progress.record(b.fleet.Now, b.hosts[i].Member.Host, v)
+		forward(i)
 	}
-	var offered uint64
-	pass = func(i int) {
-		v := passed[i] + 1
-		if v > taken[i] {
+	var latest uint64 // latest version at the root
+	forward = func(i int) {
+		v := forwarded[i] + 1
+		if v > received[i] {
 			return
 		}
-		left := 0
+		pending := 0
 		done := func() {
-			left--
-			if left > 0 {
+			pending--
+			if pending > 0 {
 				return
 			}
-			passed[i] = v
-			if i == 0 && passed[0] < offered {
-				receive(0, passed[0]+1)
+			forwarded[i] = v
+			if i == 0 && forwarded[0] < latest {
+				receive(0, forwarded[0]+1)
 				return
 			}
 			if i > 0 {
@@ -129,36 +129,37 @@
 			}
 		}
 		for c := i*fanOut + 1; c <= i*fanOut+fanOut && c < n; c++ {
-			left++
-			b.f.After(b.transfer(i, c, headBytes+chunkBytes), func() {
+			pending++
+			b.fleet.After(b.transfer(i, c, headBytes+chunkBytes), func() {
 				receive(c, v)
-				b.ready(c, passed, v, done)
+				b.awaitForwarded(c, forwarded, v, done)
 			})
 		}
-		if left == 0 {
-			left = 1
+		if pending == 0 {
+			pending = 1
 			done()
 		}
 	}
 	for v := uint64(1); v <= changes; v++ {
-		b.p.accepted[v] = b.f.Now
-		offered = v
-		if passed[0] == v-1 && taken[0] == v-1 {
+		b.progress.accepted[v] = b.fleet.Now
+		latest = v
+		if forwarded[0] == v-1 && received[0] == v-1 {
 			receive(0, v)
 		}
-		b.f.Run(changeEvery)
+		b.fleet.Run(changeInterval)
 	}
 	const watchers = 1
-	b.out.calls = watchers * 2 / changeEvery.Seconds()
+	b.result.callsPerSecond = watchers * 2 / changeInterval.Seconds()
 	return b.finish(n)
 }
 
-// ready waits until a child has passed a version on and so takes the next.
-func (b *baseline) ready(c int, passed []uint64, v uint64, done func()) {
+// awaitForwarded calls done once a child has passed on a version, and so can
+// receive the next.
+func (b *baselineFleet) awaitForwarded(c int, forwarded []uint64, v uint64, done func()) {
 	const poll = 5 * time.Millisecond
-	if passed[c] >= v {
+	if forwarded[c] >= v {
 		done()
 		return
 	}
-	b.f.After(poll, func() { b.ready(c, passed, v, done) })
+	b.fleet.After(poll, func() { b.awaitForwarded(c, forwarded, v, done) })
 }
--- a/internal/measure/membership/bench_test.go
+++ b/internal/measure/membership/bench_test.go
@@ -9,23 +9,23 @@
 	"gentiancroft/internal/core/lease"
 )
 
-// The benchmarks drive one host of a settled fleet of 350 with one kind of
-// event and give nanoseconds and bytes per event for its role.
+// The benchmarks send one kind of event to one host, chosen by its role, of an
+// idle fleet of 350 and report nanoseconds and bytes per event.
 
-var settled *Fleet
+var idleFleet *Fleet
 
-func fleet350() *Fleet {
-	if settled == nil {
-		settled = NewFleet(1)
-		settled.Feeds = true
-		grow(settled, 350)
-		accept(settled, 1, chunkCount, chunkBytes)
-		settled.Run(10 * time.Second)
+func startIdleFleet() *Fleet {
+	if idleFleet == nil {
+		idleFleet = NewFleet(1)
+		idleFleet.Feeds = true
+		startHosts(idleFleet, 350)
+		writeConfig(idleFleet, 1, chunkCount, chunkBytes)
+		idleFleet.Run(10 * time.Second)
 	}
-	return settled
+	return idleFleet
 }
 
-func pick(f *Fleet, is func(h *Host) bool) *Host {
+func findHost(f *Fleet, is func(h *Host) bool) *Host {
 	for _, id := range f.Order {
 		if is(f.Hosts[id]) {
 			return f.Hosts[id]
@@ -35,8 +35,8 @@
 }
 
 func BenchmarkMemberTick(b *testing.B) {
-	f := fleet350()
-	h := pick(f, func(h *Host) bool { return !h.Lease.Polls() && !h.Feed.Watches() })
+	f := startIdleFleet()
+	h := findHost(f, func(h *Host) bool { return !h.Lease.Polls() && !h.Feed.Watches() })
 	now := h.Local(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -46,8 +46,8 @@
 }
 
 func BenchmarkLeaderHeartbeat(b *testing.B) {
-	f := fleet350()
-	h := pick(f, func(h *Host) bool { return h.Lease.Leads() })
+	f := startIdleFleet()
+	h := findHost(f, func(h *Host) bool { return h.Lease.Leads() })
 	now, seq := h.Local(f.Now), uint64(1<<40)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -57,9 +57,9 @@
 }
 
 func BenchmarkPollerReadsAllHeartbeats(b *testing.B) {
-	f := fleet350()
-	h := pick(f, func(h *Host) bool { return h.Lease.Polls() })
-	objects := f.Store.newer(lease.BeatsPrefix, 0)
+	f := startIdleFleet()
+	h := findHost(f, func(h *Host) bool { return h.Lease.Polls() })
+	objects := f.Store.changedSince(lease.BeatsPrefix, 0)
 	now := h.Local(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -73,8 +73,8 @@
 }
 
 func BenchmarkRelayValue(b *testing.B) {
-	f := fleet350()
-	h := pick(f, func(h *Host) bool { return !h.Feed.Watches() && h.Feed.Links() > 3 })
+	f := startIdleFleet()
+	h := findHost(f, func(h *Host) bool { return !h.Feed.Watches() && h.Feed.Links() > 3 })
 	if h == nil {
 		b.Skip("no relay")
 	}
@@ -91,10 +91,10 @@
 }
 
 func BenchmarkViewChange(b *testing.B) {
-	f := fleet350()
-	h := pick(f, func(h *Host) bool { return !h.Lease.Polls() })
+	f := startIdleFleet()
+	h := findHost(f, func(h *Host) bool { return !h.Lease.Polls() })
 	head, _ := lease.DecodeHead(h.Lease.Head())
-	h.Lease.SetShards(shardsOf(700))
+	h.Lease.SetShards(makeShards(700))
 	now := h.Local(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -107,9 +107,9 @@
 }
 
 func BenchmarkActing(b *testing.B) {
-	f := fleet350()
-	h := pick(f, func(h *Host) bool { return !h.Lease.Polls() })
-	shards := shardsOf(700)
+	f := startIdleFleet()
+	h := findHost(f, func(h *Host) bool { return !h.Lease.Polls() })
+	shards := makeShards(700)
 	h.Lease.SetShards(shards)
 	now := h.Local(f.Now)
 	b.ReportAllocs()
--- a/internal/measure/membership/events.go
+++ b/internal/measure/membership/events.go
@@ -7,12 +7,15 @@
 	"gentiancroft/internal/core"
 )
 
+// event is a function due at a real time; events at the same time run in the
+// order in which they were added.
 type event struct {
 	at  core.Instant
 	seq uint64
 	do  func()
 }
 
+// events is a heap, earliest first.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -34,7 +37,7 @@
 	heap.Push(&f.events, event{at: f.Now.Add(d), seq: f.seq, do: do})
 }
 
-// Run advances virtual time.
+// Run advances virtual time by d and runs the events due by then.
 func (f *Fleet) Run(d time.Duration) {
 	end := f.Now.Add(d)
 	for len(f.events) > 0 && f.events[0].at <= end {
--- a/internal/measure/membership/fleet.go
+++ b/internal/measure/membership/fleet.go
@@ -1,6 +1,8 @@
 // Package membership measures leases, ownership and the feed on fleets of
-// state machines in virtual time: object calls against hosts, detection and
-// takeover, moves, and the time until a configuration is in force everywhere.
+// state machines in virtual time: object calls by fleet size, time to detect a
+// crash and take over its shards, shards that change owner, and time until a
+// configuration is in force on all hosts. The fleet, with its fake links, clocks
+// and store, also serves the tests of the state machines.
 package membership
 
 import (
@@ -14,24 +16,25 @@
 	"gentiancroft/internal/core/lease"
 )
 
-// Durations of the fake network, one way, and of the fake store.
+// One-way delays of the fake network, times of the fake store, and frame size.
 const (
-	tickEvery     = 100 * time.Millisecond
-	inDomain      = 300 * time.Microsecond
-	inRegion      = 1500 * time.Microsecond
-	betweenRegion = 40 * time.Millisecond
-	storeServes   = 3 * time.Millisecond
-	watchTimeout  = 30 * time.Second
-	frameBytes    = 28 // headers of one datagram
+	tickInterval     = 100 * time.Millisecond
+	sameDomainDelay  = 300 * time.Microsecond
+	sameRegionDelay  = 1500 * time.Microsecond
+	crossRegionDelay = 40 * time.Millisecond
+	storeServiceTime = 3 * time.Millisecond
+	watchTimeout     = 30 * time.Second
+	headerBytes      = 28 // IP and UDP headers
 )
 
-// Place is where a host runs.
+// Place is the location of a host.
 type Place struct {
 	Region core.Region
 	Domain core.Domain
 }
 
-// Places spreads hosts over three regions with 3, 3 and 2 failure domains.
+// Places returns a number of failure domains: up to 3 in one region, up to 8 in
+// three regions with 3, 3 and 2 of them.
 func Places(domains int) []Place {
 	all := []Place{
 		{"r1", "r1-a"}, {"r2", "r2-a"}, {"r3", "r3-a"}, {"r1", "r1-b"},
@@ -57,29 +60,29 @@
 	Dead   bool
 	Paused bool
 
-	ppm     int64        // how fast its clock runs, millionths
-	offset  core.Instant // its clock at time 0
-	claimed []bool       // by shard, as last recorded
-	coupled uint64       // the view that the feed has
-	queue   []func()     // events held while it is paused
+	clockDriftPPM int64        // clock drift, parts per million
+	clockOffset   core.Instant // clock reading at time 0
+	mayAct        []bool       // whether it may act, by shard, as last recorded
+	feedView      uint64       // membership view last passed to the feed
+	delayed       []func()     // events delayed while it is paused
 
-	In, Out  int // bytes of host links
+	In, Out  int // bytes received and sent on host links
 	Store    int // bytes of object calls
-	Messages int
+	Messages int // sent
 	Steps    int
-	Given    func(lease.Change) []byte // state for a departing shard
-	Took     []lease.Change
+	Given    func(lease.Change) []byte // returns the state to hand off with a shard
+	Took     []lease.Change            // handoffs received
 }
 
-// Local is the host's clock at a real time.
+// Local returns the reading of the host's clock at a real time.
 func (h *Host) Local(real core.Instant) core.Instant {
-	return h.offset + real + core.Instant(int64(real)/1_000_000*h.ppm)
+	return h.clockOffset + real + core.Instant(int64(real)/1_000_000*h.clockDriftPPM)
 }
 
-// Real is the real time at which the host's clock shows an instant.
+// Real returns the real time at which the host's clock reads an instant.
 func (h *Host) Real(local core.Instant) core.Instant {
 	const million = 1_000_000
-	return core.Instant(float64(local-h.offset) / (1 + float64(h.ppm)/million))
+	return core.Instant(float64(local-h.clockOffset) / (1 + float64(h.clockDriftPPM)/million))
 }
 
 // Fleet is a set of hosts, links and a store in virtual time.
@@ -92,16 +95,16 @@
 	Trace *Trace
 
 	Shards  []core.Shard
-	Feeds   bool                                         // hosts have a feed too
-	Tune    func(*lease.Settings)                        // before a host is made
-	Fault   func(h *Host, c core.ObjectCall) Fault       // of an object call
-	Link    func(from, to *Host) (cut, twice bool)       // of a message
-	Delay   func(from, to *Host, size int) time.Duration // added to a message
-	Stepped func(h *Host)
-
-	events events
-	seq    uint64
-	made   int
+	Feeds   bool                                         // hosts run a feed machine too
+	Tune    func(*lease.Settings)                        // adjusts the settings of each new host
+	Fault   func(h *Host, c core.ObjectCall) Fault       // fault of an object call
+	Link    func(from, to *Host) (cut, twice bool)       // loss or duplication of a message
+	Delay   func(from, to *Host, size int) time.Duration // added to the delay of a message
+	Stepped func(h *Host)                                // called after each step of a host
+
+	events     events
+	seq        uint64
+	hostsAdded int
 }
 
 // NewFleet returns a fleet without hosts.
@@ -111,40 +114,40 @@
 	}
 }
 
-// Add starts a host. Each has a new identity.
+// Add starts a host under a new identity.
 func (f *Fleet) Add(p Place) *Host {
-	f.made++
-	id := core.HostID(fmt.Sprintf("h%04d-%06x", f.made, f.Rng.Uint64()&0xffffff))
+	f.hostsAdded++
+	id := core.HostID(fmt.Sprintf("h%04d-%06x", f.hostsAdded, f.Rng.Uint64()&0xffffff))
 	m := core.Member{
-		Host: id, Address: fmt.Sprintf("10.0.%d.%d:8080", f.made/250, f.made%250), Link: fmt.Sprintf("10.0.%d.%d:9090", f.made/250, f.made%250),
+		Host: id, Address: fmt.Sprintf("10.0.%d.%d:8080", f.hostsAdded/250, f.hostsAdded%250), Link: fmt.Sprintf("10.0.%d.%d:9090", f.hostsAdded/250, f.hostsAdded%250),
 		Domain: p.Domain, Region: p.Region,
 	}
 	s := lease.Settings{Self: m}
 	if f.Tune != nil {
 		f.Tune(&s)
 	}
-	h := &Host{Member: m, Lease: lease.New(s, core.NewRand(f.Rng.Uint64())), offset: core.Instant(f.Rng.Int64N(int64(time.Hour)))}
+	h := &Host{Member: m, Lease: lease.New(s, core.NewRand(f.Rng.Uint64())), clockOffset: core.Instant(f.Rng.Int64N(int64(time.Hour)))}
 	h.Lease.SetShards(f.Shards)
 	if f.Feeds {
 		h.Feed = feed.New(feed.Settings{Self: m}, core.NewRand(f.Rng.Uint64()))
 	}
 	f.Hosts[id] = h
 	f.Order = append(f.Order, id)
-	f.After(time.Duration(f.Rng.Int64N(int64(tickEvery))), func() { f.tick(h) })
+	f.After(time.Duration(f.Rng.Int64N(int64(tickInterval))), func() { f.tick(h) })
 	return h
 }
 
-// SetClock makes a host's clock run fast or slow. Call it before it runs.
-func (f *Fleet) SetClock(h *Host, ppm int64) { h.ppm = ppm }
+// SetClock sets the drift of a host's clock. Call it before the host runs.
+func (f *Fleet) SetClock(h *Host, ppm int64) { h.clockDriftPPM = ppm }
 
 func (f *Fleet) tick(h *Host) {
 	if h.Dead {
 		return
 	}
-	f.After(tickEvery, func() { f.tick(h) })
+	f.After(tickInterval, func() { f.tick(h) })
 	if !h.Paused {
 		f.step(h, func(now core.Instant) {
-			f.apply(h, h.Lease.Tick(now))
+			f.applyLease(h, h.Lease.Tick(now))
 			if h.Feed != nil {
 				f.Apply(h, h.Feed.Tick(now))
 			}
@@ -152,25 +155,26 @@
 	}
 }
 
-// deliver runs an event on a host, or keeps it while the host is paused.
+// deliver runs an event on a host, after its pause if it is paused. A dead host
+// drops the event.
 func (f *Fleet) deliver(h *Host, do func()) {
 	switch {
 	case h.Dead:
 	case h.Paused:
-		h.queue = append(h.queue, do)
+		h.delayed = append(h.delayed, do)
 	default:
 		do()
 	}
 }
 
-// Pause stops a host's process; what arrives meanwhile waits.
+// Pause stops a host's process; its events wait until Resume.
 func (f *Fleet) Pause(h *Host) { h.Paused = true }
 
-// Resume lets it go on.
+// Resume ends a pause and runs the delayed events.
 func (f *Fleet) Resume(h *Host) {
 	h.Paused = false
-	queue := h.queue
-	h.queue = nil
+	queue := h.delayed
+	h.delayed = nil
 	for _, do := range queue {
 		do()
 	}
@@ -182,148 +186,155 @@
 	f.Trace.Close(f.Now, h.Member.Host)
 }
 
-// Do runs something on a host's machine and carries out what it wants.
+// Do calls a function on a host's lease machine and carries out the effects.
 func (f *Fleet) Do(h *Host, do func(now core.Instant) lease.Output) {
-	f.step(h, func(now core.Instant) { f.apply(h, do(now)) })
+	f.step(h, func(now core.Instant) { f.applyLease(h, do(now)) })
 }
 
+// step runs an event on a host and then applies and records what it changed.
 func (f *Fleet) step(h *Host, do func(now core.Instant)) {
 	h.Steps++
 	do(h.Local(f.Now))
 	if h.Feed != nil {
-		f.couple(h)
+		f.connectFeed(h)
 	}
-	f.changes(h)
-	f.claims(h)
+	f.applyChanges(h)
+	f.recordClaims(h)
 	if f.Stepped != nil {
 		f.Stepped(h)
 	}
 }
 
-// changes hands over what departs, as a node would.
-func (f *Fleet) changes(h *Host) {
+// applyChanges hands off the shards that must leave the host and keeps the
+// received handoffs, as a node does.
+func (f *Fleet) applyChanges(h *Host) {
 	for _, c := range h.Lease.Changes() {
 		switch c.Kind {
 		case lease.Departing:
-			f.claims(h)
+			f.recordClaims(h)
 			var state []byte
 			if h.Given != nil {
 				state = h.Given(c)
 			}
-			f.apply(h, h.Lease.HandOver(h.Local(f.Now), c.Shard, state))
+			f.applyLease(h, h.Lease.HandOver(h.Local(f.Now), c.Shard, state))
 		case lease.State:
 			h.Took = append(h.Took, c)
 		}
 	}
 }
 
-// claims records what the host may act on from now on, in real time.
-func (f *Fleet) claims(h *Host) {
+// recordClaims records in the trace, in real time, the shards that the host may
+// act on.
+func (f *Fleet) recordClaims(h *Host) {
 	now := h.Local(f.Now)
-	if h.claimed == nil {
-		h.claimed = make([]bool, len(f.Shards))
+	if h.mayAct == nil {
+		h.mayAct = make([]bool, len(f.Shards))
 	}
 	for i, s := range f.Shards {
 		g, ok := h.Lease.Acting(now, s)
 		if ok {
 			f.Trace.Claim(f.Now, h.Member.Host, s, g.Fence, h.Real(g.Until))
-		} else if h.claimed[i] {
+		} else if h.mayAct[i] {
 			f.Trace.Drop(f.Now, h.Member.Host, s)
 		}
-		h.claimed[i] = ok
+		h.mayAct[i] = ok
 	}
 }
 
-func (f *Fleet) apply(h *Host, out lease.Output) {
+// applyLease carries out the effects of a lease machine.
+func (f *Fleet) applyLease(h *Host, out lease.Output) {
 	for _, c := range out.Calls {
-		f.object(h, c, func(now core.Instant, r core.ObjectResult) { f.apply(h, h.Lease.Object(now, r)) })
+		f.callStore(h, c, func(now core.Instant, r core.ObjectResult) { f.applyLease(h, h.Lease.Object(now, r)) })
 	}
 	for i := range out.Sends {
 		f.send(h, out.Sends[i].To, Packet{Lease: &out.Sends[i].Message})
 	}
 }
 
-// Apply carries out what a feed machine wants.
+// Apply carries out the effects of a feed machine.
 func (f *Fleet) Apply(h *Host, out feed.Output) {
 	for _, c := range out.Calls {
-		f.object(h, c, func(now core.Instant, r core.ObjectResult) { f.Apply(h, h.Feed.Object(now, r)) })
+		f.callStore(h, c, func(now core.Instant, r core.ObjectResult) { f.Apply(h, h.Feed.Object(now, r)) })
 	}
 	for i := range out.Sends {
 		f.send(h, out.Sends[i].To, Packet{Feed: &out.Sends[i].Message})
 	}
 }
 
-// headKey is the membership head in the feed.
+// headKey is the key of the membership head in the feed.
 var headKey = feed.Key{Topic: feed.TopicMembers, Name: "head"}
 
-// couple joins a host's two machines as a node does: the feed follows the
-// membership, and carries its head.
-func (f *Fleet) couple(h *Host) {
+// connectFeed connects a host's two machines as a node does: the feed uses the
+// current members and distributes the membership head, and the lease machine
+// applies the heads that the feed receives.
+func (f *Fleet) connectFeed(h *Host) {
 	now := h.Local(f.Now)
 	for _, e := range h.Feed.Changed() {
 		if e.Key == headKey {
-			f.apply(h, h.Lease.Learn(now, e.Value, 0))
+			f.applyLease(h, h.Lease.Learn(now, e.Value, 0))
 		}
 	}
-	if h.coupled == h.Lease.View() || !h.Lease.Joined() {
+	if h.feedView == h.Lease.View() || !h.Lease.Joined() {
 		return
 	}
-	h.coupled = h.Lease.View()
-	h.Feed.SetMembers(now, h.coupled, h.Lease.Members())
-	out, err := h.Feed.Set(now, headKey, feed.Stamp{Seq: h.coupled}, h.Lease.Head())
+	h.feedView = h.Lease.View()
+	h.Feed.SetMembers(now, h.feedView, h.Lease.Members())
+	out, err := h.Feed.Set(now, headKey, feed.Stamp{Seq: h.feedView}, h.Lease.Head())
 	if err == nil {
 		f.Apply(h, out)
 	}
 }
 
-// send carries a message over a link.
+// send delivers a message after the link's delay, unless the link is cut.
 func (f *Fleet) send(h *Host, to core.HostID, p Packet) {
-	t := f.Hosts[to]
-	if t == nil {
+	target := f.Hosts[to]
+	if target == nil {
 		return
 	}
 	b, err := cbor.Marshal(p)
 	if err != nil {
 		return
 	}
-	n := len(b) + frameBytes
-	h.Out += n
+	bytes := len(b) + headerBytes
+	h.Out += bytes
 	h.Messages++
 	cut, twice := false, false
 	if f.Link != nil {
-		cut, twice = f.Link(h, t)
+		cut, twice = f.Link(h, target)
 	}
-	if cut || t.Dead {
+	if cut || target.Dead {
 		return
 	}
 	arrive := func() {
-		f.deliver(t, func() {
-			t.In += n
-			f.step(t, func(now core.Instant) { f.receive(t, now, h.Member.Host, p) })
+		f.deliver(target, func() {
+			target.In += bytes
+			f.step(target, func(now core.Instant) { f.receive(target, now, h.Member.Host, p) })
 		})
 	}
-	f.After(f.latency(h, t, n), arrive)
+	f.After(f.linkDelay(h, target, bytes), arrive)
 	if twice {
-		f.After(f.latency(h, t, n)*3, arrive)
+		f.After(f.linkDelay(h, target, bytes)*3, arrive)
 	}
 }
 
 func (f *Fleet) receive(t *Host, now core.Instant, from core.HostID, p Packet) {
 	if p.Lease != nil {
-		f.apply(t, t.Lease.Peer(now, from, *p.Lease))
+		f.applyLease(t, t.Lease.Peer(now, from, *p.Lease))
 	}
 	if p.Feed != nil {
 		f.Apply(t, t.Feed.Peer(now, from, *p.Feed))
 	}
 }
 
-func (f *Fleet) latency(a, b *Host, size int) time.Duration {
-	d := inDomain
+// linkDelay returns the delay of a message between two hosts, with up to half of
+// it added at random.
+func (f *Fleet) linkDelay(a, b *Host, size int) time.Duration {
+	d := sameDomainDelay
 	switch {
 	case a.Member.Region != b.Member.Region:
-		d = betweenRegion
+		d = crossRegionDelay
 	case a.Member.Domain != b.Member.Domain:
-		d = inRegion
+		d = sameRegionDelay
 	}
 	d += time.Duration(f.Rng.Int64N(int64(d) / 2))
 	if f.Delay != nil {
@@ -332,21 +343,22 @@
 	return d
 }
 
-// object carries a call to the store, which is in region r1, and back.
-func (f *Fleet) object(h *Host, c core.ObjectCall, done func(core.Instant, core.ObjectResult)) {
+// callStore sends a call to the store, which is in region r1, and delivers the
+// result.
+func (f *Fleet) callStore(h *Host, c core.ObjectCall, done func(core.Instant, core.ObjectResult)) {
 	var fault Fault
 	if f.Fault != nil {
 		fault = f.Fault(h, c)
 	}
-	way := storeServes / 2
+	oneWay := storeServiceTime / 2
 	if h.Member.Region != "r1" {
-		way += betweenRegion
+		oneWay += crossRegionDelay
 	}
 	answer := func(r core.ObjectResult) {
 		r.Tag = c.Tag
-		f.After(way, func() {
+		f.After(oneWay, func() {
 			f.deliver(h, func() {
-				h.Store += size(c, r) + frameBytes
+				h.Store += payloadBytes(c, r) + headerBytes
 				f.step(h, func(now core.Instant) { done(now, r) })
 			})
 		})
@@ -356,7 +368,7 @@
 		answer(core.ObjectResult{Status: core.ObjectUnavailable})
 		return
 	}
-	f.After(way+fault.Delay, func() {
+	f.After(oneWay+fault.Delay, func() {
 		w := f.Store.Do(c, fault.Stale, func(r core.ObjectResult) {
 			if fault.Lose {
 				r = core.ObjectResult{Status: core.ObjectUnknown}
@@ -364,7 +376,7 @@
 			answer(r)
 		})
 		if w != nil {
-			f.After(watchTimeout, func() { f.Store.expire(w) })
+			f.After(watchTimeout, func() { f.Store.expireWatch(w) })
 		}
 	})
 }
--- a/internal/measure/membership/measure.go
+++ b/internal/measure/membership/measure.go
@@ -8,7 +8,7 @@
 	"gentiancroft/internal/measure"
 )
 
-// Measure is the measurement of membership, ownership and the feed.
+// Measure is the measurement as the command line lists it.
 var Measure = measure.Measure{
 	Name:  "membership",
 	Short: "object calls, takeover, moves and the time until a configuration is in force",
@@ -16,10 +16,10 @@
 }
 
 func run(seed uint64) (measure.Report, error) {
-	const garbage = 400 // percent; fleets are short-lived
-	defer debug.SetGCPercent(debug.SetGCPercent(garbage))
+	const gcPercent = 400 // fleets are short-lived: fewer collections
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	report := measure.Report{Name: "membership", Seed: seed}
-	steps := []func(uint64) (measure.Table, []measure.Target, error){calls, takeover, moves, force}
+	steps := []func(uint64) (measure.Table, []measure.Target, error){measureCalls, measureTakeover, measureMoves, measureRollout}
 	for _, step := range steps {
 		table, targets, err := step(seed)
 		if err != nil {
@@ -31,7 +31,8 @@
 	return report, nil
 }
 
-// quantile returns the q-th part of sorted-in-place durations, in seconds.
+// quantile sorts the durations in place and returns the quantile q (0 to 1) in
+// seconds; 0 if there are none.
 func quantile(d []time.Duration, q float64) float64 {
 	if len(d) == 0 {
 		return 0
@@ -40,8 +41,8 @@
 	return d[min(int(q*float64(len(d))), len(d)-1)].Seconds()
 }
 
-// domainsFor is how many failure domains a fleet of n hosts is spread over.
-func domainsFor(n int) int {
+// domainCount returns the number of failure domains of a fleet of n hosts.
+func domainCount(n int) int {
 	const small = 3
 	if n <= 30 {
 		return small
@@ -49,14 +50,15 @@
 	return 8
 }
 
-// grow starts n hosts over a while and lets them settle.
-func grow(f *Fleet, n int) []*Host {
-	const apart = 15 * time.Millisecond
-	places := Places(domainsFor(n))
+// startHosts starts n hosts one after the other and runs until the fleet is
+// stable.
+func startHosts(f *Fleet, n int) []*Host {
+	const startInterval = 15 * time.Millisecond
+	places := Places(domainCount(n))
 	var hosts []*Host
 	for i := range n {
 		hosts = append(hosts, f.Add(places[i%len(places)]))
-		f.Run(apart)
+		f.Run(startInterval)
 	}
 	f.Run(20 * time.Second)
 	return hosts
--- a/internal/measure/membership/store.go
+++ b/internal/measure/membership/store.go
@@ -9,27 +9,28 @@
 	"gentiancroft/internal/core"
 )
 
-// Fault is what goes wrong with one object call.
+// Fault is the fault injected into one object call.
 type Fault struct {
-	Drop  bool          // it never reaches the store
-	Lose  bool          // it takes effect, its answer is lost
-	Stale bool          // a read answers from the past
-	Delay time.Duration // added before it takes effect
+	Drop  bool          // the call does not reach the store
+	Lose  bool          // the call takes effect, its answer is lost
+	Stale bool          // a read returns the value before the latest write
+	Delay time.Duration // added before the call takes effect
 }
 
 // Store is a fake of the platform's object API in virtual time.
 type Store struct {
-	objects map[string]core.Object
-	past    map[string]core.Object // each key's value before its latest write
-	version uint64
-	waiting []*waiter
+	objects  map[string]core.Object
+	previous map[string]core.Object // each key's value before its latest write
+	version  uint64
+	watches  []*watch
 
-	Calls  map[core.ObjectOp]int
-	Bytes  int
-	Writes int // calls that wrote
+	Calls  map[core.ObjectOp]int // by kind
+	Bytes  int                   // unused
+	Writes int                   // successful writes
 }
 
-type waiter struct {
+// watch is a pending watch.
+type watch struct {
 	prefix string
 	after  uint64
 	answer func(core.ObjectResult)
@@ -38,10 +39,10 @@
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{objects: map[string]core.Object{}, past: map[string]core.Object{}, Calls: map[core.ObjectOp]int{}}
+	return &Store{objects: map[string]core.Object{}, previous: map[string]core.Object{}, Calls: map[core.ObjectOp]int{}}
 }
 
-// Total is the number of calls so far, a waiting watch as one.
+// Total returns the number of calls so far, each watch counted once.
 func (s *Store) Total() int {
 	total := 0
 	for _, n := range s.Calls {
@@ -50,39 +51,41 @@
 	return total
 }
 
-// Put writes a value from outside the fleet, such as an operator's.
-func (s *Store) Put(key string, value []byte) { s.put(key, value) }
+// Put writes a value from outside the fleet, as an operator does.
+func (s *Store) Put(key string, value []byte) { s.write(key, value) }
 
-func (s *Store) put(key string, value []byte) core.Object {
+func (s *Store) write(key string, value []byte) core.Object {
 	s.version++
 	if old, ok := s.objects[key]; ok {
-		s.past[key] = old
+		s.previous[key] = old
 	}
 	o := core.Object{Key: key, Value: value, Version: s.version}
 	s.objects[key] = o
 	s.Writes++
-	s.wake(key)
+	s.notifyWatches(key)
 	return o
 }
 
-func (s *Store) wake(key string) {
-	waiting := s.waiting
-	s.waiting = nil
+// notifyWatches answers the pending watches that a key matches.
+func (s *Store) notifyWatches(key string) {
+	waiting := s.watches
+	s.watches = nil
 	for _, w := range waiting {
 		if w.done {
 			continue
 		}
 		if !strings.HasPrefix(key, w.prefix) {
-			s.waiting = append(s.waiting, w)
+			s.watches = append(s.watches, w)
 			continue
 		}
 		w.done = true
-		w.answer(core.ObjectResult{Status: core.ObjectOK, Objects: s.newer(w.prefix, w.after), Version: s.version})
+		w.answer(core.ObjectResult{Status: core.ObjectOK, Objects: s.changedSince(w.prefix, w.after), Version: s.version})
 	}
 }
 
-// newer lists the objects under a prefix with later versions, sorted by key.
-func (s *Store) newer(prefix string, after uint64) []core.Object {
+// changedSince returns the objects under a prefix with versions above after,
+// sorted by key.
+func (s *Store) changedSince(prefix string, after uint64) []core.Object {
 	var found []core.Object
 	for k, o := range s.objects {
 		if strings.HasPrefix(k, prefix) && o.Version > after {
@@ -93,12 +96,13 @@
 	return found
 }
 
-// Do applies a call. A watch may answer later.
-func (s *Store) Do(c core.ObjectCall, stale bool, answer func(core.ObjectResult)) *waiter {
+// Do applies a call and passes the result to answer. A watch without changes is
+// returned: it answers on a change or when it expires.
+func (s *Store) Do(c core.ObjectCall, stale bool, answer func(core.ObjectResult)) *watch {
 	s.Calls[c.Op]++
 	r := core.ObjectResult{Status: core.ObjectOK}
 	old, found := s.objects[c.Key]
-	if p, ok := s.past[c.Key]; stale && ok {
+	if p, ok := s.previous[c.Key]; stale && ok {
 		old = p
 	}
 	switch c.Op {
@@ -112,7 +116,7 @@
 			r.Status = core.ObjectConflict
 			break
 		}
-		r.Object = s.put(c.Key, c.Value)
+		r.Object = s.write(c.Key, c.Value)
 	case core.ObjectUpdate:
 		switch {
 		case !found:
@@ -120,48 +124,48 @@
 		case s.objects[c.Key].Version != c.IfVersion:
 			r.Status = core.ObjectConflict
 		default:
-			r.Object = s.put(c.Key, c.Value)
+			r.Object = s.write(c.Key, c.Value)
 		}
 	case core.ObjectDelete:
 		delete(s.objects, c.Key)
 	case core.ObjectList:
-		r.Objects = s.newer(c.Key, 0)
+		r.Objects = s.changedSince(c.Key, 0)
 		if stale {
 			for i := range r.Objects {
-				if p, ok := s.past[r.Objects[i].Key]; ok {
+				if p, ok := s.previous[r.Objects[i].Key]; ok {
 					r.Objects[i] = p
 				}
 			}
 		}
 		r.Version = s.version
 	case core.ObjectWatch:
-		if found := s.newer(c.Key, c.IfVersion); len(found) > 0 {
+		if found := s.changedSince(c.Key, c.IfVersion); len(found) > 0 {
 			r.Objects, r.Version = found, s.version
 			break
 		}
-		w := &waiter{prefix: c.Key, after: c.IfVersion, answer: answer}
-		s.waiting = append(s.waiting, w)
+		w := &watch{prefix: c.Key, after: c.IfVersion, answer: answer}
+		s.watches = append(s.watches, w)
 		return w
 	}
 	answer(r)
 	return nil
 }
 
-// expire ends a watch at its time-out.
-func (s *Store) expire(w *waiter) {
+// expireWatch answers a pending watch without changes: its timeout has passed.
+func (s *Store) expireWatch(w *watch) {
 	if w.done {
 		return
 	}
 	w.done = true
-	s.waiting = slices.DeleteFunc(s.waiting, func(o *waiter) bool { return o == w })
+	s.watches = slices.DeleteFunc(s.watches, func(o *watch) bool { return o == w })
 	w.answer(core.ObjectResult{Status: core.ObjectOK, Version: s.version})
 }
 
-// size is the payload that a call and its answer carry.
-func size(c core.ObjectCall, r core.ObjectResult) int {
+// payloadBytes returns the payload bytes of a call and its answer.
+func payloadBytes(c core.ObjectCall, r core.ObjectResult) int {
 	n := len(c.Key) + len(c.Value) + len(r.Object.Value)
 	if c.Op == core.ObjectUpdate || c.Op == core.ObjectCreate {
-		n -= len(r.Object.Value) // the answer to a write holds its version only
+		n -= len(r.Object.Value) // the answer to a write carries only its version
 	}
 	for _, o := range r.Objects {
 		n += len(o.Key) + len(o.Value)
--- a/internal/measure/membership/trace.go
+++ b/internal/measure/membership/trace.go
@@ -7,24 +7,27 @@
 	"gentiancroft/internal/core"
 )
 
-// Trace follows, in real time, who may act on each shard. It knows nothing of
-// the machines but their answers: a claim stands from the answer that made it
-// until its end on the holder's clock or until the holder answers otherwise.
+// Trace records, in real time, which host may act on each shard, and reports
+// violations: two hosts at once, or a fencing number that does not rise. It uses
+// only the answers of the machines: a claim lasts from the answer that made
+// it until its expiry on the host's clock, or until the host answers otherwise.
 type Trace struct {
-	open       map[core.Shard][]claim
-	fences     map[core.Shard]fenced
-	since      map[core.Shard]core.Instant // without an actor since
+	claims     map[core.Shard][]claim
+	lastFences map[core.Shard]fenceRecord
+	idleSince  map[core.Shard]core.Instant // without an acting owner since
 	Violations []string
-	Claims     int
-	Longest    map[core.Shard]time.Duration // longest time without an actor, after the first
+	Claims     int                          // new claims, without extensions
+	Longest    map[core.Shard]time.Duration // longest time without an acting owner, after the first
 }
 
+// claim is the right of a host to act, with its expiry in real time.
 type claim struct {
 	host  core.HostID
 	until core.Instant
 }
 
-type fenced struct {
+// fenceRecord is the latest fencing number of a shard.
+type fenceRecord struct {
 	host  core.HostID
 	fence core.Fence
 }
@@ -32,77 +35,79 @@
 // NewTrace returns an empty trace.
 func NewTrace() *Trace {
 	return &Trace{
-		open: map[core.Shard][]claim{}, fences: map[core.Shard]fenced{},
-		since: map[core.Shard]core.Instant{}, Longest: map[core.Shard]time.Duration{},
+		claims: map[core.Shard][]claim{}, lastFences: map[core.Shard]fenceRecord{},
+		idleSince: map[core.Shard]core.Instant{}, Longest: map[core.Shard]time.Duration{},
 	}
 }
 
 // Claim records that a host may act on a shard from now until an instant.
 func (t *Trace) Claim(now core.Instant, h core.HostID, s core.Shard, fence core.Fence, until core.Instant) {
-	list := t.open[s]
-	mine := -1
+	list := t.claims[s]
+	own := -1
 	for i, c := range list {
 		if c.host == h {
-			mine = i
+			own = i
 			continue
 		}
 		if c.until > now {
-			t.violate(now, "%s and %s both act on %s", c.host, h, s.Name)
+			t.addViolation(now, "%s and %s may both act on %s", c.host, h, s.Name)
 		}
 	}
-	if mine >= 0 {
-		if list[mine].until < now {
-			t.idle(s, list[mine].until, now)
+	if own >= 0 {
+		if list[own].until < now {
+			t.recordGap(s, list[own].until, now)
 		}
-		list[mine].until = until
+		list[own].until = until
 	} else {
-		t.begin(now, s)
-		t.open[s] = append(list, claim{host: h, until: until})
+		t.endGap(now, s)
+		t.claims[s] = append(list, claim{host: h, until: until})
 		t.Claims++
 	}
-	last := t.fences[s]
+	last := t.lastFences[s]
 	if last.host != h && last.host != "" && fence <= last.fence {
-		t.violate(now, "fence of %s did not rise: %s %d, then %s %d", s.Name, last.host, last.fence, h, fence)
+		t.addViolation(now, "fencing number of %s did not rise: %s %d, then %s %d", s.Name, last.host, last.fence, h, fence)
 	}
-	t.fences[s] = fenced{host: h, fence: fence}
+	t.lastFences[s] = fenceRecord{host: h, fence: fence}
 }
 
-// Drop records that a host may not act on a shard.
+// Drop records that a host may no longer act on a shard.
 func (t *Trace) Drop(now core.Instant, h core.HostID, s core.Shard) {
-	list := t.open[s]
+	list := t.claims[s]
 	for i, c := range list {
 		if c.host == h {
-			t.since[s] = min(now, c.until)
-			t.open[s] = append(list[:i:i], list[i+1:]...)
+			t.idleSince[s] = min(now, c.until)
+			t.claims[s] = append(list[:i:i], list[i+1:]...)
 			return
 		}
 	}
 }
 
-// Close ends all claims of a host that died.
+// Close ends all claims of a crashed host.
 func (t *Trace) Close(now core.Instant, h core.HostID) {
-	for s := range t.open {
+	for s := range t.claims {
 		t.Drop(now, h, s)
 	}
 }
 
-func (t *Trace) begin(now core.Instant, s core.Shard) {
-	for _, c := range t.open[s] {
+// endGap records the gap that ends with a new claim.
+func (t *Trace) endGap(now core.Instant, s core.Shard) {
+	for _, c := range t.claims[s] {
 		if c.until > now {
 			return
 		}
-		t.since[s] = c.until
+		t.idleSince[s] = c.until
 	}
-	if from, ok := t.since[s]; ok {
-		t.idle(s, from, now)
+	if from, ok := t.idleSince[s]; ok {
+		t.recordGap(s, from, now)
 	}
 }
 
-func (t *Trace) idle(s core.Shard, from, to core.Instant) {
+// recordGap records a time without an acting owner.
+func (t *Trace) recordGap(s core.Shard, from, to core.Instant) {
 	t.Longest[s] = max(t.Longest[s], to.Sub(from))
 }
 
-// LongestGap is the longest time that any shard was without an actor.
+// LongestGap returns the longest time that any shard had no acting owner.
 func (t *Trace) LongestGap() time.Duration {
 	var longest time.Duration
 	for _, d := range t.Longest {
@@ -111,10 +116,10 @@
 	return longest
 }
 
-// Acted reports how many shards have an actor now.
+// Acted returns how many shards have an acting owner now.
 func (t *Trace) Acted(now core.Instant) int {
 	n := 0
-	for _, list := range t.open {
+	for _, list := range t.claims {
 		for _, c := range list {
 			if c.until > now {
 				n++
@@ -125,9 +130,9 @@
 	return n
 }
 
-// Actor is who may act on a shard now.
+// Actor returns the host that may act on a shard now, if there is one.
 func (t *Trace) Actor(now core.Instant, s core.Shard) (core.HostID, bool) {
-	for _, c := range t.open[s] {
+	for _, c := range t.claims[s] {
 		if c.until > now {
 			return c.host, true
 		}
@@ -135,9 +140,10 @@
 	return "", false
 }
 
-func (t *Trace) violate(now core.Instant, format string, args ...any) {
-	const most = 20
-	if len(t.Violations) < most {
+// addViolation adds a violation to the list, up to its limit.
+func (t *Trace) addViolation(now core.Instant, format string, args ...any) {
+	const maxViolations = 20
+	if len(t.Violations) < maxViolations {
 		t.Violations = append(t.Violations, fmt.Sprintf("%v: ", time.Duration(now))+fmt.Sprintf(format, args...))
 	}
 }
