--- a/internal/measure/limits/adversary_test.go
+++ b/internal/measure/limits/adversary_test.go
@@ -22,41 +22,44 @@
 	os.Exit(m.Run())
 }
 
-// adversary drives a fleet with greedy callers under drawn faults.
+// adversary runs a fleet with callers that use all they can get, under random
+// faults.
 type adversary struct {
-	t       *rapid.T
-	loop    *Loop
-	fleet   *Fleet
-	limits  []limit.Limit
-	bounds  map[core.WorkspaceID][]Bound
-	charges map[core.WorkspaceID][]Charge
-	next    int
-	quiet   core.Instant // callers are idle until then, so that bursts fill
+	t         *rapid.T
+	loop      *Loop
+	fleet     *Fleet
+	limits    []limit.Limit
+	bounds    map[core.WorkspaceID][]Bound
+	charges   map[core.WorkspaceID][]Charge
+	next      int
+	idleUntil core.Instant // callers are idle until then, so that buckets refill
 }
 
-// Times short enough for a run to see terms, horizons and takeovers end.
-var hastySettings = limit.Settings{Term: 16 * time.Second, Renew: 5 * time.Second, Urgent: 2 * time.Second, Horizon: 45 * time.Second}
+// shortSettings has times short enough that terms, horizons and takeovers end
+// within a run.
+var shortSettings = limit.Settings{Term: 16 * time.Second, Renew: 5 * time.Second, Urgent: 2 * time.Second, Horizon: 45 * time.Second}
 
 func newAdversary(t *rapid.T, hosts int, ppm int64) *adversary {
 	loop := &Loop{Rand: core.NewRand(rapid.Uint64().Draw(t, "seed"))}
 	a := &adversary{t: t, loop: loop, bounds: make(map[core.WorkspaceID][]Bound), charges: make(map[core.WorkspaceID][]Charge)}
-	links := &Links{Loop: loop, OneWay: oneWay, Loss: 0.1, Double: 0.1, Late: 0.1, LateBy: 20 * time.Second}
+	links := &Links{Loop: loop, OneWay: linkDelay, Loss: 0.1, Double: 0.1, Late: 0.1, LateBy: 20 * time.Second}
 	a.limits = []limit.Limit{{Workspace: "large", Rate: 1000, Burst: 8000}, {Workspace: "small", Rate: 40, Burst: 300}}
 	for _, l := range a.limits {
 		a.bounds[l.Workspace] = []Bound{{Rate: l.Rate, Burst: l.Burst}}
 	}
-	a.fleet = NewFleet(loop, links, hosts, a.limits, hastySettings, ppm)
-	loop.Every(50*time.Millisecond, a.greed)
+	a.fleet = NewFleet(loop, links, hosts, a.limits, shortSettings, ppm)
+	loop.Every(50*time.Millisecond, a.requestAtAll)
 	return a
 }
 
-// greed asks at every slot for what it may get.
-func (a *adversary) greed() {
-	if a.loop.Now < a.quiet {
+// requestAtAll sends a request of a random workspace and size through every
+// slot.
+func (a *adversary) requestAtAll() {
+	if a.loop.Now < a.idleUntil {
 		return
 	}
 	if a.loop.Rand.IntN(40) == 0 {
-		a.quiet = a.loop.Now.Add(time.Duration(a.loop.Rand.Int64N(int64(20 * time.Second))))
+		a.idleUntil = a.loop.Now.Add(time.Duration(a.loop.Rand.Int64N(int64(20 * time.Second))))
 	}
 	for _, n := range a.fleet.slots {
 		l := a.limits[a.loop.Rand.IntN(len(a.limits))]
@@ -71,15 +74,16 @@
 func (a *adversary) reserve(n *Node, ws core.WorkspaceID, tokens core.Tokens) {
 	a.next++
 	id := core.RequestID(fmt.Sprint(a.next))
-	n.waiting[id] = func(granted bool) {
+	n.callbacks[id] = func(granted bool) {
 		if granted {
 			a.granted(n, id, ws, tokens)
 		}
 	}
-	a.fleet.run(n, func() limit.Result { return n.Machine.Reserve(n.now(a.fleet), n.Own, id, ws, tokens) })
+	a.fleet.runStep(n, func() limit.Result { return n.Machine.Reserve(n.now(a.fleet), n.Own, id, ws, tokens) })
 }
 
-// granted ends a request never, once or several times; only the first counts.
+// granted ends a request never, once or several times; only the first end has
+// an effect.
 func (a *adversary) granted(n *Node, id core.RequestID, ws core.WorkspaceID, tokens core.Tokens) {
 	used, ends := tokens, a.loop.Rand.IntN(4)
 	if ends > 0 {
@@ -88,34 +92,34 @@
 	a.charges[ws] = append(a.charges[ws], Charge{ws, a.loop.Now, used})
 	for range ends {
 		a.loop.After(time.Duration(a.loop.Rand.Int64N(int64(8*time.Second))), func() {
-			a.fleet.run(n, func() limit.Result {
+			a.fleet.runStep(n, func() limit.Result {
 				r := n.Machine.Settle(n.now(a.fleet), n.Own, id, used, true)
-				n.Machine.Cancel(n.now(a.fleet), n.Own, id) // races with the end: does nothing
+				n.Machine.Cancel(n.now(a.fleet), n.Own, id) // after the end: has no effect
 				return r
 			})
 		})
 	}
 }
 
-// ask reserves and keeps all of it.
-func (a *adversary) ask(n *Node, ws core.WorkspaceID, tokens core.Tokens) {
+// reserveAndKeep reserves tokens and uses all of them.
+func (a *adversary) reserveAndKeep(n *Node, ws core.WorkspaceID, tokens core.Tokens) {
 	id := core.RequestID(fmt.Sprint(a.next))
-	n.waiting[id] = func(granted bool) {
+	n.callbacks[id] = func(granted bool) {
 		if granted {
 			a.charges[ws] = append(a.charges[ws], Charge{ws, a.loop.Now, tokens})
 		}
 	}
-	a.fleet.run(n, func() limit.Result { return n.Machine.Reserve(n.now(a.fleet), n.Own, id, ws, tokens) })
+	a.fleet.runStep(n, func() limit.Result { return n.Machine.Reserve(n.now(a.fleet), n.Own, id, ws, tokens) })
 }
 
-// fault draws one fault. Everything heals by itself or by a later fault.
+// fault injects one random fault. Each ends by itself or by a later fault.
 func (a *adversary) fault() {
 	slot := rapid.IntRange(0, len(a.fleet.slots)-1).Draw(a.t, "slot")
 	n := a.fleet.slots[slot]
 	span := time.Duration(rapid.IntRange(1, 30).Draw(a.t, "seconds")) * time.Second
 	switch rapid.SampledFrom([]string{"lose", "leave", "pause", "isolate", "store", "part", "limit", "none"}).Draw(a.t, "fault") {
 	case "leave":
-		a.fleet.run(n, func() limit.Result { return n.Machine.Leave(n.now(a.fleet), n.Own) })
+		a.fleet.runStep(n, func() limit.Result { return n.Machine.Leave(n.now(a.fleet), n.Own) })
 		a.fleet.Lose(n)
 		a.fleet.Start(slot)
 	case "lose":
@@ -129,14 +133,14 @@
 	case "store":
 		a.fleet.leases.StoreDown = true
 		a.loop.After(2*span, func() { a.fleet.leases.StoreDown = false })
-	case "part": // some hosts, with or without the store, are cut off from the others
-		a.part(slot, span)
+	case "part": // some hosts are cut off from the others and the store
+		a.partition(slot, span)
 	case "limit":
-		a.relimit()
+		a.changeLimit()
 	}
 }
 
-func (a *adversary) part(first int, span time.Duration) {
+func (a *adversary) partition(first int, span time.Duration) {
 	away := map[core.HostID]bool{}
 	for i := range 1 + len(a.fleet.slots)/2 {
 		n := a.fleet.slots[(first+i)%len(a.fleet.slots)]
@@ -148,12 +152,13 @@
 	a.loop.After(span, func() { a.fleet.links.Cut = nil })
 }
 
-// inForce is when every live host surely has a change: pauses included.
-const inForce = 40 * time.Second
+// maxConfigDelay is the maximum time until every live host has applied a change,
+// pauses included.
+const maxConfigDelay = 40 * time.Second
 
-// relimit halves or doubles the large workspace's limit. Until it is in force
-// everywhere the greater limit bounds the charges.
-func (a *adversary) relimit() {
+// changeLimit lowers or restores the large workspace's limit. Until all hosts
+// have applied it, the larger limit bounds the charges.
+func (a *adversary) changeLimit() {
 	was := a.limits[0]
 	now := was
 	if was.Rate == 1000 {
@@ -165,8 +170,8 @@
 	a.fleet.Configure(a.limits, 4*time.Second)
 	a.bounds["large"] = append(a.bounds["large"],
 		Bound{a.loop.Now, max(was.Rate, now.Rate), max(was.Burst, now.Burst)},
-		Bound{a.loop.Now.Add(inForce), now.Rate, now.Burst})
-	a.loop.RunUntil(a.loop.Now.Add(inForce + time.Second)) // one change at a time
+		Bound{a.loop.Now.Add(maxConfigDelay), now.Rate, now.Burst})
+	a.loop.RunUntil(a.loop.Now.Add(maxConfigDelay + time.Second)) // one change at a time
 }
 
 func (a *adversary) over() core.Tokens {
@@ -187,9 +192,10 @@
 	a.loop.RunUntil(a.loop.Now.Add(time.Minute))
 }
 
-// Never over, under pauses, losses, partitions, outages, changes of limits and
-// messages that are lost, doubled and 20 s late.
-func TestNeverOver(t *testing.T) {
+// No workspace gets more than its limit under pauses, crashes, partitions, store
+// outages, changes of limits, and messages that are lost, duplicated or 20 s
+// late.
+func TestNeverOverGrants(t *testing.T) {
 	granted := 0
 	rapid.Check(t, func(t *rapid.T) {
 		a := newAdversary(t, rapid.IntRange(1, 5).Draw(t, "hosts"), limit.DefaultDriftPPM)
@@ -200,5 +206,5 @@
 		granted += len(a.charges["large"]) + len(a.charges["small"])
 	})
 	is := is.New(t)
-	is.True(granted > 100*200) // the fleet did serve
+	is.True(granted > 100*200) // the fleet granted requests
 }
--- a/internal/measure/limits/baselines.go
+++ b/internal/measure/limits/baselines.go
@@ -7,21 +7,21 @@
 	"gentiancroft/internal/core/limit"
 )
 
-// key names one workspace's part at one slot.
+// key identifies the bucket of a workspace at a slot.
 type key struct {
 	slot int
 	ws   core.WorkspaceID
 }
 
-// static splits each limit equally over the slots, for good.
-type static struct {
+// staticSplit splits each limit into fixed, equal shares of the slots.
+type staticSplit struct {
 	w       *World
 	buckets map[key]*limit.Single
 	marks   map[core.RequestID]uint64
 }
 
 func newStatic(w *World) Policy {
-	s := &static{w: w, buckets: make(map[key]*limit.Single), marks: make(map[core.RequestID]uint64)}
+	s := &staticSplit{w: w, buckets: make(map[key]*limit.Single), marks: make(map[core.RequestID]uint64)}
 	n := core.Tokens(w.Trace.Hosts)
 	for _, t := range w.Trace.Tenants {
 		for i := range w.Trace.Hosts {
@@ -31,7 +31,7 @@
 	return s
 }
 
-func (s *static) Reserve(slot int, a Arrival, decide func(bool)) {
+func (s *staticSplit) Reserve(slot int, a Arrival, decide func(bool)) {
 	mark, ok := s.buckets[key{slot, a.Workspace}].Take(s.w.Loop.Now, a.Tokens)
 	if ok {
 		s.marks[a.ID] = mark
@@ -39,7 +39,7 @@
 	decide(ok)
 }
 
-func (s *static) Settle(slot int, a Arrival) {
+func (s *staticSplit) Settle(slot int, a Arrival) {
 	mark, ok := s.marks[a.ID]
 	if ok && s.w.Alive[slot] {
 		s.buckets[key{slot, a.Workspace}].Settle(s.w.Loop.Now, mark, a.Tokens-a.Used)
@@ -47,56 +47,56 @@
 	delete(s.marks, a.ID)
 }
 
-func (s *static) Fault(f Fault) {
+func (s *staticSplit) Fault(f Fault) {
 	if f.Kind != "replace" {
 		return
 	}
 	n := core.Tokens(s.w.Trace.Hosts)
-	for _, t := range s.w.Trace.Tenants { // a fresh host starts empty
+	for _, t := range s.w.Trace.Tenants { // a new host starts empty
 		s.buckets[key{f.Slot, t.Limit.Workspace}] = limit.NewEmpty(s.w.Loop.Now, t.Limit.Rate/n, t.Limit.Burst/n)
 	}
 }
 
-func (s *static) Messages() uint64 { return 0 }
+func (s *staticSplit) Messages() uint64 { return 0 }
 
-// short is one owner a workspace that grants leases on tokens, one request at
-// a time. A new owner knows nothing and starts empty once the old one's lease
-// has ended; without the store there is no owner.
-type short struct {
+// singleOwner has one owner per workspace, which every host asks for each
+// request. A new owner has no state and starts with an empty bucket once the
+// old one's lease has expired. While the store is down there is no owner.
+type singleOwner struct {
 	w     *World
-	parts map[core.WorkspaceID]*ownedPart
-	marks map[core.RequestID]loaned
+	parts map[core.WorkspaceID]*ownerBucket
+	marks map[core.RequestID]reservation
 }
 
-// ownedPart is a workspace's bucket at its owner.
-type ownedPart struct {
+// ownerBucket is the bucket of a workspace at its owner.
+type ownerBucket struct {
 	limit  limit.Limit
 	owner  int
 	bucket *limit.Single
-	ready  core.Instant // an owner acts from then on
-	term   int
+	ready  core.Instant // time from which the owner acts
+	term   int          // number of the owner
 }
 
-// loaned is what a reservation needs to be settled.
-type loaned struct {
+// reservation is a reservation, as its settlement needs it.
+type reservation struct {
 	mark uint64
 	term int
 }
 
-// askBound is how long a request waits for the owner.
-const askBound = 100 * time.Millisecond
+// answerTimeout is the maximum wait for the owner's answer.
+const answerTimeout = 100 * time.Millisecond
 
 func newShort(w *World) Policy {
-	s := &short{w: w, parts: make(map[core.WorkspaceID]*ownedPart), marks: make(map[core.RequestID]loaned)}
+	s := &singleOwner{w: w, parts: make(map[core.WorkspaceID]*ownerBucket), marks: make(map[core.RequestID]reservation)}
 	for i, t := range w.Trace.Tenants {
-		s.parts[t.Limit.Workspace] = &ownedPart{
+		s.parts[t.Limit.Workspace] = &ownerBucket{
 			limit: t.Limit, owner: i % w.Trace.Hosts, bucket: limit.NewSingle(0, t.Limit.Rate, t.Limit.Burst),
 		}
 	}
 	return s
 }
 
-func (s *short) Reserve(slot int, a Arrival, decide func(bool)) {
+func (s *singleOwner) Reserve(slot int, a Arrival, decide func(bool)) {
 	p := s.parts[a.Workspace]
 	done := false
 	once := func(ok bool) {
@@ -111,7 +111,7 @@
 		}
 		mark, ok := p.bucket.Take(s.w.Loop.Now, a.Tokens)
 		if ok {
-			s.marks[a.ID] = loaned{mark, p.term}
+			s.marks[a.ID] = reservation{mark, p.term}
 		}
 		back(ok)
 	}
@@ -125,10 +125,10 @@
 	s.w.Links.Carry("", "", func() {
 		answer(func(ok bool) { s.w.Links.Carry("", "", func() { once(ok) }) })
 	})
-	s.w.Loop.After(askBound, func() { once(false) })
+	s.w.Loop.After(answerTimeout, func() { once(false) })
 }
 
-func (s *short) Settle(slot int, a Arrival) {
+func (s *singleOwner) Settle(slot int, a Arrival) {
 	p := s.parts[a.Workspace]
 	back := func() {
 		l, ok := s.marks[a.ID]
@@ -144,7 +144,7 @@
 	s.w.Links.Carry("", "", back)
 }
 
-func (s *short) Fault(f Fault) {
+func (s *singleOwner) Fault(f Fault) {
 	for _, t := range s.w.Trace.Tenants {
 		p := s.parts[t.Limit.Workspace]
 		switch f.Kind {
@@ -153,54 +153,57 @@
 				s.w.Alive[p.owner] = false
 			}
 			if !s.w.Alive[p.owner] {
-				s.move(p)
+				s.changeOwner(p)
 			}
 		case "store down":
-			p.ready = s.w.Loop.Now.Add(time.Hour) // its lease ends within the term
+			p.ready = s.w.Loop.Now.Add(time.Hour) // no owner until the store is back
 		case "store up":
-			p.ready = s.w.Loop.Now.Add(leaseRenew)
+			p.ready = s.w.Loop.Now.Add(leaseRenewInterval)
 		}
 	}
 }
 
-// move makes the next live slot the owner, empty, after the old lease.
-func (s *short) move(p *ownedPart) {
-	p.owner = s.w.slot(p.owner)
-	p.ready = s.w.Loop.Now.Add(leaseTerm + leaseWait)
+// changeOwner makes the next live slot the owner, with an empty bucket, once
+// the old lease has expired.
+func (s *singleOwner) changeOwner(p *ownerBucket) {
+	p.owner = s.w.liveSlot(p.owner)
+	p.ready = s.w.Loop.Now.Add(leaseTerm + membershipGrace)
 	p.term++
 	p.bucket = limit.NewEmpty(p.ready, p.limit.Rate, p.limit.Burst)
 }
 
-func (s *short) Messages() uint64 { return s.w.Links.Sent }
+func (s *singleOwner) Messages() uint64 { return s.w.Links.Sent }
 
-// peers are equal standing shares; a host that runs dry asks two others, one
-// after the other, to move tokens over. A dead host's share is forgone for the
-// horizon, since nobody can tell a dead host from one that goes on.
-type peers struct {
-	static
-	gone map[int]core.Instant // slots whose share a replacement may not use yet
+// peerTransfers splits each limit into equal shares. A host whose share is
+// exhausted asks two others, one after the other, to transfer tokens. A dead
+// host's share stays unused for the horizon: the others can't tell a dead host
+// from one that is cut off and still grants.
+type peerTransfers struct {
+	staticSplit
+	unusedUntil map[int]core.Instant // end of the time in which a slot's share is not used
 }
 
 func newPeers(w *World) Policy {
-	return &peers{static: *newStatic(w).(*static), gone: make(map[int]core.Instant)}
+	return &peerTransfers{staticSplit: *newStatic(w).(*staticSplit), unusedUntil: make(map[int]core.Instant)}
 }
 
-func (p *peers) Reserve(slot int, a Arrival, decide func(bool)) {
-	if until, ok := p.gone[slot]; ok && p.w.Loop.Now < until {
-		p.ask(slot, a, 2, decide)
+func (p *peerTransfers) Reserve(slot int, a Arrival, decide func(bool)) {
+	if until, ok := p.unusedUntil[slot]; ok && p.w.Loop.Now < until {
+		p.transfer(slot, a, 2, decide)
 		return
 	}
-	p.static.Reserve(slot, a, func(ok bool) {
+	p.staticSplit.Reserve(slot, a, func(ok bool) {
 		if ok {
 			decide(true)
 			return
 		}
-		p.ask(slot, a, 2, decide)
+		p.transfer(slot, a, 2, decide)
 	})
 }
 
-// ask moves what is missing from another slot, debited first.
-func (p *peers) ask(slot int, a Arrival, tries int, decide func(bool)) {
+// transfer transfers a request's tokens from a random other slot, which debits
+// them first.
+func (p *peerTransfers) transfer(slot int, a Arrival, tries int, decide func(bool)) {
 	if tries == 0 {
 		decide(false)
 		return
@@ -217,30 +220,31 @@
 	}
 	p.w.Links.Carry("", "", func() {
 		from := p.buckets[key{other, a.Workspace}]
-		if _, dead := p.gone[other]; dead || !p.w.Alive[other] || other == slot {
+		if _, dead := p.unusedUntil[other]; dead || !p.w.Alive[other] || other == slot {
 			return
 		}
-		n := from.Move(p.w.Loop.Now, a.Tokens)
+		moved := from.Move(p.w.Loop.Now, a.Tokens)
 		p.w.Links.Carry("", "", func() {
-			if done || n < a.Tokens || !p.w.Alive[slot] {
-				from.Add(p.w.Loop.Now, n) // refused or late: back to where it came from
-				once(func() { p.ask(slot, a, tries-1, decide) })()
+			if done || moved < a.Tokens || !p.w.Alive[slot] {
+				from.Add(p.w.Loop.Now, moved) // refused or too late: returned to its slot
+				once(func() { p.transfer(slot, a, tries-1, decide) })()
 				return
 			}
-			p.spend(slot, a, n, from, decide)
+			p.charge(slot, a, moved, from, decide)
 			done = true
 		})
 	})
-	p.w.Loop.After(askBound/4, once(func() { p.ask(slot, a, tries-1, decide) }))
+	p.w.Loop.After(answerTimeout/4, once(func() { p.transfer(slot, a, tries-1, decide) }))
 }
 
-// spend charges moved tokens; the burst they came with goes back without them.
-func (p *peers) spend(_ int, _ Arrival, n core.Tokens, from *limit.Single, decide func(bool)) {
+// charge charges transferred tokens; their part of the burst goes back to the
+// slot that sent them.
+func (p *peerTransfers) charge(_ int, _ Arrival, n core.Tokens, from *limit.Single, decide func(bool)) {
 	from.Shift(p.w.Loop.Now, n)
 	decide(true)
 }
 
-func (p *peers) Fault(f Fault) {
+func (p *peerTransfers) Fault(f Fault) {
 	switch f.Kind {
 	case "lose":
 		slot := f.Slot
@@ -248,10 +252,10 @@
 			slot = 0
 			p.w.Alive[slot] = false
 		}
-		p.gone[slot] = p.w.Loop.Now.Add(limit.DefaultHorizon)
+		p.unusedUntil[slot] = p.w.Loop.Now.Add(limit.DefaultHorizon)
 	case "replace":
-		p.static.Fault(f)
+		p.staticSplit.Fault(f)
 	}
 }
 
-func (p *peers) Messages() uint64 { return p.w.Links.Sent }
+func (p *peerTransfers) Messages() uint64 { return p.w.Links.Sent }
--- a/internal/measure/limits/check.go
+++ b/internal/measure/limits/check.go
@@ -8,7 +8,7 @@
 	"gentiancroft/internal/core"
 )
 
-// Charge is one admitted request as an observer of the whole fleet sees it.
+// Charge is one admitted request in real time.
 type Charge struct {
 	Workspace core.WorkspaceID
 	At        core.Instant // real time of the admission
@@ -22,46 +22,48 @@
 	Burst core.Tokens
 }
 
-// nanosPerToken is the unit of the check: 1e-9 tokens.
+// nanosPerToken is the number of nanotokens in a token; the check computes in
+// nanotokens.
 const nanosPerToken = int64(1_000_000_000)
 
-// Over is the most, in tokens rounded up, by which the charges of any interval
-// exceed what the bounds allow in it: the rate's integral and the greatest
-// burst within. It knows nothing of the limiter. Bounds rise by From; an
-// interval that spans a change has both bursts to choose from, one that starts
-// after it only the new.
+// Over returns the maximum, in tokens rounded up, by which the charges of any
+// interval exceed its allowance: the integral of the rate plus the largest burst
+// in force during the interval. It uses no state of the limiter. Bounds are in
+// order of From; an interval that spans a change may use the larger of both
+// bursts, one that starts after the change only the new one.
 func Over(charges []Charge, bounds []Bound) core.Tokens {
 	charges = slices.Clone(charges)
 	slices.SortStableFunc(charges, func(a, b Charge) int { return cmp.Compare(a.At, b.At) })
 	worst := int64(0)
 	for i := range bounds {
-		worst = max(worst, overFrom(charges, bounds, i))
+		worst = max(worst, excessFrom(charges, bounds, i))
 	}
 	return core.Tokens((worst + nanosPerToken - 1) / nanosPerToken)
 }
 
-// overFrom looks at the intervals that start while bounds[k] holds. Excess is,
-// over those starts, the most that was charged beyond what accrued since.
-func overFrom(charges []Charge, bounds []Bound, k int) int64 {
+// excessFrom checks the intervals that start while bounds[k] is in force.
+// Excess is the maximum, over those starts, of the charges minus the tokens
+// accrued since.
+func excessFrom(charges []Charge, bounds []Bound, k int) int64 {
 	worst, excess := int64(0), int64(0)
 	last := bounds[k].From
 	for _, c := range charges {
 		if c.At < bounds[k].From {
 			continue
 		}
-		excess -= integral(bounds, last, c.At)
+		excess -= accruedNanotokens(bounds, last, c.At)
 		if inside := k+1 == len(bounds) || c.At < bounds[k+1].From; inside {
 			excess = max(excess, 0)
 		}
 		excess += int64(c.Tokens) * nanosPerToken
-		worst = max(worst, excess-burstWithin(bounds[k:], c.At))
+		worst = max(worst, excess-maxBurstNanotokens(bounds[k:], c.At))
 		last = c.At
 	}
 	return worst
 }
 
-// integral of the rate over a span, in 1e-9 tokens.
-func integral(bounds []Bound, from, to core.Instant) int64 {
+// accruedNanotokens returns the integral of the rate over a span, in nanotokens.
+func accruedNanotokens(bounds []Bound, from, to core.Instant) int64 {
 	sum := int64(0)
 	for i, b := range bounds {
 		end := core.Instant(math.MaxInt64)
@@ -75,8 +77,9 @@
 	return sum
 }
 
-// burstWithin is the greatest burst up to an instant.
-func burstWithin(bounds []Bound, at core.Instant) int64 {
+// maxBurstNanotokens returns the largest burst of bounds in force up to an
+// instant, in nanotokens.
+func maxBurstNanotokens(bounds []Bound, at core.Instant) int64 {
 	burst := int64(0)
 	for _, b := range bounds {
 		if b.From <= at {
--- a/internal/measure/limits/limits_test.go
+++ b/internal/measure/limits/limits_test.go
@@ -10,8 +10,8 @@
 	"gentiancroft/internal/core/limit"
 )
 
-// naive is a transfer between two hosts that credits before it debits, when
-// the debit is then lost.
+// A transfer between two hosts that credits before it debits over-grants when
+// the debit is lost: the check must report it.
 func TestCheckerSeesCreditBeforeDebit(t *testing.T) {
 	is := is.New(t)
 	a, b := limit.NewSingle(0, 50, 500), limit.NewSingle(0, 50, 500)
@@ -40,11 +40,11 @@
 	is.Equal(Over([]Charge{at(6, 150)}, changed), core.Tokens(50))
 }
 
-// Clocks beyond the stated bound do go over, so the adversary can fail.
-func TestClocksBeyondTheBoundGoOver(t *testing.T) {
+// A clock drift above the bound over-grants, so the adversary test can fail.
+func TestClockDriftAboveTheBoundOverGrants(t *testing.T) {
 	is := is.New(t)
 	loop := &Loop{Rand: core.NewRand(1)}
-	links := &Links{Loop: loop, OneWay: oneWay}
+	links := &Links{Loop: loop, OneWay: linkDelay}
 	limits := []limit.Limit{{Workspace: "ws", Rate: 100_000, Burst: 10_000}}
 	f := NewFleet(loop, links, 1, limits, limit.Settings{}, 0)
 	f.slots[0].clock.PPM = 20 * limit.DefaultDriftPPM
@@ -53,24 +53,24 @@
 	a.bounds = map[core.WorkspaceID][]Bound{"ws": {{Rate: 100_000, Burst: 10_000}}}
 	loop.Every(5*time.Millisecond, func() {
 		a.next++
-		a.ask(f.slots[0], "ws", 400)
+		a.reserveAndKeep(f.slots[0], "ws", 400)
 		a.next++
-		a.ask(f.slots[0], "ws", 400)
+		a.reserveAndKeep(f.slots[0], "ws", 400)
 	})
 	loop.RunUntil(core.Instant(2 * time.Minute))
 	is.True(a.over() > 0)
 }
 
-// Conserved: once all faults have healed and callers paused, the whole burst
-// can be spent again, over all hosts, with none lost for good.
-func TestWholeBurstComesBack(t *testing.T) {
+// Faults must not lose tokens: once they have ended and callers were idle,
+// almost the whole burst can be used again over all hosts.
+func TestWholeBurstIsRestored(t *testing.T) {
 	is := is.New(t)
 	loop := &Loop{Rand: core.NewRand(3)}
-	links := &Links{Loop: loop, OneWay: oneWay, Loss: 0.05, Double: 0.05, Late: 0.05, LateBy: 10 * time.Second}
+	links := &Links{Loop: loop, OneWay: linkDelay, Loss: 0.05, Double: 0.05, Late: 0.05, LateBy: 10 * time.Second}
 	limits := []limit.Limit{{Workspace: "large", Rate: 1000, Burst: 8000}, {Workspace: "small", Rate: 40, Burst: 300}}
-	f := NewFleet(loop, links, 5, limits, hastySettings, maxPPM)
+	f := NewFleet(loop, links, 5, limits, shortSettings, maxDriftPPM)
 	a := &adversary{loop: loop, fleet: f, limits: limits, charges: map[core.WorkspaceID][]Charge{}}
-	loop.Every(50*time.Millisecond, a.greed)
+	loop.Every(50*time.Millisecond, a.requestAtAll)
 	for i := range 6 {
 		loop.RunUntil(loop.Now.Add(10 * time.Second))
 		f.Lose(f.slots[i%5])
@@ -78,7 +78,7 @@
 	}
 	links.Loss, links.Double, links.Late = 0, 0, 0
 	loop.RunUntil(loop.Now.Add(2 * time.Minute))
-	a.quiet = loop.Now.Add(time.Hour)
+	a.idleUntil = loop.Now.Add(time.Hour)
 	loop.RunUntil(loop.Now.Add(2 * time.Minute))
 	a.charges = map[core.WorkspaceID][]Charge{}
 	spent := func(ws core.WorkspaceID) core.Tokens {
@@ -92,7 +92,7 @@
 		for _, n := range f.slots {
 			for _, l := range limits {
 				a.next++
-				a.ask(n, l.Workspace, l.Burst/40)
+				a.reserveAndKeep(n, l.Workspace, l.Burst/40)
 			}
 		}
 		loop.RunUntil(loop.Now.Add(10 * time.Millisecond))
@@ -101,16 +101,16 @@
 	is.True(spent("small") >= 300*90/100)
 }
 
-func TestCalmAndOutageTracesKeepTheirTargets(t *testing.T) {
+func TestCalmAndOutageTracesMeetTheirTargets(t *testing.T) {
 	is := is.New(t)
 	for _, tr := range Traces() {
-		if tr.Hosts > todayHosts {
-			continue // the measurement runs it
+		if tr.Hosts > maxHostsToday {
+			continue // only the measurement runs these
 		}
 		if !hasOutage(tr) {
-			tr.Lasts = min(tr.Lasts, 150*time.Second) // the measurement runs all of it
+			tr.Lasts = min(tr.Lasts, 150*time.Second) // the measurement runs the whole trace
 		}
-		x := play(tr, ways[oursAt], 1, tr.Arrivals(1))
+		x := measurePolicy(tr, policies[machinePolicyIndex], 1, tr.Arrivals(1))
 		is.Equal(x.over, core.Tokens(0))
 		is.True(percent(x.refused, x.within) <= 2)
 	}
@@ -122,6 +122,6 @@
 	is := is.New(t)
 	tr := Traces()[4]
 	tr.Lasts = 90 * time.Second
-	a, b := play(tr, ways[oursAt], 5, tr.Arrivals(5)), play(tr, ways[oursAt], 5, tr.Arrivals(5))
+	a, b := measurePolicy(tr, policies[machinePolicyIndex], 5, tr.Arrivals(5)), measurePolicy(tr, policies[machinePolicyIndex], 5, tr.Arrivals(5))
 	is.Equal(a, b)
 }
--- a/internal/measure/limits/fleet.go
+++ b/internal/measure/limits/loop.go
@@ -1,5 +1,7 @@
-// Package limits measures internal/core/limit beside other ways to keep a
-// workspace within its rate, on the same traces in virtual time.
+// Package limits compares internal/core/limit with other ways to keep a
+// workspace within its rate: over-grants, false refusals, requests that wait and
+// messages, on the same seeded traces in virtual time. Its fleet has a simple
+// model of leases and store; package membership measures the real ones.
 package limits
 
 import (
@@ -9,7 +11,8 @@
 	"gentiancroft/internal/core"
 )
 
-// event is a step due at a real time.
+// event is a step due at a real time; steps at the same time run in the order in
+// which they were added.
 type event struct {
 	at  core.Instant
 	seq uint64
@@ -39,7 +42,7 @@
 	return e
 }
 
-// Loop is virtual time: steps run in order of their instants.
+// Loop runs steps in the order of their virtual time.
 type Loop struct {
 	Now    core.Instant
 	Rand   *core.Rand
@@ -47,7 +50,7 @@
 	seq    uint64
 }
 
-// At runs a step at an instant, not before now.
+// At runs a step at an instant, or now if it is past.
 func (l *Loop) At(at core.Instant, run func()) {
 	l.seq++
 	heap.Push(&l.events, event{max(at, l.Now), l.seq, run})
@@ -56,7 +59,7 @@
 // After runs a step d from now.
 func (l *Loop) After(d time.Duration, run func()) { l.At(l.Now.Add(d), run) }
 
-// Every runs a step again and again.
+// Every runs a step periodically.
 func (l *Loop) Every(d time.Duration, run func()) {
 	l.After(d, func() {
 		run()
@@ -64,7 +67,7 @@
 	})
 }
 
-// RunUntil runs all steps before an instant.
+// RunUntil runs all steps due before an instant.
 func (l *Loop) RunUntil(end core.Instant) {
 	for len(l.events) > 0 && l.events[0].at.Before(end) {
 		e := heap.Pop(&l.events).(event)
@@ -74,19 +77,19 @@
 	l.Now = end
 }
 
-// Links carry messages between hosts.
+// Links delivers messages between hosts, with loss, duplicates and delays.
 type Links struct {
 	*Loop
 	OneWay time.Duration
-	Loss   float64 // of messages
-	Double float64 // of messages, which come twice
-	Late   float64 // of messages, which take up to LateBy
+	Loss   float64 // fraction of messages lost
+	Double float64 // fraction of messages sent twice
+	Late   float64 // fraction of messages delayed by up to LateBy
 	LateBy time.Duration
-	Sent   uint64
-	Cut    func(from, to core.HostID) bool
+	Sent   uint64                          // messages
+	Cut    func(from, to core.HostID) bool // reports whether a link is cut
 }
 
-// Carry delivers a message unless it is lost.
+// Carry delivers a message after the link's delay, unless it is lost.
 func (l *Links) Carry(from, to core.HostID, deliver func()) {
 	l.Sent++
 	copies := 1
@@ -105,18 +108,18 @@
 	}
 }
 
-// Clock is a host's monotonic clock: it gains PPM parts per million.
+// Clock is a host's monotonic clock with a drift of PPM parts per million.
 type Clock struct {
 	Offset core.Instant
 	PPM    int64
 }
 
-// Read is what the clock shows at a real time.
+// Read returns the clock's reading at a real time.
 func (c Clock) Read(real core.Instant) core.Instant {
 	return c.Offset + real + core.Instant(int64(real)/1_000_000*c.PPM)
 }
 
-// store is a small stand-in for the object API.
+// store is a fake of the object API.
 type store struct {
 	objects map[string]core.Object
 	version uint64
@@ -125,7 +128,7 @@
 
 func newStore() *store { return &store{objects: make(map[string]core.Object)} }
 
-// do runs one call on the present state.
+// do applies one call.
 func (s *store) do(c core.ObjectCall) core.ObjectResult {
 	s.calls++
 	old, ok := s.objects[c.Key]
--- a/internal/measure/limits/policy.go
+++ b/internal/measure/limits/policy.go
@@ -7,19 +7,19 @@
 	"gentiancroft/internal/core/limit"
 )
 
-// Policy is one way to keep limits over the hosts of a fleet.
+// Policy is one way to enforce limits over the hosts of a fleet.
 type Policy interface {
-	// Reserve decides at the host of a slot, now or later.
+	// Reserve calls decide, now or later, with the decision of the slot's host.
 	Reserve(slot int, a Arrival, decide func(granted bool))
-	// Settle ends a granted request.
+	// Settle ends a granted request and returns its unused tokens.
 	Settle(slot int, a Arrival)
-	// Fault tells of a change of the fleet.
+	// Fault applies a change of the fleet.
 	Fault(f Fault)
-	// Messages that hosts sent each other so far.
+	// Messages returns the number of messages between hosts so far.
 	Messages() uint64
 }
 
-// World is what every policy runs in.
+// World is the simulated environment of a policy.
 type World struct {
 	Loop  *Loop
 	Links *Links
@@ -28,24 +28,25 @@
 	Store bool   // reachable
 }
 
-// Times of the world, and what its links lose.
+// Delay and loss of the links.
 const (
-	oneWay   = 1500 * time.Microsecond
-	lossRate = 0.001
+	linkDelay = 1500 * time.Microsecond
+	lossRate  = 0.001
 )
 
 func newWorld(t Trace, seed uint64) *World {
 	loop := &Loop{Rand: core.NewRand(seed)}
 	w := &World{Loop: loop, Trace: t, Alive: make([]bool, t.Hosts), Store: true}
-	w.Links = &Links{Loop: loop, OneWay: oneWay, Loss: lossRate}
+	w.Links = &Links{Loop: loop, OneWay: linkDelay, Loss: lossRate}
 	for i := range w.Alive {
 		w.Alive[i] = true
 	}
 	return w
 }
 
-// slot is the live slot that a caller of s reaches.
-func (w *World) slot(s int) int {
+// liveSlot returns the first live slot from s on: the one that a caller of s
+// reaches.
+func (w *World) liveSlot(s int) int {
 	for range w.Alive {
 		if w.Alive[s] {
 			return s
@@ -55,15 +56,15 @@
 	return s
 }
 
-// Counts are what one workspace saw.
+// Counts are the results of one workspace.
 type Counts struct {
 	Asked   int
 	Refused int
-	Waited  int // decided after a round trip
-	Tokens  core.Tokens
+	Waited  int         // decided after a round trip
+	Tokens  core.Tokens // used by granted requests
 }
 
-// Outcome is what one policy made of one trace.
+// Outcome is the result of one policy on one trace.
 type Outcome struct {
 	By       map[core.WorkspaceID]*Counts
 	Charges  map[core.WorkspaceID][]Charge
@@ -71,7 +72,7 @@
 	Requests int
 }
 
-// Over is the most that any workspace got beyond its limit.
+// Over returns the maximum that any workspace got beyond its limit, in tokens.
 func (o *Outcome) Over(t Trace) core.Tokens {
 	worst := core.Tokens(0)
 	for _, x := range t.Tenants {
@@ -81,10 +82,10 @@
 	return worst
 }
 
-// warmUp is how long a trace runs before its requests are counted.
+// warmUp is the time before a trace starts and messages are counted.
 const warmUp = 5 * time.Second
 
-// run plays a trace against a policy.
+// run runs a trace against a policy.
 func run(w *World, p Policy, arrivals []Arrival) *Outcome {
 	o := &Outcome{By: make(map[core.WorkspaceID]*Counts), Charges: make(map[core.WorkspaceID][]Charge)}
 	for _, t := range w.Trace.Tenants {
@@ -92,10 +93,10 @@
 	}
 	base := core.Instant(warmUp)
 	for _, f := range w.Trace.Faults {
-		w.Loop.At(base.Add(time.Duration(f.At)), func() { w.fault(p, f) })
+		w.Loop.At(base.Add(time.Duration(f.At)), func() { w.applyFault(p, f) })
 	}
 	for _, a := range arrivals {
-		w.Loop.At(base.Add(time.Duration(a.At)), func() { w.arrive(p, o, a) })
+		w.Loop.At(base.Add(time.Duration(a.At)), func() { w.startRequest(p, o, a) })
 	}
 	var before uint64
 	w.Loop.At(base, func() { before = p.Messages() })
@@ -104,7 +105,7 @@
 	return o
 }
 
-func (w *World) fault(p Policy, f Fault) {
+func (w *World) applyFault(p Policy, f Fault) {
 	switch f.Kind {
 	case "lose":
 		if f.Of == "" {
@@ -120,14 +121,14 @@
 	p.Fault(f)
 }
 
-func (w *World) arrive(p Policy, o *Outcome, a Arrival) {
-	slot := w.slot(a.Slot)
+func (w *World) startRequest(p Policy, o *Outcome, a Arrival) {
+	slot := w.liveSlot(a.Slot)
 	c := o.By[a.Workspace]
 	c.Asked++
 	o.Requests++
-	asked := w.Loop.Now
+	sentAt := w.Loop.Now
 	p.Reserve(slot, a, func(granted bool) {
-		if w.Loop.Now > asked {
+		if w.Loop.Now > sentAt {
 			c.Waited++
 		}
 		if !granted {
@@ -140,7 +141,8 @@
 	})
 }
 
-// central is one bucket with full knowledge and no distance.
+// central is the ideal: one bucket per workspace, which all hosts use without
+// delay.
 type central struct {
 	w       *World
 	buckets map[core.WorkspaceID]*limit.Single
