--- a/internal/measure/adapters/adapters.go
+++ b/internal/measure/adapters/adapters.go
@@ -7,21 +7,22 @@
 	"gentiancroft/internal/measure"
 )
 
-// Measure compares placement with its baselines on load stalls and batches.
+// Measure is the measurement as the command line lists it.
 var Measure = measure.Measure{
 	Name:  "adapters",
 	Short: "load stalls and batch sizes of placement against baselines",
 	Run:   Run,
 }
 
-// Bounds from the targets.
+// Bounds of the targets, as ratios.
 const (
-	stallsOfBaseline    = 0.5
-	stallsOfClairvoyant = 1.3
-	batchOfLeastLoaded  = 0.95
+	maxStallsOfBaseline    = 0.5
+	maxStallsOfClairvoyant = 1.3
+	minBatchOfLeastLoaded  = 0.95
 )
 
-// scenario is one table of the report.
+// scenario is the deployment, popularity skew and slots per engine of one table
+// of the report.
 type scenario struct {
 	deployment deployment
 	skew       float64
@@ -44,16 +45,16 @@
 	return all
 }
 
-// scores are one scenario's results.
-type scores struct{ ours, least, hash, informed, clairvoyant *score }
+// scores are the results of one scenario by policy.
+type scores struct{ placement, leastLoaded, hash, informed, clairvoyant *score }
 
-// Run plays every scenario. They are independent, so they run side by side.
+// Run measures every scenario. They are independent and run concurrently.
 func Run(seed uint64) (measure.Report, error) {
 	all := scenarios()
 	results := make([]scores, len(all))
 	var wait sync.WaitGroup
 	for i, s := range all {
-		wait.Go(func() { results[i] = s.play(seed) })
+		wait.Go(func() { results[i] = s.evaluate(seed) })
 	}
 	wait.Wait()
 	r := measure.Report{Name: "adapters", Seed: seed}
@@ -61,17 +62,17 @@
 		r.Tables = append(r.Tables, table(s.String(), results[i]))
 		r.Targets = append(r.Targets, targets(s.String(), results[i])...)
 	}
-	bytes, err := sizes()
+	bytes, err := messageSizes()
 	r.Tables = append(r.Tables, bytes)
 	return r, err
 }
 
-func (s scenario) play(seed uint64) scores {
+func (s scenario) evaluate(seed uint64) scores {
 	w := trace(s.deployment, s.skew, seed)
 	return scores{
-		ours:        runPlaced(s.deployment, s.slots, w, seed),
-		least:       runBaseline(s.deployment, s.slots, w, leastLoaded{}),
-		hash:        runBaseline(s.deployment, s.slots, w, hashed{}),
+		placement:   runPlacement(s.deployment, s.slots, w, seed),
+		leastLoaded: runBaseline(s.deployment, s.slots, w, leastLoaded{}),
+		hash:        runBaseline(s.deployment, s.slots, w, consistentHash{}),
 		informed:    runBaseline(s.deployment, s.slots, w, informed),
 		clairvoyant: runBaseline(s.deployment, s.slots, w, clairvoyant),
 	}
@@ -82,8 +83,8 @@
 		Title:   title,
 		Columns: []string{"stalled share", "stall seconds", "p95 first token s", "mean batch", "loads/min", "refused", "cut", "faults", "feed B/s"},
 		Rows: []measure.Row{
-			row("placement", s.ours),
-			row("least loaded, LRU", s.least),
+			row("placement", s.placement),
+			row("least loaded, LRU", s.leastLoaded),
 			row("consistent hash, LRU", s.hash),
 			row("knows the popularity", s.informed),
 			row("clairvoyant", s.clairvoyant),
@@ -92,21 +93,21 @@
 }
 
 func targets(name string, s scores) []measure.Target {
-	share := min(s.least.share(), s.hash.share())
-	seconds := min(s.least.stall, s.hash.stall).Seconds()
+	bestShare := min(s.leastLoaded.stalledFraction(), s.hash.stalledFraction())
+	bestStall := min(s.leastLoaded.stallTime, s.hash.stallTime).Seconds()
 	return []measure.Target{
-		target(name+": stalled share / better baseline", stallsOfBaseline, s.ours.share()/share),
-		target(name+": stall seconds / better baseline", stallsOfBaseline, s.ours.stall.Seconds()/seconds),
-		target(name+": stalled share / clairvoyant", stallsOfClairvoyant, s.ours.share()/s.clairvoyant.share()),
-		target(name+": stall seconds / clairvoyant", stallsOfClairvoyant, s.ours.stall.Seconds()/s.clairvoyant.stall.Seconds()),
-		atLeast(name+": batch / least loaded", batchOfLeastLoaded, s.ours.batch/s.least.batch),
-		target(name+": faults", 0, float64(s.ours.faults)),
+		target(name+": stalled share / better baseline", maxStallsOfBaseline, s.placement.stalledFraction()/bestShare),
+		target(name+": stall seconds / better baseline", maxStallsOfBaseline, s.placement.stallTime.Seconds()/bestStall),
+		target(name+": stalled share / clairvoyant", maxStallsOfClairvoyant, s.placement.stalledFraction()/s.clairvoyant.stalledFraction()),
+		target(name+": stall seconds / clairvoyant", maxStallsOfClairvoyant, s.placement.stallTime.Seconds()/s.clairvoyant.stallTime.Seconds()),
+		atLeast(name+": batch / least loaded", minBatchOfLeastLoaded, s.placement.meanBatch/s.leastLoaded.meanBatch),
+		target(name+": faults", 0, float64(s.placement.faults)),
 	}
 }
 
 func row(label string, s *score) measure.Row {
 	return measure.Row{Label: label, Values: []float64{
-		s.share(), s.stall.Seconds(), s.p95(), s.batch, s.loads, float64(s.refused), float64(s.cut), float64(s.faults), s.feed,
+		s.stalledFraction(), s.stallTime.Seconds(), s.firstTokenP95(), s.meanBatch, s.loadsPerMinute, float64(s.refused), float64(s.aborted), float64(s.faults), s.feedBytesPerSecond,
 	}}
 }
 
--- a/internal/measure/adapters/adapters_test.go
+++ b/internal/measure/adapters/adapters_test.go
@@ -10,7 +10,7 @@
 func TestSameSeedGivesTheSameScore(t *testing.T) {
 	is := is.New(t)
 	w := trace(parapet, 1.1, 3)
-	a, b := runPlaced(parapet, 8, w, 3), runPlaced(parapet, 8, w, 3)
+	a, b := runPlacement(parapet, 8, w, 3), runPlacement(parapet, 8, w, 3)
 	is.True(reflect.DeepEqual(a, b))
-	is.Equal(a.faults, 0) // no adapter lost under a running request
+	is.Equal(a.faults, 0) // no request ran without its adapter
 }
--- a/internal/measure/adapters/baseline.go
+++ b/internal/measure/adapters/baseline.go
@@ -8,59 +8,59 @@
 	"gentiancroft/internal/core"
 )
 
-// policy is how a baseline chooses an engine and a victim. Baselines see every
-// engine without lag and decide in no time.
+// policy chooses engines and evictions of a baseline. Baselines use the current
+// state of all engines and decide without delay.
 type policy interface {
 	engine(b *baseline, c *call) int
-	victim(b *baseline, e int) int // an adapter, or -1
+	victim(b *baseline, e int) int // an adapter to evict, or -1
 }
 
-// waiter is a request that waits for its adapter or for a batch place.
+// waiter is a request that waits for its adapter or for a place in the batch.
 type waiter struct {
 	call    *call
 	stalled bool
-	ready   time.Duration // when its adapter was there
+	ready   time.Duration // time at which its adapter was loaded
 }
 
-// baseline is a fleet under a policy with one view of everything.
+// baseline is a fleet whose requests one policy assigns.
 type baseline struct {
-	workload *workload
-	clock    clock
-	policy   policy
-	engines  []*engine
-	store    *store
-	slots    int
-	used     []map[int]time.Duration // last use of each adapter, by engine
-	loading  []map[int]bool
-	waiting  []map[int][]*waiter // for an adapter, by engine
-	queue    [][]*waiter         // for a batch place
-	blocked  [][]int             // adapters that wait for a free slot
-	ended    []int               // generation, to drop loads across a restart
-	score    *score
-	upcoming map[int][]time.Duration // every use of an adapter, in order
+	workload       *workload
+	clock          clock
+	policy         policy
+	engines        []*engine
+	store          *weightStore
+	slots          int
+	lastUse        []map[int]time.Duration // last use of each adapter, by engine
+	loading        []map[int]bool          // adapters that load or wait for a slot, by engine
+	waiting        []map[int][]*waiter     // requests that wait for an adapter, by engine
+	queue          [][]*waiter             // requests that wait for a place in the batch, by engine
+	waitingForSlot [][]int                 // adapters that wait for a slot, by engine
+	restarts       []int                   // restarts by engine; a load that spans one fails
+	score          *score
+	upcoming       map[int][]time.Duration // times of use of each adapter, in order
 }
 
-// runBaseline plays a trace through a policy.
+// runBaseline runs a trace through a policy.
 func runBaseline(d deployment, slots int, w *workload, p policy) *score {
 	b := &baseline{workload: w, policy: p, slots: slots, score: newScore(), upcoming: map[int][]time.Duration{}}
-	b.store = &store{clock: &b.clock, rate: d.storeRate}
+	b.store = &weightStore{clock: &b.clock, rate: d.storeRate}
 	for i := range d.engines {
 		b.engines = append(b.engines, newEngine(&b.clock, i))
-		b.used = append(b.used, map[int]time.Duration{})
+		b.lastUse = append(b.lastUse, map[int]time.Duration{})
 		b.loading = append(b.loading, map[int]bool{})
 		b.waiting = append(b.waiting, map[int][]*waiter{})
 	}
 	b.queue = make([][]*waiter, d.engines)
-	b.blocked = make([][]int, d.engines)
-	b.ended = make([]int, d.engines)
+	b.waitingForSlot = make([][]int, d.engines)
+	b.restarts = make([]int, d.engines)
 	for i := range w.calls {
 		c := &w.calls[i]
 		b.upcoming[c.adapter] = append(b.upcoming[c.adapter], c.at)
 		b.clock.after(c.at, func() { b.arrive(c) })
 	}
-	b.clock.after(restartAt, func() { b.restart(restarted) })
-	b.clock.after(halfRateAt, func() { b.store.accrue(); b.store.rate = d.storeRate / 2 })
-	b.clock.after(halfRateEnd, func() { b.store.accrue(); b.store.rate = d.storeRate })
+	b.clock.after(restartAt, func() { b.restart(restartedEngine) })
+	b.clock.after(halfRateFrom, func() { b.store.accrue(); b.store.rate = d.storeRate / 2 })
+	b.clock.after(halfRateUntil, func() { b.store.accrue(); b.store.rate = d.storeRate })
 	before := 0
 	b.clock.after(warmUp, func() { before = b.store.loads })
 	b.clock.runUntil(runTime)
@@ -71,73 +71,73 @@
 func (b *baseline) arrive(c *call) {
 	e := b.policy.engine(b, c)
 	w := &waiter{call: c, ready: c.at}
-	b.used[e][c.adapter] = b.clock.now
-	if b.engines[e].holds[c.adapter] {
+	b.lastUse[e][c.adapter] = b.clock.now
+	if b.engines[e].loaded[c.adapter] {
 		b.queue[e] = append(b.queue[e], w)
-		b.pump(e)
+		b.startQueued(e)
 		return
 	}
 	w.stalled = true
 	b.waiting[e][c.adapter] = append(b.waiting[e][c.adapter], w)
-	b.clock.after(patience, func() { b.giveUp(e, w) })
+	b.clock.after(requestTimeout, func() { b.refuse(e, w) })
 	if !b.loading[e][c.adapter] {
 		b.loading[e][c.adapter] = true
-		b.blocked[e] = append(b.blocked[e], c.adapter)
-		b.load(e)
+		b.waitingForSlot[e] = append(b.waitingForSlot[e], c.adapter)
+		b.startLoads(e)
 	}
 }
 
-func (b *baseline) giveUp(e int, w *waiter) {
+func (b *baseline) refuse(e int, w *waiter) {
 	list := b.waiting[e][w.call.adapter]
 	if i := slices.Index(list, w); i >= 0 {
 		b.waiting[e][w.call.adapter] = slices.Delete(list, i, i+1)
-		b.score.gaveUp(w.call, b.clock.now)
+		b.score.recordRefused(w.call, b.clock.now)
 	}
 }
 
-// load starts what waits for a slot, evicting as the policy says.
-func (b *baseline) load(e int) {
-	for len(b.blocked[e]) > 0 {
-		under := len(b.loading[e]) - len(b.blocked[e])
-		if len(b.engines[e].holds)+under >= b.slots {
-			v := b.policy.victim(b, e)
-			if v < 0 {
+// startLoads starts the loads that wait for a slot and evicts adapters for them.
+func (b *baseline) startLoads(e int) {
+	for len(b.waitingForSlot[e]) > 0 {
+		inProgress := len(b.loading[e]) - len(b.waitingForSlot[e])
+		if len(b.engines[e].loaded)+inProgress >= b.slots {
+			evicted := b.policy.victim(b, e)
+			if evicted < 0 {
 				return
 			}
-			delete(b.engines[e].holds, v)
+			delete(b.engines[e].loaded, evicted)
 		}
-		a := b.blocked[e][0]
-		b.blocked[e] = b.blocked[e][1:]
-		generation := b.ended[e]
-		b.store.load(func() { b.loaded(e, a, generation) })
+		a := b.waitingForSlot[e][0]
+		b.waitingForSlot[e] = b.waitingForSlot[e][1:]
+		generation := b.restarts[e]
+		b.store.load(func() { b.loadDone(e, a, generation) })
 	}
 }
 
-func (b *baseline) loaded(e, a, generation int) {
-	if generation != b.ended[e] {
+func (b *baseline) loadDone(e, a, generation int) {
+	if generation != b.restarts[e] {
 		return
 	}
 	delete(b.loading[e], a)
-	b.engines[e].holds[a] = true
+	b.engines[e].loaded[a] = true
 	for _, w := range b.waiting[e][a] {
 		w.ready = b.clock.now
 		b.queue[e] = append(b.queue[e], w)
 	}
 	delete(b.waiting[e], a)
-	b.pump(e)
-	b.load(e)
+	b.startQueued(e)
+	b.startLoads(e)
 }
 
-func (b *baseline) pump(e int) {
-	for len(b.queue[e]) > 0 && len(b.engines[e].batch) < batchPlaces {
+func (b *baseline) startQueued(e int) {
+	for len(b.queue[e]) > 0 && len(b.engines[e].batch) < batchSize {
 		w := b.queue[e][0]
 		b.queue[e] = b.queue[e][1:]
-		b.score.served(w.call, b.clock.now+linkTime, w.stalled, w.ready-w.call.at)
+		b.score.recordServed(w.call, b.clock.now+linkDelay, w.stalled, w.ready-w.call.at)
 		ok := b.engines[e].start(w.call.adapter, w.call.tokens, func(ok bool) {
 			if !ok {
-				b.score.cut++
+				b.score.aborted++
 			}
-			b.clock.after(0, func() { b.pump(e); b.load(e) })
+			b.clock.after(0, func() { b.startQueued(e); b.startLoads(e) })
 		})
 		if !ok {
 			b.score.faults++
@@ -145,27 +145,28 @@
 	}
 }
 
-// restart loses what the engine holds and runs; what waits asks again.
+// restart restarts an engine and assigns the requests that wait there again.
 func (b *baseline) restart(e int) {
-	b.ended[e]++
+	b.restarts[e]++
 	b.engines[e].restart()
-	again := b.queue[e]
-	for _, a := range slices.Sorted(mapKeys(b.waiting[e])) {
-		again = append(again, b.waiting[e][a]...)
+	requeued := b.queue[e]
+	for _, a := range slices.Sorted(intKeys(b.waiting[e])) {
+		requeued = append(requeued, b.waiting[e][a]...)
 	}
-	b.queue[e], b.blocked[e] = nil, nil
+	b.queue[e], b.waitingForSlot[e] = nil, nil
 	b.waiting[e], b.loading[e] = map[int][]*waiter{}, map[int]bool{}
-	for _, w := range again {
+	for _, w := range requeued {
 		b.arrive(w.call)
 	}
 }
 
-// pinned reports whether an adapter serves or is about to.
+// pinned reports whether an adapter runs a request or has one queued.
 func (b *baseline) pinned(e, a int) bool {
 	return b.engines[e].running[a] > 0 || slices.ContainsFunc(b.queue[e], func(w *waiter) bool { return w.call.adapter == a })
 }
 
-func (b *baseline) load1(e int) int {
+// pending returns the number of requests that run or wait on an engine.
+func (b *baseline) pending(e int) int {
 	n := len(b.engines[e].batch) + len(b.queue[e])
 	for _, list := range b.waiting[e] {
 		n += len(list)
@@ -173,11 +174,11 @@
 	return n
 }
 
-// leastUsed is the adapter that was used longest ago and may go.
+// leastUsed returns the least recently used adapter that is not pinned, or -1.
 func (b *baseline) leastUsed(e int) int {
 	best := -1
-	for _, a := range slices.Sorted(mapKeys(b.engines[e].holds)) {
-		if !b.pinned(e, a) && (best < 0 || b.used[e][a] < b.used[e][best]) {
+	for _, a := range slices.Sorted(intKeys(b.engines[e].loaded)) {
+		if !b.pinned(e, a) && (best < 0 || b.lastUse[e][a] < b.lastUse[e][best]) {
 			best = a
 		}
 	}
@@ -190,7 +191,7 @@
 func (leastLoaded) engine(b *baseline, _ *call) int {
 	best := 0
 	for e := range b.engines {
-		if b.load1(e) < b.load1(best) {
+		if b.pending(e) < b.pending(best) {
 			best = e
 		}
 	}
@@ -199,10 +200,11 @@
 
 func (leastLoaded) victim(b *baseline, e int) int { return b.leastUsed(e) }
 
-// hashed sends each adapter to an engine of its own by rendezvous hash.
-type hashed struct{}
+// consistentHash sends all requests of an adapter to one engine, by rendezvous
+// hash.
+type consistentHash struct{}
 
-func (hashed) engine(b *baseline, c *call) int {
+func (consistentHash) engine(b *baseline, c *call) int {
 	best, top := 0, uint64(0)
 	for e := range b.engines {
 		if s := core.Score(core.HostID(strconv.Itoa(e)), 0, strconv.Itoa(c.adapter)); s > top {
@@ -212,4 +214,4 @@
 	return best
 }
 
-func (hashed) victim(b *baseline, e int) int { return b.leastUsed(e) }
+func (consistentHash) victim(b *baseline, e int) int { return b.leastUsed(e) }
--- a/internal/measure/adapters/clock.go
+++ b/internal/measure/adapters/clock.go
@@ -1,6 +1,8 @@
-// Package adapters measures how well placement keeps adapters warm: the same
-// seeded traces through the placement machines of several hosts and through
-// three baselines, in virtual time over one simple engine and store model.
+// Package adapters measures how rarely requests wait for adapter loads under
+// placement. The same seeded traces run through the placement machines of
+// several hosts and through four baselines, two of them bounds that no real
+// policy can reach, in virtual time over one simple model of engines and weight
+// store.
 package adapters
 
 import (
@@ -8,7 +10,8 @@
 	"time"
 )
 
-// event is something due at a virtual time.
+// event is a function due at a virtual time; events at the same time run in the
+// order in which they were added.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -38,19 +41,20 @@
 	return e
 }
 
-// clock runs events in order of their virtual time.
+// clock runs events in the order of their virtual time.
 type clock struct {
 	now  time.Duration
 	seq  uint64
 	heap events
 }
 
+// after runs a function d from now.
 func (c *clock) after(d time.Duration, run func()) {
 	c.seq++
 	heap.Push(&c.heap, event{at: c.now + max(d, 0), seq: c.seq, run: run})
 }
 
-// runUntil runs what is due before end.
+// runUntil runs the events due before end.
 func (c *clock) runUntil(end time.Duration) {
 	for len(c.heap) > 0 && c.heap[0].at < end {
 		e := heap.Pop(&c.heap).(event)
--- a/internal/measure/adapters/engine.go
+++ b/internal/measure/adapters/engine.go
@@ -5,85 +5,87 @@
 	"time"
 )
 
-// Timing of the engine and store model. Load time and its limit are the
-// brief's; the rest is stated with the figures.
+// Times and sizes of the engine and store model.
 const (
-	batchPlaces  = 32
-	stepBase     = 20 * time.Millisecond // between tokens of a lone request
-	stepPerRun   = 500 * time.Microsecond
-	prefillTime  = 80 * time.Millisecond
-	loadTime     = 250 * time.Millisecond
-	fullSpeed    = 8 // loads in transit
-	unloadTime   = 5 * time.Millisecond
-	linkTime     = 1500 * time.Microsecond
-	storeBurst   = 1.0
-	reportLag    = 200 * time.Millisecond
-	pollInterval = time.Second
+	batchSize           = 32
+	stepBase            = 20 * time.Millisecond  // of a step, without the part per request
+	stepPerRequest      = 500 * time.Microsecond // added to a step by each request of the batch
+	prefillTime         = 80 * time.Millisecond
+	loadTime            = 250 * time.Millisecond
+	maxLoadsAtFullSpeed = 8 // concurrent loads; more slow each other down
+	unloadTime          = 5 * time.Millisecond
+	linkDelay           = 1500 * time.Microsecond
+	storeBurst          = 1.0
+	reportLag           = 200 * time.Millisecond
+	pollInterval        = time.Second
 )
 
-// store is the weight store: a rate, and loads that slow each other down.
-type store struct {
-	clock   *clock
-	rate    float64 // loads per second
-	tokens  float64
-	at      time.Duration
-	transit int
-	waiting []func()
-	armed   bool
-	loads   int
+// weightStore is the weight store: it starts loads at a limited rate, and many
+// at once slow each other down.
+type weightStore struct {
+	clock           *clock
+	rate            float64       // loads per second
+	tokens          float64       // loads that may start now
+	accruedAt       time.Duration // time to which tokens has accrued
+	loadsInProgress int
+	waiting         []func()
+	retryScheduled  bool
+	loads           int // started
 }
 
-func (s *store) accrue() {
-	s.tokens = min(s.tokens+s.rate*(s.clock.now-s.at).Seconds(), storeBurst)
-	s.at = s.clock.now
+func (s *weightStore) accrue() {
+	s.tokens = min(s.tokens+s.rate*(s.clock.now-s.accruedAt).Seconds(), storeBurst)
+	s.accruedAt = s.clock.now
 }
 
-// load calls done when the weights have arrived.
-func (s *store) load(done func()) {
+// load calls done once the weights are loaded.
+func (s *weightStore) load(done func()) {
 	s.waiting = append(s.waiting, done)
-	s.pump()
+	s.startLoads()
 }
 
-func (s *store) pump() {
+// startLoads starts the loads that the rate allows, and schedules the next
+// attempt.
+func (s *weightStore) startLoads() {
 	const nearlyOne = 1 - 1e-9
 	s.accrue()
 	for len(s.waiting) > 0 && s.tokens >= nearlyOne {
 		s.tokens--
 		done := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		s.transit++
+		s.loadsInProgress++
 		s.loads++
-		slowed := max(1, float64(s.transit)/fullSpeed)
+		slowed := max(1, float64(s.loadsInProgress)/maxLoadsAtFullSpeed)
 		s.clock.after(time.Duration(float64(loadTime)*slowed), func() {
-			s.transit--
+			s.loadsInProgress--
 			done()
 		})
 	}
-	if len(s.waiting) == 0 || s.armed {
+	if len(s.waiting) == 0 || s.retryScheduled {
 		return
 	}
-	s.armed = true
+	s.retryScheduled = true
 	s.clock.after(time.Duration((1-s.tokens)/s.rate*float64(time.Second))+time.Microsecond, func() {
-		s.armed = false
-		s.pump()
+		s.retryScheduled = false
+		s.startLoads()
 	})
 }
 
-// run is one request in an engine's batch.
-type run struct {
-	adapter int
-	left    float64 // engine progress at which it ends
-	done    func(ok bool)
+// batchedRequest is one request in an engine's batch.
+type batchedRequest struct {
+	adapter     int
+	endProgress float64 // progress of the engine at which it ends
+	done        func(ok bool)
 }
 
-type runs []*run
+type runs []*batchedRequest
 
 func (h runs) Len() int           { return len(h) }
-func (h runs) Less(i, j int) bool { return h[i].left < h[j].left }
+func (h runs) Less(i, j int) bool { return h[i].endProgress < h[j].endProgress }
 func (h runs) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *runs) Push(x any) { *h = append(*h, x.(*run)) }
+func (h *runs) Push(x any) { *h = append(*h, x.(*batchedRequest)) }
 
 // Pop implements heap.Interface.
 func (h *runs) Pop() any {
@@ -93,33 +95,35 @@
 	return r
 }
 
-// engine batches continuously: every request in the batch gains one token a
-// step, and a step takes longer the more there are.
+// engine models continuous batching: each step adds one token to every request
+// of the batch, and takes longer the larger the batch is.
 type engine struct {
 	clock       *clock
 	id          int
 	incarnation int
-	holds       map[int]bool
+	loaded      map[int]bool
 	running     map[int]int // by adapter
 	batch       runs
-	progress    float64 // tokens that a request of the whole run would have
-	at          time.Duration
-	version     int           // of the armed end
-	busy        time.Duration // with at least one running
-	work        float64       // seconds times batch size
+	progress    float64       // steps so far
+	advancedAt  time.Duration // time to which progress has advanced
+	endVersion  int           // of the scheduled end; older ones are ignored
+	busy        time.Duration // with a batch that is not empty
+	work        float64       // integral of the batch size, in seconds
 }
 
 func newEngine(c *clock, id int) *engine {
-	return &engine{clock: c, id: id, holds: map[int]bool{}, running: map[int]int{}}
+	return &engine{clock: c, id: id, loaded: map[int]bool{}, running: map[int]int{}}
 }
 
+// step returns the time of a step at the current batch size.
 func (e *engine) step() time.Duration {
-	return stepBase + time.Duration(len(e.batch))*stepPerRun
+	return stepBase + time.Duration(len(e.batch))*stepPerRequest
 }
 
+// advance updates progress and the batch statistics to the current time.
 func (e *engine) advance() {
-	passed := e.clock.now - e.at
-	e.at = e.clock.now
+	passed := e.clock.now - e.advancedAt
+	e.advancedAt = e.clock.now
 	if len(e.batch) == 0 {
 		return
 	}
@@ -130,28 +134,29 @@
 	}
 }
 
-// start runs a request; it returns false where the adapter is not held.
+// start runs a request; it returns false if the adapter is not loaded.
 func (e *engine) start(adapter int, tokens float64, done func(ok bool)) bool {
-	if !e.holds[adapter] {
+	if !e.loaded[adapter] {
 		return false
 	}
 	e.advance()
 	e.running[adapter]++
 	tokens += float64(prefillTime) / float64(stepBase)
-	heap.Push(&e.batch, &run{adapter: adapter, left: e.progress + tokens, done: done})
-	e.arm()
+	heap.Push(&e.batch, &batchedRequest{adapter: adapter, endProgress: e.progress + tokens, done: done})
+	e.scheduleEnd()
 	return true
 }
 
-func (e *engine) arm() {
-	e.version++
+// scheduleEnd schedules the end of the request that ends first.
+func (e *engine) scheduleEnd() {
+	e.endVersion++
 	if len(e.batch) == 0 {
 		return
 	}
-	v := e.version
-	in := time.Duration((e.batch[0].left - e.progress) * float64(e.step()))
+	v := e.endVersion
+	in := time.Duration((e.batch[0].endProgress - e.progress) * float64(e.step()))
 	e.clock.after(in, func() {
-		if v == e.version {
+		if v == e.endVersion {
 			e.finish()
 		}
 	})
@@ -160,28 +165,28 @@
 func (e *engine) finish() {
 	const nearly = 1e-6
 	e.advance()
-	for len(e.batch) > 0 && e.batch[0].left <= e.progress+nearly {
-		r := heap.Pop(&e.batch).(*run)
-		e.drop(r.adapter)
+	for len(e.batch) > 0 && e.batch[0].endProgress <= e.progress+nearly {
+		r := heap.Pop(&e.batch).(*batchedRequest)
+		e.requestEnded(r.adapter)
 		r.done(true)
 	}
-	e.arm()
+	e.scheduleEnd()
 }
 
-func (e *engine) drop(adapter int) {
+func (e *engine) requestEnded(adapter int) {
 	if e.running[adapter]--; e.running[adapter] == 0 {
 		delete(e.running, adapter)
 	}
 }
 
-// restart loses every adapter and request.
+// restart drops all adapters and fails all running requests.
 func (e *engine) restart() {
 	e.advance()
 	lost := e.batch
 	e.batch = nil
 	e.incarnation++
-	e.holds, e.running = map[int]bool{}, map[int]int{}
-	e.arm()
+	e.loaded, e.running = map[int]bool{}, map[int]int{}
+	e.scheduleEnd()
 	for _, r := range lost {
 		r.done(false)
 	}
--- a/internal/measure/adapters/score.go
+++ b/internal/measure/adapters/score.go
@@ -6,63 +6,67 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// score is what one policy did with one trace, after the warm-up.
+// score is the result of one policy on one trace, after the warm-up.
 type score struct {
-	requests int
-	stalled  int // waited for a load
-	stall    time.Duration
-	refused  int // not served by their deadline
-	cut      int // running on an engine that restarted
-	first    *hdr.Histogram
-	batch    float64 // mean requests in a batch that is not empty
-	loads    float64 // a minute
-	feed     float64 // bytes a second of residencies, as every host receives them
-	faults   int     // ran without the adapter, or lost it while running
+	requests           int
+	stalled            int            // requests that waited for a load
+	stallTime          time.Duration  // total wait for loads
+	refused            int            // requests not started by their deadline
+	aborted            int            // requests running on an engine that restarted
+	firstToken         *hdr.Histogram // time to the first token, microseconds
+	meanBatch          float64        // mean size of the batches that are not empty
+	loadsPerMinute     float64
+	feedBytesPerSecond float64 // bytes per second of residencies that each host receives
+	faults             int     // requests that ran without their adapter or lost it while running
 }
 
 func newScore() *score {
 	const maxFirst = int64(10 * time.Minute / time.Microsecond)
-	return &score{first: hdr.New(1, maxFirst, 3)}
+	return &score{firstToken: hdr.New(1, maxFirst, 3)}
 }
 
-// served records a request that began to run at an engine.
-func (s *score) served(c *call, at time.Duration, stalled bool, stall time.Duration) {
+// recordServed records a request that starts to run on an engine.
+func (s *score) recordServed(c *call, at time.Duration, stalled bool, stall time.Duration) {
 	if c.at < warmUp {
 		return
 	}
 	s.requests++
-	_ = s.first.RecordValue(int64((at - c.at + prefillTime) / time.Microsecond))
+	_ = s.firstToken.RecordValue(int64((at - c.at + prefillTime) / time.Microsecond))
 	if stalled {
 		s.stalled++
-		s.stall += stall
+		s.stallTime += stall
 	}
 }
 
-// gaveUp records a request that was refused; all its waiting was a stall.
-func (s *score) gaveUp(c *call, at time.Duration) {
+// recordRefused records a refused request; its whole wait counts as a stall.
+func (s *score) recordRefused(c *call, at time.Duration) {
 	if c.at < warmUp {
 		return
 	}
 	s.requests++
 	s.refused++
 	s.stalled++
-	s.stall += at - c.at
-	_ = s.first.RecordValue(int64((at - c.at) / time.Microsecond))
+	s.stallTime += at - c.at
+	_ = s.firstToken.RecordValue(int64((at - c.at) / time.Microsecond))
 }
 
-func (s *score) share() float64 { return float64(s.stalled) / float64(max(s.requests, 1)) }
+// stalledFraction returns the fraction of requests that stalled.
+func (s *score) stalledFraction() float64 { return float64(s.stalled) / float64(max(s.requests, 1)) }
 
-func (s *score) p95() float64 {
-	return float64(s.first.ValueAtQuantile(95)) / float64(time.Second/time.Microsecond)
+// firstTokenP95 returns the 95th percentile of the time to the first token, in
+// seconds.
+func (s *score) firstTokenP95() float64 {
+	return float64(s.firstToken.ValueAtQuantile(95)) / float64(time.Second/time.Microsecond)
 }
 
-func (s *score) collect(engines []*engine, st *store, loadsBefore int) {
+// collect takes the batch sizes and loads from the engines and the store.
+func (s *score) collect(engines []*engine, st *weightStore, loadsBefore int) {
 	work, busy := 0.0, 0.0
 	for _, e := range engines {
 		e.advance()
 		work += e.work
 		busy += e.busy.Seconds()
 	}
-	s.batch = work / max(busy, 1e-9)
-	s.loads = float64(st.loads-loadsBefore) / (runTime - warmUp).Minutes()
+	s.meanBatch = work / max(busy, 1e-9)
+	s.loadsPerMinute = float64(st.loads-loadsBefore) / (runTime - warmUp).Minutes()
 }
--- a/internal/measure/adapters/sizes.go
+++ b/internal/measure/adapters/sizes.go
@@ -8,8 +8,9 @@
 	"gentiancroft/internal/measure"
 )
 
-// sizes lists what placement's messages weigh, encoded, for the capacity page.
-func sizes() (measure.Table, error) {
+// messageSizes lists the encoded sizes of placement's messages, for the
+// capacity page.
+func messageSizes() (measure.Table, error) {
 	adapter := core.AdapterRef{ID: "adapter-12345", Version: 12}
 	residency := placement.Residency{Upstream: "upstream-123", Fence: 1 << 20, Seq: 1 << 12, Load: 20, Warmth: 1, Victims: []float64{0.1, 0.2, 0.3}}
 	for range 32 {
--- a/internal/measure/adapters/trace.go
+++ b/internal/measure/adapters/trace.go
@@ -9,7 +9,7 @@
 	"gentiancroft/internal/core"
 )
 
-// deployment is one of the users' regions of today.
+// deployment is a region of one of today's deployments.
 type deployment struct {
 	name      string
 	engines   int
@@ -19,34 +19,35 @@
 	domains   int
 }
 
-// Today's sizes, from the brief.
+// Today's deployments.
 var (
 	parapet = deployment{name: "parapet", engines: 9, adapters: 3000, storeRate: 3, hosts: 8, domains: 3}
 	embalse = deployment{name: "embalse", engines: 12, adapters: 3000, storeRate: 3.5, hosts: 8, domains: 3}
 )
 
-// Shape of the traffic. Tokens a request is the brief's peak, 940,000 tokens
-// over 2,400 requests a second. The rate offered is stated against the store's.
+// Shape of the traffic. The mean tokens per request are those of the target
+// peak: 940,000 tokens/s over 2,400 requests/s. The request rate is relative to
+// the store's load rate.
 const (
-	requestsPerLoad = 1.5
-	meanTokens      = 392.0
-	minTokens       = 8
-	maxTokens       = 2048
-	workspaces      = 5
-	patience        = 60 * time.Second // a caller's deadline
-	runTime         = 50 * time.Minute
-	warmUp          = 20 * time.Minute // not measured: every cache starts empty
+	requestsPerStoreLoad = 1.5
+	meanTokens           = 392.0
+	minTokens            = 8
+	maxTokens            = 2048
+	workspaces           = 5
+	requestTimeout       = 60 * time.Second // a caller's deadline
+	runTime              = 50 * time.Minute
+	warmUp               = 20 * time.Minute // not measured: the engines start without adapters
 )
 
 // Faults of every run.
 const (
-	shiftEvery  = 4 * time.Minute // of popularity
-	shiftTop    = 100             // ranks among which
-	shiftMoved  = 20              // this many change places with colder ones
-	restartAt   = 30 * time.Minute
-	restarted   = 2 // the engine that comes back empty
-	halfRateAt  = 38 * time.Minute
-	halfRateEnd = 44 * time.Minute
+	shiftInterval   = 4 * time.Minute // between changes of popularity
+	shiftTopRanks   = 100             // top ranks that a change affects
+	shiftSwaps      = 20              // adapters of the top that swap ranks with others
+	restartAt       = 30 * time.Minute
+	restartedEngine = 2
+	halfRateFrom    = 38 * time.Minute
+	halfRateUntil   = 44 * time.Minute
 )
 
 // call is one request of a trace.
@@ -58,19 +59,19 @@
 	workspace core.WorkspaceID
 }
 
-// workload is a trace with what only a bound may know of it.
+// workload is a trace with the true popularity, which only bounds may use.
 type workload struct {
 	calls  []call
 	shifts []shift
 }
 
-// shift is the true popularity order from a time on.
+// shift is the true popularity order from a time until the next shift.
 type shift struct {
 	at   time.Duration
 	rank []int // by adapter
 }
 
-func (w *workload) noteRanks(at time.Duration, ranks []int) {
+func (w *workload) addShift(at time.Duration, ranks []int) {
 	rank := make([]int, len(ranks))
 	for r, a := range ranks {
 		rank[a] = r
@@ -78,7 +79,8 @@
 	w.shifts = append(w.shifts, shift{at, rank})
 }
 
-// rank is an adapter's place in the popularity order at a time.
+// rank returns an adapter's rank in the popularity order at a time, 0 for the
+// most popular.
 func (w *workload) rank(at time.Duration, a int) int {
 	i := len(w.shifts) - 1
 	for i > 0 && w.shifts[i].at > at {
@@ -87,8 +89,8 @@
 	return w.shifts[i].rank[a]
 }
 
-// trace draws the requests of one run: Poisson arrivals, Zipf popularity whose
-// ranks shift, exponential lengths.
+// trace draws the requests of one run: Poisson arrivals, Zipf popularity with
+// changing ranks, exponential lengths.
 func trace(d deployment, skew float64, seed uint64) *workload {
 	rng := core.NewRand(seed)
 	cumulative := make([]float64, d.adapters)
@@ -98,18 +100,18 @@
 		cumulative[i] = sum
 	}
 	ranks := rng.Perm(d.adapters)
-	rate := requestsPerLoad * d.storeRate
+	rate := requestsPerStoreLoad * d.storeRate
 	w := &workload{}
-	w.noteRanks(0, ranks)
-	shift := shiftEvery
+	w.addShift(0, ranks)
+	shift := shiftInterval
 	for at := time.Duration(0); at < runTime; {
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		for ; at >= shift; shift += shiftEvery {
-			for range shiftMoved {
-				i, j := rng.IntN(shiftTop), shiftTop+rng.IntN(d.adapters-shiftTop)
+		for ; at >= shift; shift += shiftInterval {
+			for range shiftSwaps {
+				i, j := rng.IntN(shiftTopRanks), shiftTopRanks+rng.IntN(d.adapters-shiftTopRanks)
 				ranks[i], ranks[j] = ranks[j], ranks[i]
 			}
-			w.noteRanks(shift, ranks)
+			w.addShift(shift, ranks)
 		}
 		rank := sort.SearchFloat64s(cumulative, rng.Float64()*sum)
 		a := ranks[min(rank, d.adapters-1)]
