--- a/internal/measure/once/change.go
+++ b/internal/measure/once/change.go
@@ -8,17 +8,17 @@
 	"gentiancroft/internal/measure"
 )
 
-// changesADay is the rate of configuration changes to design for.
-const changesADay = 3700
+// changesPerDay is the design rate of configuration changes.
+const changesPerDay = 3700
 
-// changeTable is what one change resends.
+// changeTable measures the bytes that one change sends again.
 func changeTable() (measure.Table, error) {
 	t := measure.Table{
 		Title:   "Bytes of a configuration change (one adapter's default version)",
 		Columns: []string{"whole document B", "chunks", "largest chunk B", "head B", "sent for one change B", "B/s at 3,700 changes a day"},
 	}
 	for _, adapters := range []int{3000, 15000, 60000} {
-		d := synthetic(adapters)
+		d := syntheticDocument(adapters)
 		before, chunks, err := config.Encode(d)
 		if err != nil {
 			return t, err
@@ -43,14 +43,14 @@
 		}
 		const day = 86400
 		t.Rows = append(t.Rows, measure.Row{Label: fmt.Sprint(adapters, " adapters"), Values: []float64{
-			float64(whole), float64(len(before.Chunks)), float64(largest), float64(len(head)), float64(sent), float64(sent) * changesADay / day,
+			float64(whole), float64(len(before.Chunks)), float64(largest), float64(len(head)), float64(sent), float64(sent) * changesPerDay / day,
 		}})
 	}
 	return t, nil
 }
 
-// synthetic is a valid document of some size.
-func synthetic(adapters int) *config.Document {
+// syntheticDocument returns a valid document with a number of adapters.
+func syntheticDocument(adapters int) *config.Document {
 	d := &config.Document{}
 	for i := range 4 {
 		d.BaseModels = append(d.BaseModels, config.BaseModel{ID: core.BaseModel(fmt.Sprint("base-", i))})
--- a/internal/measure/once/poison.go
+++ b/internal/measure/once/crash.go
@@ -9,20 +9,20 @@
 	"gentiancroft/internal/measure"
 )
 
-// A poisoned request, as its callers send it.
+// Parameters of the runs with a request that crashes its upstream.
 const (
-	poisonPrint   = 1
-	poisonRepeats = 5 // each caller sends it so often again
-	poisonRun     = 30 * time.Second
-	seedsEach     = 5 // runs of a case; the worst one counts
+	poisonFingerprint = 1
+	poisonRepeats     = 5 // by each caller
+	poisonRunTime     = 30 * time.Second
+	seedsPerCase      = 5 // runs of a case; the worst is reported
 )
 
-// poisonCase is one fleet.
+// poisonCase is a fleet that receives a crashing request.
 type poisonCase struct {
 	label     string
 	hosts     int
 	upstreams int
-	homeDead  bool // the fingerprint's home died, its lease still standing
+	homeDead  bool // the host that owns the fingerprint is dead, its lease not expired
 }
 
 var poisonCases = []poisonCase{
@@ -33,9 +33,9 @@
 	{"350 hosts, home dead and not yet replaced", 350, 670, true},
 }
 
-// poisonTable sends one crashing request through every entry host at once, its
-// callers repeating it. It returns the most upstreams that claims lost while
-// every host answered.
+// poisonTable sends one crashing request, with repeats, through every entry host
+// at once. It also returns the maximum number of upstreams lost under claims in
+// the cases with all hosts alive.
 func poisonTable(seed uint64) (measure.Table, int) {
 	t := measure.Table{
 		Title:   "Upstreams lost to one crashing request sent through every host at once, 5 repeats each: worst of 5 seeds",
@@ -45,12 +45,12 @@
 	for _, c := range poisonCases {
 		var lost [3]int
 		messages := 0.0
-		for s := range uint64(seedsEach) {
+		for s := range uint64(seedsPerCase) {
 			for p := range lost {
 				f := c.run(policy(p), seed+s)
-				lost[p] = max(lost[p], f.lost[poisonPrint])
+				lost[p] = max(lost[p], f.upstreamsLost[poisonFingerprint])
 				if policy(p) == claims {
-					messages = max(messages, float64(f.messages)/float64(f.serial))
+					messages = max(messages, float64(f.messages)/float64(f.arrivals))
 				}
 			}
 		}
@@ -69,20 +69,21 @@
 		for _, m := range f.members {
 			hosts = append(hosts, m.Host)
 		}
-		const kindOfHome = 101
-		home, _ := core.Rendezvous(hosts, kindOfHome, strconv.FormatUint(poisonPrint, 16))
-		f.silent[f.index(home)] = true
+		const homeKind = 101
+		home, _ := core.Rendezvous(hosts, homeKind, strconv.FormatUint(poisonFingerprint, 16))
+		f.dead[f.index(home)] = true
 	}
-	f.ticks()
+	f.startTicks()
 	for i := range c.hosts {
-		q := &request{print: poisonPrint, poison: true, entry: i, upstream: i % c.upstreams, repeats: poisonRepeats}
+		q := &request{print: poisonFingerprint, poison: true, entry: i, upstream: i % c.upstreams, repeatsLeft: poisonRepeats}
 		f.after(time.Duration(f.rng.Int64N(int64(time.Millisecond))), func() { f.arrive(q) })
 	}
-	f.run(poisonRun)
+	f.run(poisonRunTime)
 	return f
 }
 
-// clearingTable shows what becomes of the neighbours of a crashing request.
+// clearingTable measures the innocent neighbours of a crashing request: those
+// that ran on the same upstream. It also returns how many were refused for good.
 func clearingTable(seed uint64) (measure.Table, int) {
 	t := measure.Table{
 		Title:   "Innocent neighbours of a crashing request, 1 s of work each, sent again by their callers (claims): worst of 5 seeds",
@@ -99,18 +100,19 @@
 		{"168 upstreams, batch of 64", 168, 64},
 	} {
 		worst := measure.Row{Label: c.label}
-		for s := range uint64(seedsEach) {
-			row, r := clearing(c.upstreams, c.neighbours, seed+s)
+		for s := range uint64(seedsPerCase) {
+			row, r := clearingCase(c.upstreams, c.neighbours, seed+s)
 			refused += r
-			worst.Values = worse(worst.Values, row.Values)
+			worst.Values = worseValues(worst.Values, row.Values)
 		}
 		t.Rows = append(t.Rows, worst)
 	}
 	return t, refused
 }
 
-// worse takes the larger of each value, but the fewer completed.
-func worse(a, b []float64) []float64 {
+// worseValues returns the larger of each value, but the smaller number
+// completed.
+func worseValues(a, b []float64) []float64 {
 	if a == nil {
 		return b
 	}
@@ -126,14 +128,15 @@
 	return out
 }
 
-func clearing(upstreams, neighbours int, seed uint64) (measure.Row, int) {
+// clearingCase runs one case of clearingTable.
+func clearingCase(upstreams, neighbours int, seed uint64) (measure.Row, int) {
 	f := newFleet(claims, 8, upstreams, seed)
-	f.ticks()
+	f.startTicks()
 	for i := range neighbours {
-		q := &request{print: uint64(100 + i), entry: i % 8, repeats: 50}
+		q := &request{print: uint64(100 + i), entry: i % 8, repeatsLeft: 50}
 		f.after(0, func() { f.arrive(q) })
 	}
-	poison := &request{print: poisonPrint, poison: true, repeats: poisonRepeats}
+	poison := &request{print: poisonFingerprint, poison: true, repeatsLeft: poisonRepeats}
 	f.after(300*time.Millisecond, func() { f.arrive(poison) })
 	start := f.now
 	done := map[uint64]time.Duration{}
@@ -162,5 +165,5 @@
 			}
 		}
 	}
-	return measure.Row{Values: []float64{float64(neighbours), float64(len(done)), float64(len(convicted)), float64(f.lost[poisonPrint]), half, all}}, len(convicted)
+	return measure.Row{Values: []float64{float64(neighbours), float64(len(done)), float64(len(convicted)), float64(f.upstreamsLost[poisonFingerprint]), half, all}}, len(convicted)
 }
--- a/internal/measure/once/fleet.go
+++ b/internal/measure/once/fleet.go
@@ -9,29 +9,30 @@
 	"gentiancroft/internal/core/dispatch/suspect"
 )
 
-// policy is how a fleet bounds what a crashing request takes.
+// policy is how a fleet limits the upstreams that one request crashes.
 type policy int
 
 const (
 	untracked     policy = iota // every request is dispatched
-	broadcastOnly               // deaths are told to all hosts; two deaths refuse
+	broadcastOnly               // crashes are broadcast to all hosts; the budget of crashes refuses a request
 	claims                      // internal/core/dispatch/suspect
 )
 
-// Times of the fleet. Hosts are in three regions.
+// Times and sizes of the fleet. Hosts are in three regions.
 const (
-	nearDelay  = 1500 * time.Microsecond // one way within a region
-	farDelay   = 40 * time.Millisecond   // one way between regions
-	crashAfter = 50 * time.Millisecond   // from dispatch to the death
-	noticed    = 5 * time.Millisecond    // from the death to its entry hosts
-	restart    = 20 * time.Second        // of an upstream
-	workTime   = time.Second             // of an innocent request
-	tickEvery  = 100 * time.Millisecond
-	regions    = 3
-	moves      = 4 // to an upstream that the home names
+	nearDelay        = 1500 * time.Microsecond // one way within a region
+	farDelay         = 40 * time.Millisecond   // one way between regions
+	crashAfter       = 50 * time.Millisecond   // from dispatch to the crash
+	crashNoticeDelay = 5 * time.Millisecond    // from the crash until the entry hosts notice
+	restartTime      = 20 * time.Second        // of an upstream
+	workTime         = time.Second             // of a request that does not crash
+	tickInterval     = 100 * time.Millisecond
+	regions          = 3
+	maxMoves         = 4 // maximum per request, to an upstream that the claim's answer names
 )
 
-// event is something that happens at a time.
+// event is a function due at a time; events at the same time run in the order in
+// which they were added.
 type event struct {
 	at  core.Instant
 	seq int
@@ -52,41 +53,41 @@
 	return last
 }
 
-// request is one request of a caller, with its repeats.
+// request is one request of a caller, who may repeat it.
 type request struct {
-	id       core.RequestID
-	print    uint64
-	poison   bool
-	entry    int
-	upstream int
-	repeats  int // how often its caller may still send it again
-	moves    int
-	done     bool
-	refused  core.Code
-	runs     int
+	id          core.RequestID
+	print       uint64 // fingerprint
+	poison      bool
+	entry       int
+	upstream    int
+	repeatsLeft int // of the caller
+	moves       int
+	done        bool
+	refused     core.Code // reason of the refusal
+	runs        int       // dispatches to an upstream that was up
 }
 
-// fleet is hosts and upstreams under virtual time.
+// fleet is a set of hosts and upstreams in virtual time.
 type fleet struct {
-	now       core.Instant
-	rng       *core.Rand
-	policy    policy
-	queue     queue
-	seq       int
-	members   []core.Member
-	machines  []*suspect.Machine
-	silent    map[int]bool         // hosts that died, their lease still standing
-	known     []map[uint64]int     // deaths that each host has heard of, under broadcastOnly
-	upstreams int                  // how many
-	down      map[int]core.Instant // until when
-	running   map[int][]*request   // by upstream
-	byID      map[core.RequestID]*request
-	lost      map[uint64]int // upstreams taken, by fingerprint
-	messages  int
-	serial    int
+	now             core.Instant
+	rng             *core.Rand
+	policy          policy
+	queue           queue
+	seq             int
+	members         []core.Member
+	machines        []*suspect.Machine
+	dead            map[int]bool         // dead hosts whose lease has not expired
+	reportedCrashes []map[uint64]int     // crashes reported to each host, by fingerprint (broadcastOnly)
+	upstreams       int                  // number of upstreams
+	down            map[int]core.Instant // end of an upstream's restart
+	running         map[int][]*request   // by upstream
+	byID            map[core.RequestID]*request
+	upstreamsLost   map[uint64]int // crashes of upstreams, by fingerprint
+	messages        int            // between hosts
+	arrivals        int            // requests that reached an entry host, with repeats
 }
 
-// view is a host's view of the membership.
+// view is the core.Ownership of one host, with all hosts as members.
 type view struct {
 	core.Ownership
 	f    *fleet
@@ -98,32 +99,32 @@
 
 func newFleet(p policy, hosts, upstreams int, seed uint64) *fleet {
 	f := &fleet{
-		now:       core.Instant(time.Hour),
-		rng:       core.NewRand(seed),
-		policy:    p,
-		silent:    map[int]bool{},
-		upstreams: upstreams,
-		down:      map[int]core.Instant{},
-		running:   map[int][]*request{},
-		byID:      map[core.RequestID]*request{},
-		lost:      map[uint64]int{},
+		now:           core.Instant(time.Hour),
+		rng:           core.NewRand(seed),
+		policy:        p,
+		dead:          map[int]bool{},
+		upstreams:     upstreams,
+		down:          map[int]core.Instant{},
+		running:       map[int][]*request{},
+		byID:          map[core.RequestID]*request{},
+		upstreamsLost: map[uint64]int{},
 	}
 	for i := range hosts {
 		id := core.HostID("h" + strconv.Itoa(1000+i))
 		f.members = append(f.members, core.Member{Host: id})
 		f.machines = append(f.machines, suspect.New(id, core.NewRand(seed+uint64(i))))
-		f.known = append(f.known, map[uint64]int{})
+		f.reportedCrashes = append(f.reportedCrashes, map[uint64]int{})
 	}
 	return f
 }
 
-// after puts an event d later.
+// after adds an event d from now.
 func (f *fleet) after(d time.Duration, do func()) {
 	f.seq++
 	heap.Push(&f.queue, event{f.now.Add(d), f.seq, do})
 }
 
-// run handles events until a time.
+// run advances virtual time by d and runs the events due by then.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.queue) > 0 && f.queue[0].at <= end {
@@ -134,24 +135,24 @@
 	f.now = end
 }
 
-// ticks starts every host's clock.
-func (f *fleet) ticks() {
+// startTicks starts the periodic ticks of the machines, under the policy claims.
+func (f *fleet) startTicks() {
 	if f.policy != claims {
 		return
 	}
 	for i := range f.machines {
 		var tick func()
 		tick = func() {
-			if !f.silent[i] {
-				f.take(i, f.machines[i].Tick(f.now, view{f: f, self: i}))
+			if !f.dead[i] {
+				f.execute(i, f.machines[i].Tick(f.now, view{f: f, self: i}))
 			}
-			f.after(tickEvery, tick)
+			f.after(tickInterval, tick)
 		}
-		f.after(time.Duration(f.rng.Int64N(int64(tickEvery))), tick)
+		f.after(time.Duration(f.rng.Int64N(int64(tickInterval))), tick)
 	}
 }
 
-// delay is the way between two hosts, one way.
+// delay returns the one-way delay between two hosts.
 func (f *fleet) delay(a, b int) time.Duration {
 	d := nearDelay
 	if a%regions != b%regions {
@@ -160,24 +161,24 @@
 	return time.Duration(f.rng.Jitter(int64(d)))
 }
 
-// take carries out what a machine wants.
-func (f *fleet) take(host int, r suspect.Result) {
+// execute carries out the effects of a machine's result.
+func (f *fleet) execute(host int, r suspect.Result) {
 	for _, s := range r.Sends {
 		to := f.index(s.To)
 		f.messages++
 		f.after(f.delay(host, to), func() {
-			if !f.silent[to] {
-				f.take(to, f.machines[to].Peer(f.now, view{f: f, self: to}, f.members[host].Host, s.Message))
+			if !f.dead[to] {
+				f.execute(to, f.machines[to].Peer(f.now, view{f: f, self: to}, f.members[host].Host, s.Message))
 			}
 		})
 	}
 	if len(r.Publish) > 0 {
 		for i := range f.machines {
-			f.after(f.delay(host, i), func() { f.take(i, f.machines[i].Learned(f.now, r.Publish)) })
+			f.after(f.delay(host, i), func() { f.execute(i, f.machines[i].Learned(f.now, r.Publish)) })
 		}
 	}
 	for _, d := range r.Decisions {
-		f.decided(f.byID[d.ID], d)
+		f.applyDecision(f.byID[d.ID], d)
 	}
 }
 
@@ -186,39 +187,40 @@
 	return n - 1000
 }
 
-func (f *fleet) decided(q *request, d suspect.Decision) {
+func (f *fleet) applyDecision(q *request, d suspect.Decision) {
 	switch {
 	case d.Revoked:
 	case d.Allowed:
 		f.dispatch(q)
-	case len(d.Use) > 0 && q.moves < moves:
+	case len(d.Use) > 0 && q.moves < maxMoves:
 		q.moves++
 		q.upstream, _ = strconv.Atoi(string(d.Use[f.rng.IntN(len(d.Use))]))
 		f.send(q)
 	default:
 		q.refused = d.Refusal.Code
 		if d.Refusal.RetryAfter > 0 {
-			f.again(q, d.Refusal.RetryAfter)
+			f.repeat(q, d.Refusal.RetryAfter)
 		}
 	}
 }
 
-// again lets the caller send a request once more, through any host.
-func (f *fleet) again(q *request, d time.Duration) {
-	if q.repeats == 0 {
+// repeat repeats a request after d, through a random host, if its caller has
+// repeats left.
+func (f *fleet) repeat(q *request, d time.Duration) {
+	if q.repeatsLeft == 0 {
 		return
 	}
-	next := &request{print: q.print, poison: q.poison, repeats: q.repeats - 1}
-	q.repeats = 0
+	next := &request{print: q.print, poison: q.poison, repeatsLeft: q.repeatsLeft - 1}
+	q.repeatsLeft = 0
 	f.after(d, func() {
 		next.entry = f.rng.IntN(len(f.machines))
-		next.upstream = f.pick()
+		next.upstream = f.pickUpstream()
 		f.arrive(next)
 	})
 }
 
-// pick returns an upstream that is up, or any where none is found.
-func (f *fleet) pick() int {
+// pickUpstream draws an upstream that is up, or any one if it finds none.
+func (f *fleet) pickUpstream() int {
 	u := 0
 	for range 4 * f.upstreams {
 		if u = f.rng.IntN(f.upstreams); f.now >= f.down[u] {
@@ -228,25 +230,26 @@
 	return u
 }
 
-// arrive brings a request to its entry host.
+// arrive delivers a request to its entry host, or to the next one if that is
+// dead.
 func (f *fleet) arrive(q *request) {
-	if f.silent[q.entry] {
+	if f.dead[q.entry] {
 		q.entry = (q.entry + 1) % len(f.machines)
 	}
-	f.serial++
-	q.id = core.RequestID(strconv.Itoa(f.serial))
+	f.arrivals++
+	q.id = core.RequestID(strconv.Itoa(f.arrivals))
 	f.byID[q.id] = q
 	f.send(q)
 }
 
-// send asks for leave where the policy wants it.
+// send dispatches a request, after a claim or a check if the policy needs one.
 func (f *fleet) send(q *request) {
 	switch f.policy {
 	case claims:
 		u := core.UpstreamID(strconv.Itoa(q.upstream))
-		f.take(q.entry, f.machines[q.entry].Claim(f.now, view{f: f, self: q.entry}, suspect.Request{ID: q.id, Fingerprint: q.print, Upstream: u}))
+		f.execute(q.entry, f.machines[q.entry].Claim(f.now, view{f: f, self: q.entry}, suspect.Request{ID: q.id, Fingerprint: q.print, Upstream: u}))
 	case broadcastOnly:
-		if f.known[q.entry][q.print] >= suspect.Budget {
+		if f.reportedCrashes[q.entry][q.print] >= suspect.Budget {
 			q.refused = core.CodeSuspect
 			return
 		}
@@ -260,7 +263,7 @@
 func (f *fleet) dispatch(q *request) {
 	if f.now < f.down[q.upstream] {
 		f.end(q, suspect.EndNotSent)
-		f.again(q, time.Second)
+		f.repeat(q, time.Second)
 		return
 	}
 	q.runs++
@@ -272,22 +275,23 @@
 	f.after(workTime, func() { f.complete(q) })
 }
 
-// crash takes an upstream and all that runs on it.
+// crash crashes the upstream of a request, with all requests that run there.
 func (f *fleet) crash(q *request) {
-	if !f.leave(q) {
-		return // it died before, with its upstream
+	if !f.removeRunning(q) {
+		return // another request crashed the upstream before
 	}
-	f.lost[q.print]++
-	f.down[q.upstream] = f.now.Add(restart)
+	f.upstreamsLost[q.print]++
+	f.down[q.upstream] = f.now.Add(restartTime)
 	victims := append(f.running[q.upstream], q)
 	f.running[q.upstream] = nil
 	for _, v := range victims {
-		f.after(noticed, func() { f.noticeDeath(v) })
+		f.after(crashNoticeDelay, func() { f.noticeCrash(v) })
 	}
 }
 
-// leave takes a request off its upstream and reports whether it was there.
-func (f *fleet) leave(q *request) bool {
+// removeRunning removes a request from its upstream and reports whether it ran
+// there.
+func (f *fleet) removeRunning(q *request) bool {
 	list := f.running[q.upstream]
 	for i, x := range list {
 		if x == q {
@@ -299,28 +303,28 @@
 }
 
 func (f *fleet) complete(q *request) {
-	if f.leave(q) {
+	if f.removeRunning(q) {
 		q.done = true
 		f.end(q, suspect.EndOK)
 	}
 }
 
-func (f *fleet) noticeDeath(q *request) {
-	if f.silent[q.entry] {
+func (f *fleet) noticeCrash(q *request) {
+	if f.dead[q.entry] {
 		return
 	}
 	f.end(q, suspect.EndDied)
 	if f.policy == broadcastOnly {
-		for i := range f.known {
+		for i := range f.reportedCrashes {
 			f.messages++
-			f.after(f.delay(q.entry, i), func() { f.known[i][q.print]++ })
+			f.after(f.delay(q.entry, i), func() { f.reportedCrashes[i][q.print]++ })
 		}
 	}
-	f.again(q, 0)
+	f.repeat(q, 0)
 }
 
 func (f *fleet) end(q *request, end suspect.End) {
 	if f.policy == claims {
-		f.take(q.entry, f.machines[q.entry].Release(f.now, view{f: f, self: q.entry}, q.id, end))
+		f.execute(q.entry, f.machines[q.entry].Release(f.now, view{f: f, self: q.entry}, q.id, end))
 	}
 }
--- a/internal/measure/once/once.go
+++ b/internal/measure/once/once.go
@@ -1,11 +1,12 @@
-// Package once measures what at-most-once, the tracking of crashing requests and
-// a change of the configuration cost and give, beside their baselines. Time is
-// virtual; a run is the same for the same seed.
+// Package once measures the object calls of at-most-once execution, the
+// upstreams lost to a crashing request beside two baselines, the delay of its
+// innocent neighbours, and the bytes of a configuration change. Time is
+// virtual; the same seed gives the same report.
 package once
 
 import "gentiancroft/internal/measure"
 
-// Measure is the measurement for the command line.
+// Measure is the measurement as the command line lists it.
 var Measure = measure.Measure{
 	Name:  "once",
 	Short: "At most once, crashing requests and the cost of a configuration change",
--- a/internal/measure/once/once_test.go
+++ b/internal/measure/once/once_test.go
@@ -11,8 +11,8 @@
 func TestMeasureIsRepeatable(t *testing.T) {
 	is := is.New(t)
 	is.Equal(callTable(1), callTable(1))
-	first, refused := clearing(9, 16, 1)
-	again, _ := clearing(9, 16, 1)
+	first, refused := clearingCase(9, 16, 1)
+	again, _ := clearingCase(9, 16, 1)
 	is.Equal(first, again)
 	is.Equal(refused, 0)
 }
@@ -20,7 +20,7 @@
 func TestClaimsKeepTheBudgetWhereTheBaselinesDoNot(t *testing.T) {
 	is := is.New(t)
 	c := poisonCases[0]
-	is.Equal(c.run(claims, 1).lost[poisonPrint], suspect.Budget)
-	is.True(c.run(broadcastOnly, 1).lost[poisonPrint] > suspect.Budget)
-	is.True(c.run(untracked, 1).lost[poisonPrint] > suspect.Budget)
+	is.Equal(c.run(claims, 1).upstreamsLost[poisonFingerprint], suspect.Budget)
+	is.True(c.run(broadcastOnly, 1).upstreamsLost[poisonFingerprint] > suspect.Budget)
+	is.True(c.run(untracked, 1).upstreamsLost[poisonFingerprint] > suspect.Budget)
 }
