--- a/internal/measure/limits/loop.go
+++ b/internal/measure/limits/loop.go
@@ -81,10 +81,10 @@
 type Links struct {
 	*Loop
 	OneWay time.Duration
-	Loss   float64 // fraction of messages lost
-	Double float64 // fraction of messages sent twice
-	Late   float64 // fraction of messages delayed by up to LateBy
-	LateBy time.Duration
+	Loss   float64                         // fraction of messages lost
+	Double float64                         // fraction of messages sent twice
+	Late   float64                         // fraction of messages with an extra delay
+	LateBy time.Duration                   // maximum extra delay
 	Sent   uint64                          // messages
 	Cut    func(from, to core.HostID) bool // reports whether a link is cut
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// Clock is a host's monotonic clock with a drift of PPM parts per million.
+// Clock is a host's monotonic clock, whose drift is in parts per million.
 type Clock struct {
 	Offset core.Instant
 	PPM    int64
