--- a/internal/measure/adapters/placement.go
+++ b/internal/measure/adapters/placement.go
@@ -93,7 +93,7 @@
 	}
 	snapshot := config.NewSnapshot(1, document(d, slots))
 	for i := range d.hosts {
-		s := placement.Settings{Self: p.ids[i], Domain: core.Domain(strconv.Itoa(i % d.domains)), StoreRate: d.storeRate}
+		s := placement.Settings{Self: p.ids[i], Domain: core.Domain(strconv.Itoa(i % d.domains)), MaxLoadsPerSecond: d.storeRate}
 		m := placement.New(s, core.NewRand(seed+uint64(i)))
 		p.machines = append(p.machines, m)
 		p.execute(i, m.Configure(p.now(), p.ownership(i), snapshot))
@@ -123,7 +123,7 @@
 }
 
 func (p *placementFleet) poll(i int) {
-	for _, u := range p.machines[i].Polls() {
+	for _, u := range p.machines[i].OwnedUpstreams() {
 		sent := p.now()
 		r := p.report(u, sent)
 		p.clock.after(2*linkDelay, func() { p.execute(i, p.machines[i].Report(p.now(), p.ownership(i), r)) })
@@ -162,7 +162,7 @@
 
 func (p *placementFleet) requestTicket(host int, id core.RequestID) {
 	c := p.calls[id]
-	p.execute(host, p.machines[host].Ask(p.now(), p.ownership(host), placement.Ask{
+	p.execute(host, p.machines[host].Place(p.now(), p.ownership(host), placement.PlacementRequest{
 		Request: id, Pool: "engines", Adapter: adapterRef(c.adapter), Workspace: c.workspace, Weight: 1,
 		Cost: core.Tokens(meanTokens), Deadline: core.Instant(c.at + requestTimeout + time.Hour),
 	}))
@@ -172,7 +172,7 @@
 func (p *placementFleet) execute(host int, r placement.Result) {
 	for _, s := range r.Sends {
 		to := slices.Index(p.ids, s.To)
-		p.clock.after(linkDelay, func() { p.execute(to, p.machines[to].Peer(p.now(), p.ownership(to), p.ids[host], s.Message)) })
+		p.clock.after(linkDelay, func() { p.execute(to, p.machines[to].HandleMessage(p.now(), p.ownership(to), p.ids[host], s.Message)) })
 	}
 	for _, o := range r.Orders {
 		p.executeOrder(host, o)
@@ -182,7 +182,7 @@
 		p.clock.after(feedDelay, func() {
 			for i := range p.machines {
 				if i != host {
-					p.execute(i, p.machines[i].Learned(p.now(), p.ownership(i), res))
+					p.execute(i, p.machines[i].ReceiveResidency(p.now(), p.ownership(i), res))
 				}
 			}
 		})
@@ -211,7 +211,7 @@
 	generation := e.incarnation
 	done := func(ok bool) {
 		p.clock.after(linkDelay, func() {
-			p.execute(host, p.machines[host].OrderDone(p.now(), p.ownership(host), core.OrderDone{ID: o.ID, OK: ok, Sure: true}))
+			p.execute(host, p.machines[host].OrderDone(p.now(), p.ownership(host), core.OrderDone{ID: o.ID, OK: ok, NoEffect: true}))
 		})
 	}
 	if !o.Load {
@@ -243,24 +243,24 @@
 	}
 	stall := p.clock.now - c.at
 	e := p.engine(d.Ticket.Upstream)
-	p.machines[host].Dispatched(d.Request)
+	p.machines[host].RecordDispatch(d.Request)
 	p.clock.after(linkDelay, func() {
 		ok := e.start(c.adapter, c.tokens, func(ok bool) {
 			if !ok {
 				p.score.aborted++
 			}
-			p.release(host, d.Request, placement.End{OK: ok, Crashed: !ok, Used: core.Tokens(c.tokens)})
+			p.release(host, d.Request, placement.TicketEnd{OK: ok, Crashed: !ok, TokensUsed: core.Tokens(c.tokens)})
 		})
 		if !ok { // the engine has restarted and did not run the request: a new ticket request
-			p.execute(host, p.machines[host].Release(p.now(), p.ownership(host), d.Request, placement.End{Missing: true}))
+			p.execute(host, p.machines[host].Release(p.now(), p.ownership(host), d.Request, placement.TicketEnd{AdapterMissing: true}))
 			p.requestTicket(host, d.Request)
 			return
 		}
-		p.score.recordServed(c, p.clock.now, d.Ticket.Stalled, stall)
+		p.score.recordServed(c, p.clock.now, d.Ticket.WaitedForLoad, stall)
 	})
 }
 
-func (p *placementFleet) release(host int, id core.RequestID, e placement.End) {
+func (p *placementFleet) release(host int, id core.RequestID, e placement.TicketEnd) {
 	p.clock.after(linkDelay, func() {
 		p.execute(host, p.machines[host].Release(p.now(), p.ownership(host), id, e))
 	})
--- a/internal/measure/adapters/sizes.go
+++ b/internal/measure/adapters/sizes.go
@@ -12,9 +12,9 @@
 // capacity page.
 func messageSizes() (measure.Table, error) {
 	adapter := core.AdapterRef{ID: "adapter-12345", Version: 12}
-	residency := placement.Residency{Upstream: "upstream-123", Fence: 1 << 20, Seq: 1 << 12, Load: 20, Warmth: 1, Victims: []float64{0.1, 0.2, 0.3}}
+	residency := placement.Residency{Upstream: "upstream-123", Fence: 1 << 20, Seq: 1 << 12, Load: 20, SlowStartWeight: 1, EvictionCosts: []float64{0.1, 0.2, 0.3}}
 	for range 32 {
-		residency.Adapters = append(residency.Adapters, placement.Popular{Adapter: adapter, Score: 1.5, Idle: 1e10})
+		residency.Adapters = append(residency.Adapters, placement.AdapterPopularity{Adapter: adapter, Score: 1.5, Idle: 1e10})
 	}
 	const request = core.RequestID("0123456789abcdef01234567")
 	const sent = core.Instant(1e15)
@@ -22,16 +22,16 @@
 		label   string
 		message any
 	}{
-		{"ask", placement.Message{Ask: &placement.AskMessage{
+		{"ask", placement.Message{TicketRequest: &placement.TicketRequestMessage{
 			Request: request, Seq: 1 << 20, Upstream: "upstream-123", Adapter: adapter, Workspace: "workspace-1", Weight: 10, Cost: 1000, Remaining: 6e10, Sent: sent,
 		}}},
-		{"ticket", placement.Message{Answer: &placement.AnswerMessage{
-			Request: request, Seq: 1 << 20, Upstream: "upstream-123", Kind: placement.AnswerTicket, Sent: sent, Valid: 4e9, Fence: 1 << 20, Load: 20,
+		{"ticket", placement.Message{TicketReply: &placement.TicketReplyMessage{
+			Request: request, Seq: 1 << 20, Upstream: "upstream-123", Kind: placement.ReplyTicket, Sent: sent, TTL: 4e9, Fence: 1 << 20, Load: 20,
 		}}},
 		{"release", placement.Message{Release: &placement.ReleaseMessage{
-			Request: request, Seq: 1 << 20, Upstream: "upstream-123", End: placement.End{Used: 1000, OK: true},
+			Request: request, Seq: 1 << 20, Upstream: "upstream-123", End: placement.TicketEnd{TokensUsed: 1000, OK: true},
 		}}},
-		{"account of 10 requests", placement.Message{Hold: &placement.HoldMessage{Upto: 1 << 20, Requests: []core.RequestID{
+		{"account of 10 requests", placement.Message{Outstanding: &placement.OutstandingMessage{MaxSeq: 1 << 20, Requests: []core.RequestID{
 			request, request, request, request, request, request, request, request, request, request,
 		}}}},
 		{"residency of 32 adapters", residency},
--- a/internal/measure/fairness/upstream.go
+++ b/internal/measure/fairness/upstream.go
@@ -47,7 +47,7 @@
 }
 
 func newOwnerQueue(reserve, within int) *ownerQueue {
-	return &ownerQueue{admission.NewQueue(admission.QueueSettings{Bound: maxQueued}), reserve, within}
+	return &ownerQueue{admission.NewQueue(admission.QueueSettings{MaxItems: maxQueued}), reserve, within}
 }
 
 func (f *ownerQueue) push(now core.Instant, it admission.Item) []admission.Item {
@@ -60,7 +60,7 @@
 		least = core.Interactive
 	}
 	if free <= f.reservedWithinShare {
-		return f.q.PopWithin(now, least, anyAdapter)
+		return f.q.PopUnderShare(now, least, anyAdapter)
 	}
 	return f.q.PopUpTo(now, least, anyAdapter)
 }
@@ -68,7 +68,7 @@
 func (f *ownerQueue) expire(now core.Instant) []admission.Item { return f.q.Expire(now) }
 
 func (f *ownerQueue) settle(it admission.Item, used core.Tokens) {
-	f.q.Settle(it.Workspace, it.Charged, it.Cost, used)
+	f.q.CorrectCharge(it.Workspace, it.ChargedClass, it.Cost, used)
 }
 
 // fifo is first come, first served.
@@ -113,7 +113,7 @@
 func newPerHost() *perHost {
 	p := &perHost{}
 	for i := range p.hosts {
-		p.hosts[i] = admission.NewQueue(admission.QueueSettings{Bound: maxQueued / entryHosts})
+		p.hosts[i] = admission.NewQueue(admission.QueueSettings{MaxItems: maxQueued / entryHosts})
 	}
 	return p
 }
@@ -142,7 +142,7 @@
 }
 
 func (p *perHost) settle(it admission.Item, used core.Tokens) {
-	p.hosts[entryHostOf(it)].Settle(it.Workspace, it.Charged, it.Cost, used)
+	p.hosts[entryHostOf(it)].CorrectCharge(it.Workspace, it.ChargedClass, it.Cost, used)
 }
 
 // running is a heap of running requests, earliest end first.
--- a/internal/measure/limits/adversary_test.go
+++ b/internal/measure/limits/adversary_test.go
@@ -37,7 +37,7 @@
 
 // shortSettings has times short enough that terms, horizons and takeovers end
 // within a run.
-var shortSettings = limit.Settings{Term: 16 * time.Second, Renew: 5 * time.Second, Urgent: 2 * time.Second, Horizon: 45 * time.Second}
+var shortSettings = limit.Settings{ShareTTL: 16 * time.Second, RenewInterval: 5 * time.Second, MinRequestInterval: 2 * time.Second, OutageHorizon: 45 * time.Second}
 
 func newAdversary(t *rapid.T, hosts int, ppm int64) *adversary {
 	loop := &Loop{Rand: core.NewRand(rapid.Uint64().Draw(t, "seed"))}
--- a/internal/measure/limits/baselines.go
+++ b/internal/measure/limits/baselines.go
@@ -53,7 +53,7 @@
 	}
 	n := core.Tokens(s.w.Trace.Hosts)
 	for _, t := range s.w.Trace.Tenants { // a new host starts empty
-		s.buckets[key{f.Slot, t.Limit.Workspace}] = limit.NewEmpty(s.w.Loop.Now, t.Limit.Rate/n, t.Limit.Burst/n)
+		s.buckets[key{f.Slot, t.Limit.Workspace}] = limit.NewEmptySingle(s.w.Loop.Now, t.Limit.Rate/n, t.Limit.Burst/n)
 	}
 }
 
@@ -169,7 +169,7 @@
 	p.owner = s.w.liveSlot(p.owner)
 	p.ready = s.w.Loop.Now.Add(leaseTerm + membershipGrace)
 	p.term++
-	p.bucket = limit.NewEmpty(p.ready, p.limit.Rate, p.limit.Burst)
+	p.bucket = limit.NewEmptySingle(p.ready, p.limit.Rate, p.limit.Burst)
 }
 
 func (s *singleOwner) Messages() uint64 { return s.w.Links.Sent }
@@ -240,7 +240,7 @@
 // charge charges transferred tokens; their part of the burst goes back to the
 // slot that sent them.
 func (p *peerTransfers) charge(_ int, _ Arrival, n core.Tokens, from *limit.Single, decide func(bool)) {
-	from.Shift(p.w.Loop.Now, n)
+	from.AddBurst(p.w.Loop.Now, n)
 	decide(true)
 }
 
@@ -252,7 +252,7 @@
 			slot = 0
 			p.w.Alive[slot] = false
 		}
-		p.unusedUntil[slot] = p.w.Loop.Now.Add(limit.DefaultHorizon)
+		p.unusedUntil[slot] = p.w.Loop.Now.Add(limit.DefaultOutageHorizon)
 	case "replace":
 		p.staticSplit.Fault(f)
 	}
--- a/internal/measure/limits/machines.go
+++ b/internal/measure/limits/machines.go
@@ -114,7 +114,7 @@
 	for _, s := range r.Sends {
 		f.links.Carry(n.ID, s.To, func() {
 			if to := f.nodes[s.To]; to != nil {
-				f.runStep(to, func() limit.Result { return to.Machine.Peer(to.now(f), to.Own, n.ID, s.Message) })
+				f.runStep(to, func() limit.Result { return to.Machine.HandleMessage(to.now(f), to.Own, n.ID, s.Message) })
 			}
 		})
 	}
@@ -135,7 +135,7 @@
 			}
 		}
 		f.loop.After(storeRoundTrip/2, func() {
-			f.runStep(n, func() limit.Result { return n.Machine.Object(n.now(f), n.Own, res) })
+			f.runStep(n, func() limit.Result { return n.Machine.HandleObject(n.now(f), n.Own, res) })
 		})
 	})
 }
@@ -144,7 +144,7 @@
 func (f *Fleet) handover(from, to core.HostID, s core.Shard) {
 	a, b := f.nodes[from], f.nodes[to]
 	ws := core.WorkspaceID(s.Name)
-	state := a.Machine.Departing(a.now(f), ws)
+	state := a.Machine.HandOff(a.now(f), ws)
 	if state != nil {
 		f.links.Carry(from, to, func() {
 			f.runStep(b, func() limit.Result {
--- a/internal/measure/membership/bench_test.go
+++ b/internal/measure/membership/bench_test.go
@@ -36,7 +36,7 @@
 
 func BenchmarkMemberTick(b *testing.B) {
 	f := startIdleFleet()
-	h := findHost(f, func(h *Host) bool { return !h.Lease.Polls() && !h.Feed.Watches() })
+	h := findHost(f, func(h *Host) bool { return !h.Lease.IsPoller() && !h.Feed.IsWatcher() })
 	now := h.Local(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -47,26 +47,26 @@
 
 func BenchmarkLeaderHeartbeat(b *testing.B) {
 	f := startIdleFleet()
-	h := findHost(f, func(h *Host) bool { return h.Lease.Leads() })
+	h := findHost(f, func(h *Host) bool { return h.Lease.IsBatchLeader() })
 	now, seq := h.Local(f.Now), uint64(1<<40)
 	b.ReportAllocs()
 	for b.Loop() {
 		seq++
-		h.Lease.Peer(now, "peer", lease.Message{Heartbeat: &lease.Heartbeat{Number: 5, Seq: seq, View: 1}})
+		h.Lease.HandleMessage(now, "peer", lease.Message{Heartbeat: &lease.Heartbeat{Number: 5, Seq: seq, View: 1}})
 	}
 }
 
 func BenchmarkPollerReadsAllHeartbeats(b *testing.B) {
 	f := startIdleFleet()
-	h := findHost(f, func(h *Host) bool { return h.Lease.Polls() })
-	objects := f.Store.changedSince(lease.BeatsPrefix, 0)
+	h := findHost(f, func(h *Host) bool { return h.Lease.IsPoller() })
+	objects := f.Store.changedSince(lease.HeartbeatsPrefix, 0)
 	now := h.Local(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(3 * time.Second)
 		for _, c := range h.Lease.Tick(now).Calls {
 			if c.Op == core.ObjectList {
-				h.Lease.Object(now, core.ObjectResult{Tag: c.Tag, Status: core.ObjectOK, Objects: objects})
+				h.Lease.HandleObject(now, core.ObjectResult{Tag: c.Tag, Status: core.ObjectOK, Objects: objects})
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 
 func BenchmarkRelayValue(b *testing.B) {
 	f := startIdleFleet()
-	h := findHost(f, func(h *Host) bool { return !h.Feed.Watches() && h.Feed.Links() > 3 })
+	h := findHost(f, func(h *Host) bool { return !h.Feed.IsWatcher() && h.Feed.LinkCount() > 3 })
 	if h == nil {
 		b.Skip("no relay")
 	}
@@ -84,7 +84,7 @@
 	for b.Loop() {
 		seq++
 		now = now.Add(time.Millisecond)
-		h.Feed.Peer(now, "peer", feed.Message{Values: &feed.Values{Seq: seq, Entries: []feed.Entry{{
+		h.Feed.HandleMessage(now, "peer", feed.Message{Values: &feed.Values{Seq: seq, Entries: []feed.Entry{{
 			Key: feed.Key{Topic: feed.TopicUpstream, Name: "u1"}, Stamp: feed.Stamp{Seq: seq}, Value: value,
 		}}}})
 	}
@@ -92,23 +92,23 @@
 
 func BenchmarkViewChange(b *testing.B) {
 	f := startIdleFleet()
-	h := findHost(f, func(h *Host) bool { return !h.Lease.Polls() })
+	h := findHost(f, func(h *Host) bool { return !h.Lease.IsPoller() })
 	head, _ := lease.DecodeHead(h.Lease.Head())
 	h.Lease.SetShards(makeShards(700))
 	now := h.Local(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
 		head.Version++
-		head.Log = []lease.MemberChange{{Version: head.Version, Kind: lease.Marked, Host: "nobody"}}
+		head.Log = []lease.MemberChange{{Version: head.Version, Kind: lease.MarkedLeaving, Host: "nobody"}}
 		head.LogFrom = head.Version
 		value, _ := lease.EncodeHead(head)
-		h.Lease.Learn(now, value, 0)
+		h.Lease.ApplyHead(now, value, 0)
 	}
 }
 
 func BenchmarkActing(b *testing.B) {
 	f := startIdleFleet()
-	h := findHost(f, func(h *Host) bool { return !h.Lease.Polls() })
+	h := findHost(f, func(h *Host) bool { return !h.Lease.IsPoller() })
 	shards := makeShards(700)
 	h.Lease.SetShards(shards)
 	now := h.Local(f.Now)
--- a/internal/measure/membership/fleet.go
+++ b/internal/measure/membership/fleet.go
@@ -70,8 +70,8 @@
 	Store    int // bytes of object calls
 	Messages int // sent
 	Steps    int
-	Given    func(lease.Change) []byte // returns the state to hand off with a shard
-	Took     []lease.Change            // handoffs received
+	Given    func(lease.RightChange) []byte // returns the state to hand off with a shard
+	Took     []lease.RightChange            // handoffs received
 }
 
 // Local returns the reading of the host's clock at a real time.
@@ -210,14 +210,14 @@
 func (f *Fleet) applyChanges(h *Host) {
 	for _, c := range h.Lease.Changes() {
 		switch c.Kind {
-		case lease.Departing:
+		case lease.HandoffNeeded:
 			f.recordClaims(h)
 			var state []byte
 			if h.Given != nil {
 				state = h.Given(c)
 			}
-			f.applyLease(h, h.Lease.HandOver(h.Local(f.Now), c.Shard, state))
-		case lease.State:
+			f.applyLease(h, h.Lease.HandOff(h.Local(f.Now), c.Shard, state))
+		case lease.StateReceived:
 			h.Took = append(h.Took, c)
 		}
 	}
@@ -244,7 +244,7 @@
 // applyLease carries out the effects of a lease machine.
 func (f *Fleet) applyLease(h *Host, out lease.Output) {
 	for _, c := range out.Calls {
-		f.callStore(h, c, func(now core.Instant, r core.ObjectResult) { f.applyLease(h, h.Lease.Object(now, r)) })
+		f.callStore(h, c, func(now core.Instant, r core.ObjectResult) { f.applyLease(h, h.Lease.HandleObject(now, r)) })
 	}
 	for i := range out.Sends {
 		f.send(h, out.Sends[i].To, Packet{Lease: &out.Sends[i].Message})
@@ -254,7 +254,7 @@
 // Apply carries out the effects of a feed machine.
 func (f *Fleet) Apply(h *Host, out feed.Output) {
 	for _, c := range out.Calls {
-		f.callStore(h, c, func(now core.Instant, r core.ObjectResult) { f.Apply(h, h.Feed.Object(now, r)) })
+		f.callStore(h, c, func(now core.Instant, r core.ObjectResult) { f.Apply(h, h.Feed.HandleObject(now, r)) })
 	}
 	for i := range out.Sends {
 		f.send(h, out.Sends[i].To, Packet{Feed: &out.Sends[i].Message})
@@ -269,9 +269,9 @@
 // applies the heads that the feed receives.
 func (f *Fleet) connectFeed(h *Host) {
 	now := h.Local(f.Now)
-	for _, e := range h.Feed.Changed() {
+	for _, e := range h.Feed.TakeChanged() {
 		if e.Key == headKey {
-			f.applyLease(h, h.Lease.Learn(now, e.Value, 0))
+			f.applyLease(h, h.Lease.ApplyHead(now, e.Value, 0))
 		}
 	}
 	if h.feedView == h.Lease.View() || !h.Lease.Joined() {
@@ -319,10 +319,10 @@
 
 func (f *Fleet) receive(t *Host, now core.Instant, from core.HostID, p Packet) {
 	if p.Lease != nil {
-		f.applyLease(t, t.Lease.Peer(now, from, *p.Lease))
+		f.applyLease(t, t.Lease.HandleMessage(now, from, *p.Lease))
 	}
 	if p.Feed != nil {
-		f.Apply(t, t.Feed.Peer(now, from, *p.Feed))
+		f.Apply(t, t.Feed.HandleMessage(now, from, *p.Feed))
 	}
 }
 
--- a/internal/measure/membership/rollout.go
+++ b/internal/measure/membership/rollout.go
@@ -148,7 +148,7 @@
 	f.Run(30 * time.Second)
 	slow := hosts[0]
 	for _, h := range hosts {
-		if !h.Feed.Watches() {
+		if !h.Feed.IsWatcher() {
 			slow = h
 		}
 	}
--- a/internal/measure/once/calls.go
+++ b/internal/measure/once/calls.go
@@ -30,12 +30,12 @@
 		}
 	}
 	for _, c := range r.Calls {
-		k.execute(k.machine.Object(k.now, k.store.Do(c)))
+		k.execute(k.machine.HandleObject(k.now, k.store.Do(c)))
 	}
 }
 
 func (k *onceHost) begin(id core.RequestID, body uint64) {
-	k.execute(k.machine.Begin(k.now, once.Request{ID: id, Workspace: "w", Key: "k", Body: body}))
+	k.execute(k.machine.Begin(k.now, once.Request{ID: id, Workspace: "w", Key: "k", BodyHash: body}))
 }
 
 func (k *onceHost) finish(id core.RequestID, ran core.Ran) {
@@ -104,11 +104,11 @@
 
 // countCalls returns the number of object calls of two stages.
 func countCalls(k *onceHost, before, after func()) (int, int) {
-	start := k.store.Total()
+	start := k.store.TotalCalls()
 	before()
-	middle := k.store.Total()
+	middle := k.store.TotalCalls()
 	after()
-	return middle - start, k.store.Total() - middle
+	return middle - start, k.store.TotalCalls() - middle
 }
 
 // callTable measures the object calls of each case.
--- a/internal/measure/once/change.go
+++ b/internal/measure/once/change.go
@@ -38,7 +38,7 @@
 			return t, err
 		}
 		sent := len(head)
-		for _, name := range config.Missing(after, func(name string) bool { _, ok := chunks[name]; return ok }) {
+		for _, name := range config.MissingChunks(after, func(name string) bool { _, ok := chunks[name]; return ok }) {
 			sent += len(changed[name])
 		}
 		const day = 86400
--- a/internal/measure/once/fleet.go
+++ b/internal/measure/once/fleet.go
@@ -168,13 +168,13 @@
 		f.messages++
 		f.after(f.delay(host, to), func() {
 			if !f.dead[to] {
-				f.execute(to, f.machines[to].Peer(f.now, view{f: f, self: to}, f.members[host].Host, s.Message))
+				f.execute(to, f.machines[to].HandleMessage(f.now, view{f: f, self: to}, f.members[host].Host, s.Message))
 			}
 		})
 	}
 	if len(r.Publish) > 0 {
 		for i := range f.machines {
-			f.after(f.delay(host, i), func() { f.execute(i, f.machines[i].Learned(f.now, r.Publish)) })
+			f.after(f.delay(host, i), func() { f.execute(i, f.machines[i].ApplyPublished(f.now, r.Publish)) })
 		}
 	}
 	for _, d := range r.Decisions {
@@ -192,9 +192,9 @@
 	case d.Revoked:
 	case d.Allowed:
 		f.dispatch(q)
-	case len(d.Use) > 0 && q.moves < maxMoves:
+	case len(d.Alternatives) > 0 && q.moves < maxMoves:
 		q.moves++
-		q.upstream, _ = strconv.Atoi(string(d.Use[f.rng.IntN(len(d.Use))]))
+		q.upstream, _ = strconv.Atoi(string(d.Alternatives[f.rng.IntN(len(d.Alternatives))]))
 		f.send(q)
 	default:
 		q.refused = d.Refusal.Code
@@ -249,7 +249,7 @@
 		u := core.UpstreamID(strconv.Itoa(q.upstream))
 		f.execute(q.entry, f.machines[q.entry].Claim(f.now, view{f: f, self: q.entry}, suspect.Request{ID: q.id, Fingerprint: q.print, Upstream: u}))
 	case broadcastOnly:
-		if f.reportedCrashes[q.entry][q.print] >= suspect.Budget {
+		if f.reportedCrashes[q.entry][q.print] >= suspect.MaxCrashes {
 			q.refused = core.CodeSuspect
 			return
 		}
@@ -313,7 +313,7 @@
 	if f.dead[q.entry] {
 		return
 	}
-	f.end(q, suspect.EndDied)
+	f.end(q, suspect.EndCrashed)
 	if f.policy == broadcastOnly {
 		for i := range f.reportedCrashes {
 			f.messages++
--- a/internal/measure/once/once_test.go
+++ b/internal/measure/once/once_test.go
@@ -20,7 +20,7 @@
 func TestClaimsKeepTheBudgetWhereTheBaselinesDoNot(t *testing.T) {
 	is := is.New(t)
 	c := poisonCases[0]
-	is.Equal(c.run(claims, 1).upstreamsLost[poisonFingerprint], suspect.Budget)
-	is.True(c.run(broadcastOnly, 1).upstreamsLost[poisonFingerprint] > suspect.Budget)
-	is.True(c.run(untracked, 1).upstreamsLost[poisonFingerprint] > suspect.Budget)
+	is.Equal(c.run(claims, 1).upstreamsLost[poisonFingerprint], suspect.MaxCrashes)
+	is.True(c.run(broadcastOnly, 1).upstreamsLost[poisonFingerprint] > suspect.MaxCrashes)
+	is.True(c.run(untracked, 1).upstreamsLost[poisonFingerprint] > suspect.MaxCrashes)
 }
--- a/internal/measure/overhead/alone.go
+++ b/internal/measure/overhead/alone.go
@@ -13,8 +13,8 @@
 // the callers' interface adds latency.
 type immediateNode struct{ engine string }
 
-// Begin implements entry.Node.
-func (n immediateNode) Begin(a node.Arrive) entry.Exchange {
+// StartRequest implements entry.Node.
+func (n immediateNode) StartRequest(a node.RequestArrived) entry.Exchange {
 	x := immediateExchange{decisions: make(chan node.Effect, 1)}
 	x.decisions <- node.Dispatch{
 		ID: a.ID, Attempt: 1, Upstream: "usual", Address: n.engine, Workspace: "w",
@@ -23,8 +23,8 @@
 	return x
 }
 
-// Tell implements entry.Node.
-func (immediateNode) Tell(node.Event) {}
+// Notify implements entry.Node.
+func (immediateNode) Notify(node.Event) {}
 
 // immediateExchange is an exchange whose only decision is ready from the start.
 type immediateExchange struct{ decisions chan node.Effect }
@@ -32,13 +32,13 @@
 // Decisions implements entry.Exchange.
 func (x immediateExchange) Decisions() <-chan node.Effect { return x.decisions }
 
-// Attempt implements entry.Exchange.
-func (immediateExchange) Attempt(parent context.Context) (context.Context, context.CancelFunc) {
+// StartAttempt implements entry.Exchange.
+func (immediateExchange) StartAttempt(parent context.Context) (context.Context, context.CancelFunc) {
 	return context.WithCancel(parent)
 }
 
-// CutBy implements entry.Exchange.
-func (immediateExchange) CutBy() *core.Refusal { return nil }
+// AbortRefusal implements entry.Exchange.
+func (immediateExchange) AbortRefusal() *core.Refusal { return nil }
 
 // Close implements entry.Exchange.
 func (immediateExchange) Close() {}
@@ -52,7 +52,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	server := entry.NewFor(immediateNode{engine: f.engine}, keySecret)
+	server := entry.NewWithNode(immediateNode{engine: f.engine}, keySecret)
 	go func() {
 		_ = server.Serve(ctx, l)
 		close(done)
--- a/internal/measure/overhead/overhead.go
+++ b/internal/measure/overhead/overhead.go
@@ -135,7 +135,7 @@
 	}
 	defer a.Close()
 	if a.Status != http.StatusOK {
-		body, _ := upstream.ReadWhole(a, upstream.MaxAnswer)
+		body, _ := upstream.ReadBody(a, upstream.MaxAnswerBytes)
 		return requestTimes{}, Error.New("%s answered %d: %s", address, a.Status, body)
 	}
 	var t requestTimes
--- a/internal/measure/overhead/testbed.go
+++ b/internal/measure/overhead/testbed.go
@@ -53,8 +53,8 @@
 func start() (*testbed, error) {
 	f := &testbed{client: upstream.NewClient(nil, nil), endless: newEndless(), done: make(chan error, 1)}
 	disableLog(f)
-	usual := standin.NewEngine(standin.EngineSettings{Name: "usual", FirstToken: 5 * time.Millisecond, TokenTime: time.Millisecond, Batch: engineBatch})
-	quick := standin.NewEngine(standin.EngineSettings{Name: "quick", Batch: engineBatch})
+	usual := standin.NewEngine(standin.EngineSettings{Name: "usual", PrefillTime: 5 * time.Millisecond, TokenTime: time.Millisecond, BatchSize: engineBatch})
+	quick := standin.NewEngine(standin.EngineSettings{Name: "quick", BatchSize: engineBatch})
 	store := platform.NewStore()
 	d := document()
 	for _, e := range []struct {
@@ -175,7 +175,7 @@
 	}
 	defer a.Close()
 	if a.Status != http.StatusOK {
-		body, _ := upstream.ReadWhole(a, upstream.MaxAnswer)
+		body, _ := upstream.ReadBody(a, upstream.MaxAnswerBytes)
 		return errors.New(strings.TrimSpace(string(body)))
 	}
 	if path == pathEndless {
