--- a/internal/core/feed/faults_test.go
+++ b/internal/core/feed/faults_test.go
@@ -16,7 +16,7 @@
 // checkNoReversion checks that no host's configuration reverts to an older version.
 func checkNoReversion(t interface{ Errorf(string, ...any) }, f *membership.Fleet) {
 	highest := map[core.HostID]uint64{}
-	f.Stepped = func(h *membership.Host) {
+	f.AfterStep = func(h *membership.Host) {
 		v := h.Feed.ConfigVersion()
 		if v < highest[h.Member.Host] {
 			t.Errorf("%s went from %d back to %d", h.Member.Host, highest[h.Member.Host], v)
@@ -26,7 +26,9 @@
 }
 
 func dropStore(cut func(h *membership.Host) bool) func(*membership.Host, core.ObjectCall) membership.Fault {
-	return func(h *membership.Host, _ core.ObjectCall) membership.Fault { return membership.Fault{Drop: cut(h)} }
+	return func(h *membership.Host, _ core.ObjectCall) membership.Fault {
+		return membership.Fault{DropCall: cut(h)}
+	}
 }
 
 func TestStoreDownForAllHostsCutsOffNone(t *testing.T) {
@@ -35,12 +37,12 @@
 		f, hosts := start(3, n, 3)
 		accept(f, 1, "a")
 		f.Run(3 * time.Second)
-		f.Fault = dropStore(func(*membership.Host) bool { return true })
+		f.CallFault = dropStore(func(*membership.Host) bool { return true })
 		for range 100 {
 			f.Run(6 * time.Second)
 			is.Equal(cutOff(f, hosts), 0)
 		}
-		f.Fault = nil
+		f.CallFault = nil
 		f.Run(10 * time.Second)
 		accept(f, 2, "b")
 		f.Run(3 * time.Second)
@@ -55,12 +57,12 @@
 		accept(f, 1, "a")
 		f.Run(3 * time.Second)
 		isolated := hosts[1]
-		f.Fault = dropStore(func(h *membership.Host) bool { return h == isolated })
-		f.Link = func(a, b *membership.Host) (bool, bool) { return a == isolated || b == isolated, false }
+		f.CallFault = dropStore(func(h *membership.Host) bool { return h == isolated })
+		f.LinkFault = func(a, b *membership.Host) (bool, bool) { return a == isolated || b == isolated, false }
 		f.Run(feed.DefaultFreshnessBound + 200*time.Millisecond)
-		is.True(isolated.Feed.CutOff(isolated.Local(f.Now)))
+		is.True(isolated.Feed.CutOff(isolated.LocalTime(f.Now)))
 		f.Run(5 * time.Minute)
-		is.True(isolated.Feed.CutOff(isolated.Local(f.Now)))
+		is.True(isolated.Feed.CutOff(isolated.LocalTime(f.Now)))
 		is.Equal(cutOff(f, hosts), 1)
 	}
 }
@@ -71,19 +73,19 @@
 	accept(f, 1, "a")
 	f.Run(3 * time.Second)
 	inside := func(h *membership.Host) bool { return h.Member.Domain == "r1-b" }
-	f.Fault = dropStore(inside)
-	f.Link = func(a, b *membership.Host) (bool, bool) { return inside(a) != inside(b), false }
+	f.CallFault = dropStore(inside)
+	f.LinkFault = func(a, b *membership.Host) (bool, bool) { return inside(a) != inside(b), false }
 	f.Run(feed.DefaultFreshnessBound + time.Second)
 	is.Equal(cutOff(f, hosts), 10)
 	for _, h := range hosts {
-		is.Equal(h.Feed.CutOff(h.Local(f.Now)), inside(h))
+		is.Equal(h.Feed.CutOff(h.LocalTime(f.Now)), inside(h))
 	}
 }
 
 func TestStoreLostByOneDomainIsFreshThroughOthers(t *testing.T) {
 	is := is.New(t)
 	f, hosts := start(6, 30, 3)
-	f.Fault = dropStore(func(h *membership.Host) bool { return h.Member.Domain == "r1-c" })
+	f.CallFault = dropStore(func(h *membership.Host) bool { return h.Member.Domain == "r1-c" })
 	accept(f, 1, "a")
 	f.Run(20 * time.Second)
 	is.Equal(inForce(hosts, 1), 30)
@@ -96,7 +98,7 @@
 	var killed int
 	for _, h := range hosts {
 		if h.Member.Domain == "r1-a" && h.Feed.IsWatcher() {
-			f.Kill(h)
+			f.Crash(h)
 			killed++
 		}
 	}
@@ -120,7 +122,7 @@
 	f, hosts := start(8, 10, 1)
 	slow := hosts[4]
 	values := 0
-	f.Delay = func(_, b *membership.Host, size int) time.Duration {
+	f.ExtraDelay = func(_, b *membership.Host, size int) time.Duration {
 		if b != slow {
 			return 0
 		}
@@ -132,9 +134,9 @@
 	k := feed.Key{Topic: feed.TopicUpstream, Name: "u"}
 	const sets = 200
 	for seq := range uint64(sets) {
-		out, err := hosts[0].Feed.Set(hosts[0].Local(f.Now), k, feed.Stamp{Seq: seq + 1}, make([]byte, 1000))
+		out, err := hosts[0].Feed.Set(hosts[0].LocalTime(f.Now), k, feed.Stamp{Seq: seq + 1}, make([]byte, 1000))
 		is.NoErr(err)
-		f.Apply(hosts[0], out)
+		f.ApplyFeed(hosts[0], out)
 		f.Run(50 * time.Millisecond)
 	}
 	e, _ := hosts[7].Feed.Get(k)
@@ -152,17 +154,17 @@
 		checkNoReversion(rt, f)
 		r := core.NewRand(rapid.Uint64().Draw(rt, "rng"))
 		loss := rapid.IntRange(0, 50).Draw(rt, "loss")
-		f.Fault = func(*membership.Host, core.ObjectCall) membership.Fault {
-			return membership.Fault{Stale: r.IntN(3) == 0, Drop: r.IntN(100) < loss, Lose: r.IntN(100) < loss}
+		f.CallFault = func(*membership.Host, core.ObjectCall) membership.Fault {
+			return membership.Fault{StaleRead: r.IntN(3) == 0, DropCall: r.IntN(100) < loss, LoseAnswer: r.IntN(100) < loss}
 		}
-		f.Link = func(_, _ *membership.Host) (bool, bool) { return r.IntN(100) < loss, r.IntN(4) == 0 }
-		f.Delay = func(_, _ *membership.Host, _ int) time.Duration { return time.Duration(r.Int64N(int64(time.Second))) }
+		f.LinkFault = func(_, _ *membership.Host) (bool, bool) { return r.IntN(100) < loss, r.IntN(4) == 0 }
+		f.ExtraDelay = func(_, _ *membership.Host, _ int) time.Duration { return time.Duration(r.Int64N(int64(time.Second))) }
 		last := uint64(rapid.IntRange(2, 8).Draw(rt, "versions"))
 		for v := uint64(1); v <= last; v++ {
 			accept(f, v, "same", fmt.Sprint("edit ", v))
 			f.Run(time.Duration(r.Int64N(int64(2 * time.Second))))
 		}
-		f.Fault, f.Link, f.Delay = nil, nil, nil
+		f.CallFault, f.LinkFault, f.ExtraDelay = nil, nil, nil
 		f.Run(25 * time.Second)
 		if got := inForce(hosts, last); got != n {
 			rt.Fatalf("in force on %d of %d hosts once the faults had ended", got, n)
@@ -175,14 +177,14 @@
 	f, hosts := start(9, 30, 3)
 	k := feed.Key{Topic: feed.TopicUpstream, Name: "u"}
 	isolated := hosts[20]
-	f.Link = func(a, b *membership.Host) (bool, bool) { return a == isolated || b == isolated, false }
-	out, err := hosts[0].Feed.Set(hosts[0].Local(f.Now), k, feed.Stamp{Seq: 1}, []byte("v"))
+	f.LinkFault = func(a, b *membership.Host) (bool, bool) { return a == isolated || b == isolated, false }
+	out, err := hosts[0].Feed.Set(hosts[0].LocalTime(f.Now), k, feed.Stamp{Seq: 1}, []byte("v"))
 	is.NoErr(err)
-	f.Apply(hosts[0], out)
+	f.ApplyFeed(hosts[0], out)
 	f.Run(20 * time.Second) // its parent has dropped it as a child by now
 	_, ok := isolated.Feed.Get(k)
 	is.Equal(ok, false)
-	f.Link = nil
+	f.LinkFault = nil
 	f.Run(feed.DefaultRepairInterval + 10*time.Second)
 	is.Equal(isolated.Lease.IdentityLost(), false) // it wrote its own heartbeats meanwhile
 	_, ok = isolated.Feed.Get(k)
@@ -196,12 +198,12 @@
 	f.Run(3 * time.Second)
 	var slow *membership.Host // the host with the most children that is not a watcher
 	for _, h := range hosts {
-		if !h.Feed.IsWatcher() && (slow == nil || h.Messages > slow.Messages) {
+		if !h.Feed.IsWatcher() && (slow == nil || h.MessagesSent > slow.MessagesSent) {
 			slow = h
 		}
 	}
 	from := f.Now
-	f.Delay = func(a, b *membership.Host, _ int) time.Duration {
+	f.ExtraDelay = func(a, b *membership.Host, _ int) time.Duration {
 		if a == slow || b == slow {
 			return min(f.Now.Sub(from)/4, 8*time.Second) // a growing queue: answers are late but never stop
 		}
@@ -217,15 +219,15 @@
 	is := is.New(t)
 	f, hosts := start(12, 20, 3)
 	k := feed.Key{Topic: feed.TopicLoad, Name: string(hosts[3].Member.Host)}
-	out, err := hosts[3].Feed.Set(hosts[3].Local(f.Now), k, feed.Stamp{Seq: 1}, []byte("v"))
+	out, err := hosts[3].Feed.Set(hosts[3].LocalTime(f.Now), k, feed.Stamp{Seq: 1}, []byte("v"))
 	is.NoErr(err)
-	f.Apply(hosts[3], out)
+	f.ApplyFeed(hosts[3], out)
 	f.Run(3 * time.Second)
 	for _, h := range hosts {
 		_, ok := h.Feed.Get(k)
 		is.True(ok)
 	}
-	f.Kill(hosts[3])
+	f.Crash(hosts[3])
 	f.Run(feed.DefaultRepairInterval * 3)
 	for _, h := range hosts {
 		_, ok := h.Feed.Get(k)
--- a/internal/core/feed/feed_test.go
+++ b/internal/core/feed/feed_test.go
@@ -31,19 +31,19 @@
 		sum := sha256.Sum256([]byte(c))
 		hash := hex.EncodeToString(sum[:])
 		h.Chunks = append(h.Chunks, hash)
-		f.Store.Put(config.ChunkPrefix+hash, []byte(c))
+		f.Store.WriteExternal(config.ChunkPrefix+hash, []byte(c))
 	}
 	b, _ := config.EncodeHead(h)
-	f.Store.Put(config.HeadKey, b)
+	f.Store.WriteExternal(config.HeadKey, b)
 }
 
 // start returns a fleet of n hosts, after 15 s in which it forms.
 func start(seed uint64, n, domains int) (*membership.Fleet, []*membership.Host) {
 	f := membership.NewFleet(seed)
-	f.Feeds = true
+	f.RunFeeds = true
 	var hosts []*membership.Host
 	for i := range n {
-		hosts = append(hosts, f.Add(membership.Places(domains)[i%domains]))
+		hosts = append(hosts, f.AddHost(membership.Places(domains)[i%domains]))
 	}
 	f.Run(15 * time.Second)
 	return f, hosts
@@ -60,7 +60,7 @@
 
 func cutOff(f *membership.Fleet, hosts []*membership.Host) (n int) {
 	for _, h := range hosts {
-		if !h.Dead && h.Feed.CutOff(h.Local(f.Now)) {
+		if !h.Dead && h.Feed.CutOff(h.LocalTime(f.Now)) {
 			n++
 		}
 	}
@@ -91,9 +91,9 @@
 	k := feed.Key{Topic: feed.TopicUpstream, Name: "u1"}
 	for seq := range uint64(50) {
 		h := hosts[7]
-		out, err := h.Feed.Set(h.Local(f.Now), k, feed.Stamp{Fence: 3, Seq: seq + 1}, []byte(fmt.Sprint(seq)))
+		out, err := h.Feed.Set(h.LocalTime(f.Now), k, feed.Stamp{Fence: 3, Seq: seq + 1}, []byte(fmt.Sprint(seq)))
 		is.NoErr(err)
-		f.Apply(h, out)
+		f.ApplyFeed(h, out)
 		f.Run(20 * time.Millisecond)
 	}
 	f.Run(2 * time.Second)
--- a/internal/core/lease/faults_test.go
+++ b/internal/core/lease/faults_test.go
@@ -21,12 +21,12 @@
 
 func onCalls(faultFor func(h *membership.Host, c core.ObjectCall, r *core.Rand) membership.Fault) func(*membership.Fleet, []*membership.Host, *core.Rand) {
 	return func(f *membership.Fleet, _ []*membership.Host, r *core.Rand) {
-		before := f.Fault
-		f.Fault = func(h *membership.Host, c core.ObjectCall) membership.Fault {
+		before := f.CallFault
+		f.CallFault = func(h *membership.Host, c core.ObjectCall) membership.Fault {
 			x := faultFor(h, c, r)
 			if before != nil {
 				y := before(h, c)
-				x.Drop, x.Lose, x.Stale, x.Delay = x.Drop || y.Drop, x.Lose || y.Lose, x.Stale || y.Stale, x.Delay+y.Delay
+				x.DropCall, x.LoseAnswer, x.StaleRead, x.Delay = x.DropCall || y.DropCall, x.LoseAnswer || y.LoseAnswer, x.StaleRead || y.StaleRead, x.Delay+y.Delay
 			}
 			return x
 		}
@@ -35,8 +35,8 @@
 
 func onLinks(faultFor func(a, b *membership.Host, r *core.Rand) (bool, bool)) func(*membership.Fleet, []*membership.Host, *core.Rand) {
 	return func(f *membership.Fleet, _ []*membership.Host, r *core.Rand) {
-		before := f.Link
-		f.Link = func(a, b *membership.Host) (bool, bool) {
+		before := f.LinkFault
+		f.LinkFault = func(a, b *membership.Host) (bool, bool) {
 			cut, twice := faultFor(a, b, r)
 			if before != nil {
 				c, t := before(a, b)
@@ -48,7 +48,7 @@
 }
 
 func endFaults(f *membership.Fleet, hosts []*membership.Host) {
-	f.Fault, f.Link = nil, nil
+	f.CallFault, f.LinkFault = nil, nil
 	for _, h := range hosts {
 		if h.Paused {
 			f.Resume(h)
@@ -58,25 +58,25 @@
 
 var faults = []fault{
 	{name: "answers lost after the write took effect", apply: onCalls(func(_ *membership.Host, _ core.ObjectCall, r *core.Rand) membership.Fault {
-		return membership.Fault{Lose: r.IntN(3) == 0}
+		return membership.Fault{LoseAnswer: r.IntN(3) == 0}
 	})},
 	{name: "store down", apply: onCalls(func(*membership.Host, core.ObjectCall, *core.Rand) membership.Fault {
-		return membership.Fault{Drop: true}
+		return membership.Fault{DropCall: true}
 	})},
 	{name: "store slow", apply: onCalls(func(_ *membership.Host, _ core.ObjectCall, r *core.Rand) membership.Fault {
 		return membership.Fault{Delay: time.Duration(r.Int64N(int64(3 * time.Second)))}
 	})},
 	{name: "stale reads", apply: onCalls(func(_ *membership.Host, _ core.ObjectCall, r *core.Rand) membership.Fault {
-		return membership.Fault{Stale: r.IntN(2) == 0}
+		return membership.Fault{StaleRead: r.IntN(2) == 0}
 	})},
 	{name: "watch gaps", apply: onCalls(func(_ *membership.Host, c core.ObjectCall, _ *core.Rand) membership.Fault {
-		return membership.Fault{Drop: c.Op == core.ObjectWatch}
+		return membership.Fault{DropCall: c.Op == core.ObjectWatch}
 	})},
 	{name: "one host cut off from the store", apply: onCalls(func(h *membership.Host, _ core.ObjectCall, _ *core.Rand) membership.Fault {
-		return membership.Fault{Drop: h.Member.Host[:5] == "h0002"}
+		return membership.Fault{DropCall: h.Member.Host[:5] == "h0002"}
 	})},
 	{name: "a failure domain cut off from the store", apply: onCalls(func(h *membership.Host, _ core.ObjectCall, _ *core.Rand) membership.Fault {
-		return membership.Fault{Drop: h.Member.Domain == "r1-b"}
+		return membership.Fault{DropCall: h.Member.Domain == "r1-b"}
 	})},
 	{name: "one host cut off from hosts", apply: onLinks(func(a, b *membership.Host, _ *core.Rand) (bool, bool) {
 		return a.Member.Host[:5] == "h0003" || b.Member.Host[:5] == "h0003", false
@@ -90,14 +90,14 @@
 	{name: "an owner paused", apply: func(f *membership.Fleet, hosts []*membership.Host, r *core.Rand) { f.Pause(hosts[r.IntN(len(hosts))]) }},
 	{name: "a host leaving", apply: func(f *membership.Fleet, hosts []*membership.Host, r *core.Rand) {
 		h := hosts[r.IntN(len(hosts))]
-		f.Do(h, h.Lease.Leave)
-		f.After(3*time.Second, func() { f.Do(h, h.Lease.Release) })
+		f.StepLease(h, h.Lease.Leave)
+		f.After(3*time.Second, func() { f.StepLease(h, h.Lease.Release) })
 	}},
 	{name: "a host crashing, another at its address", apply: func(f *membership.Fleet, hosts []*membership.Host, r *core.Rand) {
 		h := hosts[r.IntN(len(hosts))]
-		f.Kill(h)
+		f.Crash(h)
 		f.After(time.Second, func() {
-			f.Add(membership.Place{Region: h.Member.Region, Domain: h.Member.Domain}).Member.Address = h.Member.Address
+			f.AddHost(membership.Place{Region: h.Member.Region, Domain: h.Member.Domain}).Member.Address = h.Member.Address
 		})
 	}},
 }
@@ -107,7 +107,7 @@
 func recovered(t *testing.T, f *membership.Fleet, shards int) {
 	t.Helper()
 	noViolations(t, f)
-	if n := f.Trace.Acted(f.Now); n != shards {
+	if n := f.Trace.ActiveShards(f.Now); n != shards {
 		t.Errorf("%d of %d shards have an actor after the fault", n, shards)
 	}
 }
@@ -168,11 +168,11 @@
 	is := is.New(t)
 	f := membership.NewFleet(7)
 	f.Shards = shards(30)
-	f.Tune = func(s *lease.Settings) { s.FenceMargin = time.Nanosecond; s.MaxDriftPPM = 150_000 }
+	f.TuneSettings = func(s *lease.Settings) { s.FenceMargin = time.Nanosecond; s.MaxDriftPPM = 150_000 }
 	var hosts []*membership.Host
 	for i := range 4 {
-		h := f.Add(membership.Places(3)[i%3])
-		f.SetClock(h, []int64{-150_000, 150_000}[i%2])
+		h := f.AddHost(membership.Places(3)[i%3])
+		f.SetClockDrift(h, []int64{-150_000, 150_000}[i%2])
 		hosts = append(hosts, h)
 	}
 	f.Run(10 * time.Second)
@@ -194,26 +194,26 @@
 	is := is.New(t)
 	f, hosts := start(11, n, 30)
 	f.Run(20 * time.Second)
-	before := f.Store.Total()
+	before := f.Store.TotalCalls()
 	f.Run(time.Minute)
-	steady := f.Store.Total() - before
-	f.Fault = func(*membership.Host, core.ObjectCall) membership.Fault { return membership.Fault{Drop: true} }
+	steady := f.Store.TotalCalls() - before
+	f.CallFault = func(*membership.Host, core.ObjectCall) membership.Fault { return membership.Fault{DropCall: true} }
 	f.Run(10 * time.Minute)
 	for _, s := range f.Shards {
 		serving := 0
 		for _, h := range hosts {
-			_, acting := h.Lease.Acting(h.Local(f.Now), s)
+			_, acting := h.Lease.Acting(h.LocalTime(f.Now), s)
 			is.Equal(acting, false)
-			if h.Lease.Serving(h.Local(f.Now), s) {
+			if h.Lease.Serving(h.LocalTime(f.Now), s) {
 				serving++
 			}
 		}
 		is.Equal(serving, 1) // the one that acted when the store became unavailable
 	}
-	f.Fault = nil
-	before = f.Store.Total()
+	f.CallFault = nil
+	before = f.Store.TotalCalls()
 	f.Run(time.Second)
-	is.True(f.Store.Total()-before < steady/60*4) // the first second after the outage
+	is.True(f.Store.TotalCalls()-before < steady/60*4) // the first second after the outage
 	f.Run(20 * time.Second)
 	is.Equal(len(hosts[0].Lease.Members()), n) // nobody was removed
 	recovered(t, f, 30)
@@ -225,9 +225,9 @@
 	for i := range 8 {
 		h := hosts[i]
 		f.Run(7 * time.Second)
-		f.Add(membership.Places(3)[i%3])
-		f.Do(h, h.Lease.Leave)
-		f.After(2*time.Second, func() { f.Do(h, h.Lease.Release) })
+		f.AddHost(membership.Places(3)[i%3])
+		f.StepLease(h, h.Lease.Leave)
+		f.After(2*time.Second, func() { f.StepLease(h, h.Lease.Release) })
 	}
 	f.Run(15 * time.Second)
 	recovered(t, f, 60)
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -36,7 +36,7 @@
 	f.Shards = shards(count)
 	var hosts []*membership.Host
 	for i := range n {
-		hosts = append(hosts, f.Add(membership.Places(3)[i%3]))
+		hosts = append(hosts, f.AddHost(membership.Places(3)[i%3]))
 	}
 	f.Run(10 * time.Second)
 	return f, hosts
@@ -54,7 +54,7 @@
 		is := is.New(t)
 		f, hosts := start(1, n, 40)
 		noViolations(t, f)
-		is.Equal(f.Trace.Acted(f.Now), 40) // every shard has an owner that acts
+		is.Equal(f.Trace.ActiveShards(f.Now), 40) // every shard has an owner that acts
 		for _, h := range hosts {
 			is.True(h.Lease.Joined())
 			is.Equal(len(h.Lease.Members()), n)
@@ -65,10 +65,10 @@
 func TestCrashedHostIsReplaced(t *testing.T) {
 	is := is.New(t)
 	f, hosts := start(2, 6, 40)
-	f.Kill(hosts[4])
+	f.Crash(hosts[4])
 	f.Run(12 * time.Second)
 	noViolations(t, f)
-	is.Equal(f.Trace.Acted(f.Now), 40)
+	is.Equal(f.Trace.ActiveShards(f.Now), 40)
 	t.Log("gap", f.Trace.LongestGap())
 	is.Equal(len(hosts[0].Lease.Members()), 5)
 }
@@ -77,24 +77,24 @@
 	is := is.New(t)
 	f, hosts := start(3, 6, 40)
 	h := hosts[1]
-	h.Given = func(c lease.RightChange) []byte { return []byte(c.Shard.Name) }
-	clear(f.Trace.Longest)
+	h.HandoffState = func(c lease.RightChange) []byte { return []byte(c.Shard.Name) }
+	clear(f.Trace.LongestGaps)
 	for _, o := range hosts {
-		o.Took = nil
+		o.ReceivedHandoffs = nil
 	}
-	f.Do(h, h.Lease.Leave)
+	f.StepLease(h, h.Lease.Leave)
 	f.Run(2 * time.Second)
 	is.Equal(h.Lease.PendingHandoffs(), 0)
-	f.Do(h, h.Lease.Release)
+	f.StepLease(h, h.Lease.Release)
 	f.Run(2 * time.Second)
 	is.True(h.Lease.Released())
 	f.Run(8 * time.Second)
 	noViolations(t, f)
-	is.Equal(f.Trace.Acted(f.Now), 40)
+	is.Equal(f.Trace.ActiveShards(f.Now), 40)
 	is.True(f.Trace.LongestGap() < 50*time.Millisecond) // the time of a few messages
 	states := 0
 	for _, o := range hosts {
-		for _, c := range o.Took {
+		for _, c := range o.ReceivedHandoffs {
 			is.Equal(string(c.State), c.Shard.Name)
 			states++
 		}
--- a/internal/core/lease/old_head_test.go
+++ b/internal/core/lease/old_head_test.go
@@ -17,7 +17,7 @@
 func TestLeaderWithAnOldHeadDoesNotWrite(t *testing.T) {
 	is := is.New(t)
 	f := membership.NewFleet(1)
-	h := f.Add(membership.Places(1)[0])
+	h := f.AddHost(membership.Places(1)[0])
 	f.Run(5 * time.Second)
 	is.True(h.Lease.IsBatchLeader())
 	key := lease.HeartbeatsPrefix + "r1-a/0"
@@ -25,8 +25,8 @@
 		f.Store.Do(core.ObjectCall{Op: core.ObjectGet, Key: key}, false, func(r core.ObjectResult) { o = r.Object })
 		return o
 	}
-	f.Fault = func(_ *membership.Host, c core.ObjectCall) membership.Fault {
-		return membership.Fault{Drop: c.Key == lease.HeadKey}
+	f.CallFault = func(_ *membership.Host, c core.ObjectCall) membership.Fault {
+		return membership.Fault{DropCall: c.Key == lease.HeadKey}
 	}
 	head, err := lease.DecodeHead(read(lease.HeadKey).Value)
 	is.NoErr(err)
@@ -36,16 +36,16 @@
 	beat.Leader, beat.MaxHeadVersion = "gone", head.Version
 	value, err := lease.EncodeHeartbeatBatch(beat)
 	is.NoErr(err)
-	f.Store.Put(key, value)
+	f.Store.WriteExternal(key, value)
 	written := read(key).Version
 	f.Run(20 * time.Second)
 	is.Equal(read(key).Version, written) // not written with the old head
-	is.Equal(h.Lease.HasLease(h.Local(f.Now)), false)
+	is.Equal(h.Lease.HasLease(h.LocalTime(f.Now)), false)
 	value, err = lease.EncodeHead(head)
 	is.NoErr(err)
-	f.Store.Put(lease.HeadKey, value)
-	f.Fault = nil
+	f.Store.WriteExternal(lease.HeadKey, value)
+	f.CallFault = nil
 	f.Run(10 * time.Second)
 	is.True(read(key).Version > written)
-	is.True(h.Lease.HasLease(h.Local(f.Now)))
+	is.True(h.Lease.HasLease(h.LocalTime(f.Now)))
 }
--- a/internal/measure/membership/baseline.go
+++ b/internal/measure/membership/baseline.go
@@ -28,7 +28,7 @@
 	for i := range n {
 		id := core.HostID(rune('a'+i%26)) + core.HostID(rune('0'+i/26%10)) + core.HostID(rune('0'+i/260))
 		b.hosts = append(b.hosts, &Host{Member: core.Member{Host: id, Domain: places[i%len(places)].Domain, Region: places[i%len(places)].Region}})
-		b.fleet.Order = append(b.fleet.Order, id)
+		b.fleet.HostOrder = append(b.fleet.HostOrder, id)
 	}
 	slow := b.hosts[n-1].Member.Host
 	b.progress = &rolloutProgress{accepted: map[uint64]core.Instant{}, reached: map[core.HostID]uint64{}, result: &b.result, slow: slow}
@@ -62,7 +62,7 @@
 
 func (b *baselineFleet) finish(n int) rollout {
 	b.fleet.Run(rolloutTimeout)
-	b.progress.recordRemaining(b.fleet.Now, b.fleet.Order, changes)
+	b.progress.recordRemaining(b.fleet.Now, b.fleet.HostOrder, changes)
 	total, busiest := 0, 0
 	for _, x := range b.bytes {
 		total, busiest = total+x, max(busiest, x)
--- a/internal/measure/membership/bench_test.go
+++ b/internal/measure/membership/bench_test.go
@@ -17,7 +17,7 @@
 func startIdleFleet() *Fleet {
 	if idleFleet == nil {
 		idleFleet = NewFleet(1)
-		idleFleet.Feeds = true
+		idleFleet.RunFeeds = true
 		startHosts(idleFleet, 350)
 		writeConfig(idleFleet, 1, chunkCount, chunkBytes)
 		idleFleet.Run(10 * time.Second)
@@ -26,7 +26,7 @@
 }
 
 func findHost(f *Fleet, is func(h *Host) bool) *Host {
-	for _, id := range f.Order {
+	for _, id := range f.HostOrder {
 		if is(f.Hosts[id]) {
 			return f.Hosts[id]
 		}
@@ -37,7 +37,7 @@
 func BenchmarkMemberTick(b *testing.B) {
 	f := startIdleFleet()
 	h := findHost(f, func(h *Host) bool { return !h.Lease.IsPoller() && !h.Feed.IsWatcher() })
-	now := h.Local(f.Now)
+	now := h.LocalTime(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
 		h.Lease.Tick(now)
@@ -48,7 +48,7 @@
 func BenchmarkLeaderHeartbeat(b *testing.B) {
 	f := startIdleFleet()
 	h := findHost(f, func(h *Host) bool { return h.Lease.IsBatchLeader() })
-	now, seq := h.Local(f.Now), uint64(1<<40)
+	now, seq := h.LocalTime(f.Now), uint64(1<<40)
 	b.ReportAllocs()
 	for b.Loop() {
 		seq++
@@ -60,7 +60,7 @@
 	f := startIdleFleet()
 	h := findHost(f, func(h *Host) bool { return h.Lease.IsPoller() })
 	objects := f.Store.changedSince(lease.HeartbeatsPrefix, 0)
-	now := h.Local(f.Now)
+	now := h.LocalTime(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(3 * time.Second)
@@ -78,7 +78,7 @@
 	if h == nil {
 		b.Skip("no relay")
 	}
-	now, seq := h.Local(f.Now), uint64(0)
+	now, seq := h.LocalTime(f.Now), uint64(0)
 	value := make([]byte, 60)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -95,7 +95,7 @@
 	h := findHost(f, func(h *Host) bool { return !h.Lease.IsPoller() })
 	head, _ := lease.DecodeHead(h.Lease.Head())
 	h.Lease.SetShards(makeShards(700))
-	now := h.Local(f.Now)
+	now := h.LocalTime(f.Now)
 	b.ReportAllocs()
 	for b.Loop() {
 		head.Version++
@@ -111,7 +111,7 @@
 	h := findHost(f, func(h *Host) bool { return !h.Lease.IsPoller() })
 	shards := makeShards(700)
 	h.Lease.SetShards(shards)
-	now := h.Local(f.Now)
+	now := h.LocalTime(f.Now)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		h.Lease.Acting(now, shards[i%len(shards)])
--- a/internal/measure/membership/calls.go
+++ b/internal/measure/membership/calls.go
@@ -25,7 +25,7 @@
 	var targets []measure.Target
 	for _, n := range []int{3, 8, 30, 100, 350} {
 		f := NewFleet(seed)
-		f.Feeds = true
+		f.RunFeeds = true
 		hosts := startHosts(f, n)
 		writeConfig(f, 1, 40, 0)
 		f.Run(10 * time.Second)
@@ -51,19 +51,19 @@
 func idleRow(f *Fleet, hosts []*Host) measure.Row {
 	const span = 20 * time.Second
 	ops := map[core.ObjectOp]int{}
-	for op, c := range f.Store.Calls {
+	for op, c := range f.Store.CallsByOp {
 		ops[op] = c
 	}
 	type usage struct{ link, store int }
 	before := map[core.HostID]usage{}
 	for _, h := range hosts {
-		before[h.Member.Host] = usage{link: h.In + h.Out, store: h.Store}
+		before[h.Member.Host] = usage{link: h.LinkBytesIn + h.LinkBytesOut, store: h.StoreBytes}
 	}
 	f.Run(span)
 	rate := func(list ...core.ObjectOp) float64 {
 		total := 0
 		for _, op := range list {
-			total += f.Store.Calls[op] - ops[op]
+			total += f.Store.CallsByOp[op] - ops[op]
 		}
 		return float64(total) / span.Seconds()
 	}
@@ -73,10 +73,10 @@
 	sum, maxLink, maxLinkAndStore, joined := 0, 0, 0, 0
 	for _, h := range hosts {
 		u := before[h.Member.Host]
-		link := h.In + h.Out - u.link
+		link := h.LinkBytesIn + h.LinkBytesOut - u.link
 		sum += link
 		maxLink = max(maxLink, link)
-		maxLinkAndStore = max(maxLinkAndStore, link+h.Store-u.store)
+		maxLinkAndStore = max(maxLinkAndStore, link+h.StoreBytes-u.store)
 		if h.Lease.Joined() {
 			joined++
 		}
--- a/internal/measure/membership/fleet.go
+++ b/internal/measure/membership/fleet.go
@@ -46,8 +46,8 @@
 	return all[:domains]
 }
 
-// Packet is one message between hosts.
-type Packet struct {
+// Datagram is one message between hosts.
+type Datagram struct {
 	Lease *lease.Message `cbor:"1,keyasint,omitempty"`
 	Feed  *feed.Message  `cbor:"2,keyasint,omitempty"`
 }
@@ -66,41 +66,41 @@
 	feedView      uint64       // membership view last passed to the feed
 	delayed       []func()     // events delayed while it is paused
 
-	In, Out  int // bytes received and sent on host links
-	Store    int // bytes of object calls
-	Messages int // sent
-	Steps    int
-	Given    func(lease.RightChange) []byte // returns the state to hand off with a shard
-	Took     []lease.RightChange            // handoffs received
+	LinkBytesIn, LinkBytesOut int // bytes received and sent on host links
+	StoreBytes                int // bytes of object calls
+	MessagesSent              int // sent
+	Steps                     int
+	HandoffState              func(lease.RightChange) []byte // returns the state to hand off with a shard
+	ReceivedHandoffs          []lease.RightChange            // handoffs received
 }
 
-// Local returns the reading of the host's clock at a real time.
-func (h *Host) Local(real core.Instant) core.Instant {
+// LocalTime returns the reading of the host's clock at a real time.
+func (h *Host) LocalTime(real core.Instant) core.Instant {
 	return h.clockOffset + real + core.Instant(int64(real)/1_000_000*h.clockDriftPPM)
 }
 
-// Real returns the real time at which the host's clock reads an instant.
-func (h *Host) Real(local core.Instant) core.Instant {
+// RealTime returns the real time at which the host's clock reads an instant.
+func (h *Host) RealTime(local core.Instant) core.Instant {
 	const million = 1_000_000
 	return core.Instant(float64(local-h.clockOffset) / (1 + float64(h.clockDriftPPM)/million))
 }
 
 // Fleet is a set of hosts, links and a store in virtual time.
 type Fleet struct {
-	Now   core.Instant
-	Store *Store
-	Hosts map[core.HostID]*Host
-	Order []core.HostID
-	Rng   *core.Rand
-	Trace *Trace
-
-	Shards  []core.Shard
-	Feeds   bool                                         // hosts run a feed machine too
-	Tune    func(*lease.Settings)                        // adjusts the settings of each new host
-	Fault   func(h *Host, c core.ObjectCall) Fault       // fault of an object call
-	Link    func(from, to *Host) (cut, twice bool)       // loss or duplication of a message
-	Delay   func(from, to *Host, size int) time.Duration // added to the delay of a message
-	Stepped func(h *Host)                                // called after each step of a host
+	Now       core.Instant
+	Store     *Store
+	Hosts     map[core.HostID]*Host
+	HostOrder []core.HostID
+	Rng       *core.Rand
+	Trace     *ActingTrace
+
+	Shards       []core.Shard
+	RunFeeds     bool                                         // hosts run a feed machine too
+	TuneSettings func(*lease.Settings)                        // adjusts the settings of each new host
+	CallFault    func(h *Host, c core.ObjectCall) Fault       // fault of an object call
+	LinkFault    func(from, to *Host) (cut, twice bool)       // loss or duplication of a message
+	ExtraDelay   func(from, to *Host, size int) time.Duration // added to the delay of a message
+	AfterStep    func(h *Host)                                // called after each step of a host
 
 	events     events
 	seq        uint64
@@ -110,12 +110,12 @@
 // NewFleet returns a fleet without hosts.
 func NewFleet(seed uint64) *Fleet {
 	return &Fleet{
-		Store: NewStore(), Hosts: map[core.HostID]*Host{}, Rng: core.NewRand(seed), Trace: NewTrace(),
+		Store: NewStore(), Hosts: map[core.HostID]*Host{}, Rng: core.NewRand(seed), Trace: NewActingTrace(),
 	}
 }
 
-// Add starts a host under a new identity.
-func (f *Fleet) Add(p Place) *Host {
+// AddHost starts a host under a new identity.
+func (f *Fleet) AddHost(p Place) *Host {
 	f.hostsAdded++
 	id := core.HostID(fmt.Sprintf("h%04d-%06x", f.hostsAdded, f.Rng.Uint64()&0xffffff))
 	m := core.Member{
@@ -123,22 +123,22 @@
 		Domain: p.Domain, Region: p.Region,
 	}
 	s := lease.Settings{Self: m}
-	if f.Tune != nil {
-		f.Tune(&s)
+	if f.TuneSettings != nil {
+		f.TuneSettings(&s)
 	}
 	h := &Host{Member: m, Lease: lease.New(s, core.NewRand(f.Rng.Uint64())), clockOffset: core.Instant(f.Rng.Int64N(int64(time.Hour)))}
 	h.Lease.SetShards(f.Shards)
-	if f.Feeds {
+	if f.RunFeeds {
 		h.Feed = feed.New(feed.Settings{Self: m}, core.NewRand(f.Rng.Uint64()))
 	}
 	f.Hosts[id] = h
-	f.Order = append(f.Order, id)
+	f.HostOrder = append(f.HostOrder, id)
 	f.After(time.Duration(f.Rng.Int64N(int64(tickInterval))), func() { f.tick(h) })
 	return h
 }
 
-// SetClock sets the drift of a host's clock. Call it before the host runs.
-func (f *Fleet) SetClock(h *Host, ppm int64) { h.clockDriftPPM = ppm }
+// SetClockDrift sets the drift of a host's clock. Call it before the host runs.
+func (f *Fleet) SetClockDrift(h *Host, ppm int64) { h.clockDriftPPM = ppm }
 
 func (f *Fleet) tick(h *Host) {
 	if h.Dead {
@@ -149,7 +149,7 @@
 		f.step(h, func(now core.Instant) {
 			f.applyLease(h, h.Lease.Tick(now))
 			if h.Feed != nil {
-				f.Apply(h, h.Feed.Tick(now))
+				f.ApplyFeed(h, h.Feed.Tick(now))
 			}
 		})
 	}
@@ -180,28 +180,28 @@
 	}
 }
 
-// Kill ends a host's process.
-func (f *Fleet) Kill(h *Host) {
+// Crash ends a host's process.
+func (f *Fleet) Crash(h *Host) {
 	h.Dead = true
-	f.Trace.Close(f.Now, h.Member.Host)
+	f.Trace.CloseClaims(f.Now, h.Member.Host)
 }
 
-// Do calls a function on a host's lease machine and carries out the effects.
-func (f *Fleet) Do(h *Host, do func(now core.Instant) lease.Output) {
+// StepLease calls a function on a host's lease machine and carries out the effects.
+func (f *Fleet) StepLease(h *Host, do func(now core.Instant) lease.Output) {
 	f.step(h, func(now core.Instant) { f.applyLease(h, do(now)) })
 }
 
 // step runs an event on a host and then applies and records what it changed.
 func (f *Fleet) step(h *Host, do func(now core.Instant)) {
 	h.Steps++
-	do(h.Local(f.Now))
+	do(h.LocalTime(f.Now))
 	if h.Feed != nil {
 		f.connectFeed(h)
 	}
 	f.applyChanges(h)
 	f.recordClaims(h)
-	if f.Stepped != nil {
-		f.Stepped(h)
+	if f.AfterStep != nil {
+		f.AfterStep(h)
 	}
 }
 
@@ -213,12 +213,12 @@
 		case lease.HandoffNeeded:
 			f.recordClaims(h)
 			var state []byte
-			if h.Given != nil {
-				state = h.Given(c)
+			if h.HandoffState != nil {
+				state = h.HandoffState(c)
 			}
-			f.applyLease(h, h.Lease.HandOff(h.Local(f.Now), c.Shard, state))
+			f.applyLease(h, h.Lease.HandOff(h.LocalTime(f.Now), c.Shard, state))
 		case lease.StateReceived:
-			h.Took = append(h.Took, c)
+			h.ReceivedHandoffs = append(h.ReceivedHandoffs, c)
 		}
 	}
 }
@@ -226,14 +226,14 @@
 // recordClaims records in the trace, in real time, the shards that the host may
 // act on.
 func (f *Fleet) recordClaims(h *Host) {
-	now := h.Local(f.Now)
+	now := h.LocalTime(f.Now)
 	if h.mayAct == nil {
 		h.mayAct = make([]bool, len(f.Shards))
 	}
 	for i, s := range f.Shards {
 		g, ok := h.Lease.Acting(now, s)
 		if ok {
-			f.Trace.Claim(f.Now, h.Member.Host, s, g.Fence, h.Real(g.Until))
+			f.Trace.Claim(f.Now, h.Member.Host, s, g.Fence, h.RealTime(g.Until))
 		} else if h.mayAct[i] {
 			f.Trace.Drop(f.Now, h.Member.Host, s)
 		}
@@ -247,17 +247,17 @@
 		f.callStore(h, c, func(now core.Instant, r core.ObjectResult) { f.applyLease(h, h.Lease.HandleObject(now, r)) })
 	}
 	for i := range out.Sends {
-		f.send(h, out.Sends[i].To, Packet{Lease: &out.Sends[i].Message})
+		f.send(h, out.Sends[i].To, Datagram{Lease: &out.Sends[i].Message})
 	}
 }
 
-// Apply carries out the effects of a feed machine.
-func (f *Fleet) Apply(h *Host, out feed.Output) {
+// ApplyFeed carries out the effects of a feed machine.
+func (f *Fleet) ApplyFeed(h *Host, out feed.Output) {
 	for _, c := range out.Calls {
-		f.callStore(h, c, func(now core.Instant, r core.ObjectResult) { f.Apply(h, h.Feed.HandleObject(now, r)) })
+		f.callStore(h, c, func(now core.Instant, r core.ObjectResult) { f.ApplyFeed(h, h.Feed.HandleObject(now, r)) })
 	}
 	for i := range out.Sends {
-		f.send(h, out.Sends[i].To, Packet{Feed: &out.Sends[i].Message})
+		f.send(h, out.Sends[i].To, Datagram{Feed: &out.Sends[i].Message})
 	}
 }
 
@@ -268,7 +268,7 @@
 // current members and distributes the membership head, and the lease machine
 // applies the heads that the feed receives.
 func (f *Fleet) connectFeed(h *Host) {
-	now := h.Local(f.Now)
+	now := h.LocalTime(f.Now)
 	for _, e := range h.Feed.TakeChanged() {
 		if e.Key == headKey {
 			f.applyLease(h, h.Lease.ApplyHead(now, e.Value, 0))
@@ -281,12 +281,12 @@
 	h.Feed.SetMembers(now, h.feedView, h.Lease.Members())
 	out, err := h.Feed.Set(now, headKey, feed.Stamp{Seq: h.feedView}, h.Lease.Head())
 	if err == nil {
-		f.Apply(h, out)
+		f.ApplyFeed(h, out)
 	}
 }
 
 // send delivers a message after the link's delay, unless the link is cut.
-func (f *Fleet) send(h *Host, to core.HostID, p Packet) {
+func (f *Fleet) send(h *Host, to core.HostID, p Datagram) {
 	target := f.Hosts[to]
 	if target == nil {
 		return
@@ -296,18 +296,18 @@
 		return
 	}
 	bytes := len(b) + headerBytes
-	h.Out += bytes
-	h.Messages++
+	h.LinkBytesOut += bytes
+	h.MessagesSent++
 	cut, twice := false, false
-	if f.Link != nil {
-		cut, twice = f.Link(h, target)
+	if f.LinkFault != nil {
+		cut, twice = f.LinkFault(h, target)
 	}
 	if cut || target.Dead {
 		return
 	}
 	arrive := func() {
 		f.deliver(target, func() {
-			target.In += bytes
+			target.LinkBytesIn += bytes
 			f.step(target, func(now core.Instant) { f.receive(target, now, h.Member.Host, p) })
 		})
 	}
@@ -317,12 +317,12 @@
 	}
 }
 
-func (f *Fleet) receive(t *Host, now core.Instant, from core.HostID, p Packet) {
+func (f *Fleet) receive(t *Host, now core.Instant, from core.HostID, p Datagram) {
 	if p.Lease != nil {
 		f.applyLease(t, t.Lease.HandleMessage(now, from, *p.Lease))
 	}
 	if p.Feed != nil {
-		f.Apply(t, t.Feed.HandleMessage(now, from, *p.Feed))
+		f.ApplyFeed(t, t.Feed.HandleMessage(now, from, *p.Feed))
 	}
 }
 
@@ -337,8 +337,8 @@
 		d = sameRegionDelay
 	}
 	d += time.Duration(f.Rng.Int64N(int64(d) / 2))
-	if f.Delay != nil {
-		d += f.Delay(a, b, size)
+	if f.ExtraDelay != nil {
+		d += f.ExtraDelay(a, b, size)
 	}
 	return d
 }
@@ -347,8 +347,8 @@
 // result.
 func (f *Fleet) callStore(h *Host, c core.ObjectCall, done func(core.Instant, core.ObjectResult)) {
 	var fault Fault
-	if f.Fault != nil {
-		fault = f.Fault(h, c)
+	if f.CallFault != nil {
+		fault = f.CallFault(h, c)
 	}
 	oneWay := storeServiceTime / 2
 	if h.Member.Region != "r1" {
@@ -358,19 +358,19 @@
 		r.Tag = c.Tag
 		f.After(oneWay, func() {
 			f.deliver(h, func() {
-				h.Store += payloadBytes(c, r) + headerBytes
+				h.StoreBytes += payloadBytes(c, r) + headerBytes
 				f.step(h, func(now core.Instant) { done(now, r) })
 			})
 		})
 	}
-	if fault.Drop {
-		f.Store.Calls[c.Op]++
+	if fault.DropCall {
+		f.Store.CallsByOp[c.Op]++
 		answer(core.ObjectResult{Status: core.ObjectUnavailable})
 		return
 	}
 	f.After(oneWay+fault.Delay, func() {
-		w := f.Store.Do(c, fault.Stale, func(r core.ObjectResult) {
-			if fault.Lose {
+		w := f.Store.Do(c, fault.StaleRead, func(r core.ObjectResult) {
+			if fault.LoseAnswer {
 				r = core.ObjectResult{Status: core.ObjectUnknown}
 			}
 			answer(r)
--- a/internal/measure/membership/measure.go
+++ b/internal/measure/membership/measure.go
@@ -57,7 +57,7 @@
 	places := Places(domainCount(n))
 	var hosts []*Host
 	for i := range n {
-		hosts = append(hosts, f.Add(places[i%len(places)]))
+		hosts = append(hosts, f.AddHost(places[i%len(places)]))
 		f.Run(startInterval)
 	}
 	f.Run(20 * time.Second)
--- a/internal/measure/membership/membership_test.go
+++ b/internal/measure/membership/membership_test.go
@@ -11,7 +11,7 @@
 func TestTraceReportsTwoActingHosts(t *testing.T) {
 	is := is.New(t)
 	s := core.Shard{Name: "s"}
-	tr := NewTrace()
+	tr := NewActingTrace()
 	tr.Claim(1, "a", s, 1, 10)
 	tr.Claim(10, "b", s, 2, 20) // the claim of a has ended
 	is.Equal(len(tr.Violations), 0)
--- a/internal/measure/membership/rollout.go
+++ b/internal/measure/membership/rollout.go
@@ -39,12 +39,12 @@
 		hash := hex.EncodeToString(sum[:])
 		h.Chunks = append(h.Chunks, hash)
 		if _, exists := f.Store.objects[config.ChunkPrefix+hash]; !exists {
-			f.Store.Put(config.ChunkPrefix+hash, c)
+			f.Store.WriteExternal(config.ChunkPrefix+hash, c)
 		}
 	}
 	b, err := config.EncodeHead(h)
 	if err == nil {
-		f.Store.Put(config.HeadKey, b)
+		f.Store.WriteExternal(config.HeadKey, b)
 	}
 }
 
@@ -127,7 +127,7 @@
 // messages queue in order of sending.
 func limitLink(f *Fleet, slow core.HostID) {
 	busyUntil := map[[2]core.HostID]core.Instant{}
-	f.Delay = func(a, b *Host, size int) time.Duration {
+	f.ExtraDelay = func(a, b *Host, size int) time.Duration {
 		if a.Member.Host != slow && b.Member.Host != slow {
 			return 0
 		}
@@ -142,7 +142,7 @@
 func runFeed(seed uint64, n int) rollout {
 	var r rollout
 	f := NewFleet(seed)
-	f.Feeds = true
+	f.RunFeeds = true
 	hosts := startHosts(f, n)
 	writeConfig(f, 1, chunkCount, chunkBytes)
 	f.Run(30 * time.Second)
@@ -157,15 +157,15 @@
 	for _, h := range hosts {
 		p.reached[h.Member.Host] = 1
 	}
-	f.Stepped = func(h *Host) {
+	f.AfterStep = func(h *Host) {
 		if v := h.Feed.ConfigVersion(); v > p.reached[h.Member.Host] {
 			p.record(f.Now, h.Member.Host, v)
 		}
 	}
-	calls, from := f.Store.Total(), f.Now
+	calls, from := f.Store.TotalCalls(), f.Now
 	bytesBefore := map[core.HostID]int{}
 	for _, h := range hosts {
-		bytesBefore[h.Member.Host] = h.In + h.Out
+		bytesBefore[h.Member.Host] = h.LinkBytesIn + h.LinkBytesOut
 	}
 	for v := uint64(2); v < changes+2; v++ {
 		p.accepted[v] = f.Now
@@ -173,16 +173,16 @@
 		f.Run(changeInterval)
 	}
 	f.Run(5 * time.Second)
-	r.callsPerSecond = float64(f.Store.Total()-calls) / f.Now.Sub(from).Seconds()
+	r.callsPerSecond = float64(f.Store.TotalCalls()-calls) / f.Now.Sub(from).Seconds()
 	total, busiest := 0, 0
 	for _, h := range hosts {
-		b := h.In + h.Out - bytesBefore[h.Member.Host]
+		b := h.LinkBytesIn + h.LinkBytesOut - bytesBefore[h.Member.Host]
 		total, busiest = total+b, max(busiest, b)
 	}
 	r.bytesPerHost, r.maxBytesPerHost = float64(total)/float64(n)/changes, float64(busiest)/changes
-	for waited := time.Duration(0); waited < rolloutTimeout && !p.all(f.Order, changes+1); waited += time.Second {
+	for waited := time.Duration(0); waited < rolloutTimeout && !p.all(f.HostOrder, changes+1); waited += time.Second {
 		f.Run(time.Second)
 	}
-	p.recordRemaining(f.Now, f.Order, changes+1)
+	p.recordRemaining(f.Now, f.HostOrder, changes+1)
 	return r
 }
--- a/internal/measure/membership/store.go
+++ b/internal/measure/membership/store.go
@@ -11,10 +11,10 @@
 
 // Fault is the fault injected into one object call.
 type Fault struct {
-	Drop  bool          // the call does not reach the store
-	Lose  bool          // the call takes effect, its answer is lost
-	Stale bool          // a read returns the value before the latest write
-	Delay time.Duration // added before the call takes effect
+	DropCall   bool          // the call does not reach the store
+	LoseAnswer bool          // the call takes effect, its answer is lost
+	StaleRead  bool          // a read returns the value before the latest write
+	Delay      time.Duration // added before the call takes effect
 }
 
 // Store is a fake of the platform's object API in virtual time.
@@ -24,9 +24,9 @@
 	version  uint64
 	watches  []*watch
 
-	Calls  map[core.ObjectOp]int // by kind
-	Bytes  int                   // unused
-	Writes int                   // successful writes
+	CallsByOp map[core.ObjectOp]int // by kind
+	Bytes     int                   // unused
+	Writes    int                   // successful writes
 }
 
 // watch is a pending watch.
@@ -39,20 +39,20 @@
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{objects: map[string]core.Object{}, previous: map[string]core.Object{}, Calls: map[core.ObjectOp]int{}}
+	return &Store{objects: map[string]core.Object{}, previous: map[string]core.Object{}, CallsByOp: map[core.ObjectOp]int{}}
 }
 
-// Total returns the number of calls so far, each watch counted once.
-func (s *Store) Total() int {
+// TotalCalls returns the number of calls so far, each watch counted once.
+func (s *Store) TotalCalls() int {
 	total := 0
-	for _, n := range s.Calls {
+	for _, n := range s.CallsByOp {
 		total += n
 	}
 	return total
 }
 
-// Put writes a value from outside the fleet, as an operator does.
-func (s *Store) Put(key string, value []byte) { s.write(key, value) }
+// WriteExternal writes a value from outside the fleet, as an operator does.
+func (s *Store) WriteExternal(key string, value []byte) { s.write(key, value) }
 
 func (s *Store) write(key string, value []byte) core.Object {
 	s.version++
@@ -99,7 +99,7 @@
 // Do applies a call and passes the result to answer. A watch without changes is
 // returned: it answers on a change or when it expires.
 func (s *Store) Do(c core.ObjectCall, stale bool, answer func(core.ObjectResult)) *watch {
-	s.Calls[c.Op]++
+	s.CallsByOp[c.Op]++
 	r := core.ObjectResult{Status: core.ObjectOK}
 	old, found := s.objects[c.Key]
 	if p, ok := s.previous[c.Key]; stale && ok {
--- a/internal/measure/membership/takeover.go
+++ b/internal/measure/membership/takeover.go
@@ -60,18 +60,18 @@
 	violations := 0
 	for r := range runs {
 		f := NewFleet(seed*1000 + uint64(r))
-		f.Feeds = true
+		f.RunFeeds = true
 		f.Shards = makeShards(60)
 		hosts := startHosts(f, n)
 		h := hosts[r%n]
-		clear(f.Trace.Longest)
+		clear(f.Trace.LongestGaps)
 		from := f.Now
 		var suspectedAt, removedAt core.Instant
-		f.Stepped = func(o *Host) {
+		f.AfterStep = func(o *Host) {
 			if o == h || o.Dead {
 				return
 			}
-			if suspectedAt == 0 && len(o.Lease.Suspected(o.Local(f.Now))) > 0 {
+			if suspectedAt == 0 && len(o.Lease.Suspected(o.LocalTime(f.Now))) > 0 {
 				suspectedAt = f.Now
 			}
 			if removedAt == 0 && len(o.Lease.Members()) < n {
@@ -79,17 +79,17 @@
 			}
 		}
 		if crash {
-			f.Kill(h)
+			f.Crash(h)
 		} else {
-			f.Do(h, h.Lease.Leave)
-			f.After(5*time.Second, func() { f.Do(h, func(now core.Instant) lease.Output { return h.Lease.Release(now) }) })
+			f.StepLease(h, h.Lease.Leave)
+			f.After(5*time.Second, func() { f.StepLease(h, func(now core.Instant) lease.Output { return h.Lease.Release(now) }) })
 		}
 		f.Run(15 * time.Second)
 		suspected = append(suspected, suspectedAt.Sub(from))
 		removed = append(removed, removedAt.Sub(from))
 		gaps = append(gaps, f.Trace.LongestGap())
 		violations += len(f.Trace.Violations)
-		if f.Trace.Acted(f.Now) != len(f.Shards) {
+		if f.Trace.ActiveShards(f.Now) != len(f.Shards) {
 			gaps = append(gaps, 15*time.Second) // a shard has no acting owner at the end
 		}
 	}
@@ -129,10 +129,10 @@
 				minimum++
 			}
 		}
-		f.Kill(gone)
+		f.Crash(gone)
 		f.Run(15 * time.Second)
 		afterCrash := owners()
-		f.Add(Places(domainCount(n))[0])
+		f.AddHost(Places(domainCount(n))[0])
 		f.Run(10 * time.Second)
 		afterJoin := owners()
 		movedOnCrash, movedOnJoin := 0, 0
--- a/internal/measure/membership/trace.go
+++ b/internal/measure/membership/trace.go
@@ -7,17 +7,17 @@
 	"gentiancroft/internal/core"
 )
 
-// Trace records, in real time, which host may act on each shard, and reports
+// ActingTrace records, in real time, which host may act on each shard, and reports
 // violations: two hosts at once, or a fencing number that does not rise. It uses
 // only the answers of the machines: a claim lasts from the answer that made
 // it until its expiry on the host's clock, or until the host answers otherwise.
-type Trace struct {
-	claims     map[core.Shard][]claim
-	lastFences map[core.Shard]fenceRecord
-	idleSince  map[core.Shard]core.Instant // without an acting owner since
-	Violations []string
-	Claims     int                          // new claims, without extensions
-	Longest    map[core.Shard]time.Duration // longest time without an acting owner, after the first
+type ActingTrace struct {
+	claims      map[core.Shard][]claim
+	lastFences  map[core.Shard]fenceRecord
+	idleSince   map[core.Shard]core.Instant // without an acting owner since
+	Violations  []string
+	NewClaims   int                          // new claims, without extensions
+	LongestGaps map[core.Shard]time.Duration // longest time without an acting owner, after the first
 }
 
 // claim is the right of a host to act, with its expiry in real time.
@@ -32,16 +32,16 @@
 	fence core.Fence
 }
 
-// NewTrace returns an empty trace.
-func NewTrace() *Trace {
-	return &Trace{
+// NewActingTrace returns an empty trace.
+func NewActingTrace() *ActingTrace {
+	return &ActingTrace{
 		claims: map[core.Shard][]claim{}, lastFences: map[core.Shard]fenceRecord{},
-		idleSince: map[core.Shard]core.Instant{}, Longest: map[core.Shard]time.Duration{},
+		idleSince: map[core.Shard]core.Instant{}, LongestGaps: map[core.Shard]time.Duration{},
 	}
 }
 
 // Claim records that a host may act on a shard from now until an instant.
-func (t *Trace) Claim(now core.Instant, h core.HostID, s core.Shard, fence core.Fence, until core.Instant) {
+func (t *ActingTrace) Claim(now core.Instant, h core.HostID, s core.Shard, fence core.Fence, until core.Instant) {
 	list := t.claims[s]
 	own := -1
 	for i, c := range list {
@@ -61,7 +61,7 @@
 	} else {
 		t.endGap(now, s)
 		t.claims[s] = append(list, claim{host: h, until: until})
-		t.Claims++
+		t.NewClaims++
 	}
 	last := t.lastFences[s]
 	if last.host != h && last.host != "" && fence <= last.fence {
@@ -71,7 +71,7 @@
 }
 
 // Drop records that a host may no longer act on a shard.
-func (t *Trace) Drop(now core.Instant, h core.HostID, s core.Shard) {
+func (t *ActingTrace) Drop(now core.Instant, h core.HostID, s core.Shard) {
 	list := t.claims[s]
 	for i, c := range list {
 		if c.host == h {
@@ -82,15 +82,15 @@
 	}
 }
 
-// Close ends all claims of a crashed host.
-func (t *Trace) Close(now core.Instant, h core.HostID) {
+// CloseClaims ends all claims of a crashed host.
+func (t *ActingTrace) CloseClaims(now core.Instant, h core.HostID) {
 	for s := range t.claims {
 		t.Drop(now, h, s)
 	}
 }
 
 // endGap records the gap that ends with a new claim.
-func (t *Trace) endGap(now core.Instant, s core.Shard) {
+func (t *ActingTrace) endGap(now core.Instant, s core.Shard) {
 	for _, c := range t.claims[s] {
 		if c.until > now {
 			return
@@ -103,21 +103,21 @@
 }
 
 // recordGap records a time without an acting owner.
-func (t *Trace) recordGap(s core.Shard, from, to core.Instant) {
-	t.Longest[s] = max(t.Longest[s], to.Sub(from))
+func (t *ActingTrace) recordGap(s core.Shard, from, to core.Instant) {
+	t.LongestGaps[s] = max(t.LongestGaps[s], to.Sub(from))
 }
 
 // LongestGap returns the longest time that any shard had no acting owner.
-func (t *Trace) LongestGap() time.Duration {
+func (t *ActingTrace) LongestGap() time.Duration {
 	var longest time.Duration
-	for _, d := range t.Longest {
+	for _, d := range t.LongestGaps {
 		longest = max(longest, d)
 	}
 	return longest
 }
 
-// Acted returns how many shards have an acting owner now.
-func (t *Trace) Acted(now core.Instant) int {
+// ActiveShards returns how many shards have an acting owner now.
+func (t *ActingTrace) ActiveShards(now core.Instant) int {
 	n := 0
 	for _, list := range t.claims {
 		for _, c := range list {
@@ -130,8 +130,8 @@
 	return n
 }
 
-// Actor returns the host that may act on a shard now, if there is one.
-func (t *Trace) Actor(now core.Instant, s core.Shard) (core.HostID, bool) {
+// ActingHost returns the host that may act on a shard now, if there is one.
+func (t *ActingTrace) ActingHost(now core.Instant, s core.Shard) (core.HostID, bool) {
 	for _, c := range t.claims[s] {
 		if c.until > now {
 			return c.host, true
@@ -141,7 +141,7 @@
 }
 
 // addViolation adds a violation to the list, up to its limit.
-func (t *Trace) addViolation(now core.Instant, format string, args ...any) {
+func (t *ActingTrace) addViolation(now core.Instant, format string, args ...any) {
 	const maxViolations = 20
 	if len(t.Violations) < maxViolations {
 		t.Violations = append(t.Violations, fmt.Sprintf("%v: ", time.Duration(now))+fmt.Sprintf(format, args...))
