--- a/internal/measure/limits/adversary_test.go
+++ b/internal/measure/limits/adversary_test.go
@@ -26,7 +26,7 @@
 // faults.
 type adversary struct {
 	t         *rapid.T
-	loop      *Loop
+	loop      *EventLoop
 	fleet     *Fleet
 	limits    []limit.Limit
 	bounds    map[core.WorkspaceID][]Bound
@@ -40,9 +40,9 @@
 var shortSettings = limit.Settings{ShareTTL: 16 * time.Second, RenewInterval: 5 * time.Second, MinRequestInterval: 2 * time.Second, OutageHorizon: 45 * time.Second}
 
 func newAdversary(t *rapid.T, hosts int, ppm int64) *adversary {
-	loop := &Loop{Rand: core.NewRand(rapid.Uint64().Draw(t, "seed"))}
+	loop := &EventLoop{Rand: core.NewRand(rapid.Uint64().Draw(t, "seed"))}
 	a := &adversary{t: t, loop: loop, bounds: make(map[core.WorkspaceID][]Bound), charges: make(map[core.WorkspaceID][]Charge)}
-	links := &Links{Loop: loop, OneWay: linkDelay, Loss: 0.1, Double: 0.1, Late: 0.1, LateBy: 20 * time.Second}
+	links := &Links{EventLoop: loop, OneWay: linkDelay, LossFraction: 0.1, DuplicateFraction: 0.1, DelayFraction: 0.1, MaxExtraDelay: 20 * time.Second}
 	a.limits = []limit.Limit{{Workspace: "large", Rate: 1000, Burst: 8000}, {Workspace: "small", Rate: 40, Burst: 300}}
 	for _, l := range a.limits {
 		a.bounds[l.Workspace] = []Bound{{Rate: l.Rate, Burst: l.Burst}}
@@ -79,7 +79,7 @@
 			a.granted(n, id, ws, tokens)
 		}
 	}
-	a.fleet.runStep(n, func() limit.Result { return n.Machine.Reserve(n.now(a.fleet), n.Own, id, ws, tokens) })
+	a.fleet.runStep(n, func() limit.Result { return n.Machine.Reserve(n.now(a.fleet), n.Ownership, id, ws, tokens) })
 }
 
 // granted ends a request never, once or several times; only the first end has
@@ -93,8 +93,8 @@
 	for range ends {
 		a.loop.After(time.Duration(a.loop.Rand.Int64N(int64(8*time.Second))), func() {
 			a.fleet.runStep(n, func() limit.Result {
-				r := n.Machine.Settle(n.now(a.fleet), n.Own, id, used, true)
-				n.Machine.Cancel(n.now(a.fleet), n.Own, id) // after the end: has no effect
+				r := n.Machine.Settle(n.now(a.fleet), n.Ownership, id, used, true)
+				n.Machine.Cancel(n.now(a.fleet), n.Ownership, id) // after the end: has no effect
 				return r
 			})
 		})
@@ -109,7 +109,7 @@
 			a.charges[ws] = append(a.charges[ws], Charge{ws, a.loop.Now, tokens})
 		}
 	}
-	a.fleet.runStep(n, func() limit.Result { return n.Machine.Reserve(n.now(a.fleet), n.Own, id, ws, tokens) })
+	a.fleet.runStep(n, func() limit.Result { return n.Machine.Reserve(n.now(a.fleet), n.Ownership, id, ws, tokens) })
 }
 
 // fault injects one random fault. Each ends by itself or by a later fault.
@@ -119,12 +119,12 @@
 	span := time.Duration(rapid.IntRange(1, 30).Draw(a.t, "seconds")) * time.Second
 	switch rapid.SampledFrom([]string{"lose", "leave", "pause", "isolate", "store", "part", "limit", "none"}).Draw(a.t, "fault") {
 	case "leave":
-		a.fleet.runStep(n, func() limit.Result { return n.Machine.Leave(n.now(a.fleet), n.Own) })
-		a.fleet.Lose(n)
-		a.fleet.Start(slot)
+		a.fleet.runStep(n, func() limit.Result { return n.Machine.Leave(n.now(a.fleet), n.Ownership) })
+		a.fleet.Crash(n)
+		a.fleet.StartHost(slot)
 	case "lose":
-		a.fleet.Lose(n)
-		a.fleet.Start(slot)
+		a.fleet.Crash(n)
+		a.fleet.StartHost(slot)
 	case "pause":
 		a.fleet.Pause(n, span)
 	case "isolate":
@@ -177,7 +177,7 @@
 func (a *adversary) over() core.Tokens {
 	worst := core.Tokens(0)
 	for _, l := range a.limits {
-		worst = max(worst, Over(a.charges[l.Workspace], a.bounds[l.Workspace]))
+		worst = max(worst, MaxOverGrant(a.charges[l.Workspace], a.bounds[l.Workspace]))
 	}
 	return worst
 }
--- a/internal/measure/limits/baselines.go
+++ b/internal/measure/limits/baselines.go
@@ -32,7 +32,7 @@
 }
 
 func (s *staticSplit) Reserve(slot int, a Arrival, decide func(bool)) {
-	mark, ok := s.buckets[key{slot, a.Workspace}].Take(s.w.Loop.Now, a.Tokens)
+	mark, ok := s.buckets[key{slot, a.Workspace}].Take(s.w.Loop.Now, a.ReservedTokens)
 	if ok {
 		s.marks[a.ID] = mark
 	}
@@ -42,7 +42,7 @@
 func (s *staticSplit) Settle(slot int, a Arrival) {
 	mark, ok := s.marks[a.ID]
 	if ok && s.w.Alive[slot] {
-		s.buckets[key{slot, a.Workspace}].Settle(s.w.Loop.Now, mark, a.Tokens-a.Used)
+		s.buckets[key{slot, a.Workspace}].Settle(s.w.Loop.Now, mark, a.ReservedTokens-a.UsedTokens)
 	}
 	delete(s.marks, a.ID)
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-func (s *staticSplit) Messages() uint64 { return 0 }
+func (s *staticSplit) MessagesSent() uint64 { return 0 }
 
 // singleOwner has one owner per workspace, which every host asks for each
 // request. A new owner has no state and starts with an empty bucket once the
@@ -109,7 +109,7 @@
 		if !s.w.Alive[p.owner] || s.w.Loop.Now < p.ready {
 			return
 		}
-		mark, ok := p.bucket.Take(s.w.Loop.Now, a.Tokens)
+		mark, ok := p.bucket.Take(s.w.Loop.Now, a.ReservedTokens)
 		if ok {
 			s.marks[a.ID] = reservation{mark, p.term}
 		}
@@ -122,8 +122,8 @@
 		}
 		return
 	}
-	s.w.Links.Carry("", "", func() {
-		answer(func(ok bool) { s.w.Links.Carry("", "", func() { once(ok) }) })
+	s.w.Links.Deliver("", "", func() {
+		answer(func(ok bool) { s.w.Links.Deliver("", "", func() { once(ok) }) })
 	})
 	s.w.Loop.After(answerTimeout, func() { once(false) })
 }
@@ -133,7 +133,7 @@
 	back := func() {
 		l, ok := s.marks[a.ID]
 		if ok && l.term == p.term {
-			p.bucket.Settle(s.w.Loop.Now, l.mark, a.Tokens-a.Used)
+			p.bucket.Settle(s.w.Loop.Now, l.mark, a.ReservedTokens-a.UsedTokens)
 		}
 		delete(s.marks, a.ID)
 	}
@@ -141,7 +141,7 @@
 		back()
 		return
 	}
-	s.w.Links.Carry("", "", back)
+	s.w.Links.Deliver("", "", back)
 }
 
 func (s *singleOwner) Fault(f Fault) {
@@ -149,7 +149,7 @@
 		p := s.parts[t.Limit.Workspace]
 		switch f.Kind {
 		case "lose":
-			if f.Of == p.limit.Workspace {
+			if f.OwnerOf == p.limit.Workspace {
 				s.w.Alive[p.owner] = false
 			}
 			if !s.w.Alive[p.owner] {
@@ -172,7 +172,7 @@
 	p.bucket = limit.NewEmptySingle(p.ready, p.limit.Rate, p.limit.Burst)
 }
 
-func (s *singleOwner) Messages() uint64 { return s.w.Links.Sent }
+func (s *singleOwner) MessagesSent() uint64 { return s.w.Links.MessagesSent }
 
 // peerTransfers splits each limit into equal shares. A host whose share is
 // exhausted asks two others, one after the other, to transfer tokens. A dead
@@ -218,14 +218,14 @@
 			}
 		}
 	}
-	p.w.Links.Carry("", "", func() {
+	p.w.Links.Deliver("", "", func() {
 		from := p.buckets[key{other, a.Workspace}]
 		if _, dead := p.unusedUntil[other]; dead || !p.w.Alive[other] || other == slot {
 			return
 		}
-		moved := from.Move(p.w.Loop.Now, a.Tokens)
-		p.w.Links.Carry("", "", func() {
-			if done || moved < a.Tokens || !p.w.Alive[slot] {
+		moved := from.Move(p.w.Loop.Now, a.ReservedTokens)
+		p.w.Links.Deliver("", "", func() {
+			if done || moved < a.ReservedTokens || !p.w.Alive[slot] {
 				from.Add(p.w.Loop.Now, moved) // refused or too late: returned to its slot
 				once(func() { p.transfer(slot, a, tries-1, decide) })()
 				return
@@ -248,7 +248,7 @@
 	switch f.Kind {
 	case "lose":
 		slot := f.Slot
-		if f.Of != "" {
+		if f.OwnerOf != "" {
 			slot = 0
 			p.w.Alive[slot] = false
 		}
@@ -258,4 +258,4 @@
 	}
 }
 
-func (p *peerTransfers) Messages() uint64 { return p.w.Links.Sent }
+func (p *peerTransfers) MessagesSent() uint64 { return p.w.Links.MessagesSent }
--- a/internal/measure/limits/check.go
+++ b/internal/measure/limits/check.go
@@ -26,12 +26,12 @@
 // nanotokens.
 const nanosPerToken = int64(1_000_000_000)
 
-// Over returns the maximum, in tokens rounded up, by which the charges of any
+// MaxOverGrant returns the maximum, in tokens rounded up, by which the charges of any
 // interval exceed its allowance: the integral of the rate plus the largest burst
 // in force during the interval. It uses no state of the limiter. Bounds are in
 // order of From; an interval that spans a change may use the larger of both
 // bursts, one that starts after the change only the new one.
-func Over(charges []Charge, bounds []Bound) core.Tokens {
+func MaxOverGrant(charges []Charge, bounds []Bound) core.Tokens {
 	charges = slices.Clone(charges)
 	slices.SortStableFunc(charges, func(a, b Charge) int { return cmp.Compare(a.At, b.At) })
 	worst := int64(0)
--- a/internal/measure/limits/lease.go
+++ b/internal/measure/limits/lease.go
@@ -18,14 +18,14 @@
 // Leases is the state that the hosts' core.Ownership views refer to. Invariant:
 // a shard has one owner, which may act only within its lease.
 type Leases struct {
-	loop      *Loop
+	loop      *EventLoop
 	StoreDown bool
 	hosts     map[core.HostID]*hostLease
 	order     []core.HostID
 	shards    []core.Shard
 	assigned  map[core.Shard]assignment
-	// Handover hands off a shard's state from an owner whose lease is valid.
-	Handover func(from, to core.HostID, s core.Shard)
+	// Handoff hands off a shard's state from an owner whose lease is valid.
+	Handoff func(from, to core.HostID, s core.Shard)
 }
 
 // assignment is the owner of a shard with its fencing number.
@@ -48,7 +48,7 @@
 	owners   map[core.Shard]core.HostID
 }
 
-func newLeases(loop *Loop, shards []core.Shard) *Leases {
+func newLeases(loop *EventLoop, shards []core.Shard) *Leases {
 	l := &Leases{
 		loop: loop, shards: shards, hosts: make(map[core.HostID]*hostLease),
 		assigned: make(map[core.Shard]assignment),
@@ -150,7 +150,7 @@
 		if !old.reachesStore() {
 			return // until its lease has expired
 		}
-		l.Handover(current.host, to, s)
+		l.Handoff(current.host, to, s)
 	}
 	l.assigned[s] = assignment{to, current.fence + 1}
 }
--- a/internal/measure/limits/limits_test.go
+++ b/internal/measure/limits/limits_test.go
@@ -25,30 +25,30 @@
 	spend(a, 500)
 	b.Add(1, 500) // credited; the message that debits is lost
 	spend(b, 1000)
-	is.Equal(Over(charges, bounds), core.Tokens(500))
+	is.Equal(MaxOverGrant(charges, bounds), core.Tokens(500))
 }
 
 func TestCheckerCountsEveryInterval(t *testing.T) {
 	is := is.New(t)
 	bounds := []Bound{{Rate: 100, Burst: 1000}}
 	at := func(s int, n core.Tokens) Charge { return Charge{"ws", core.Instant(s) * core.Instant(time.Second), n} }
-	is.Equal(Over([]Charge{at(0, 1000), at(10, 1000)}, bounds), core.Tokens(0))
-	is.Equal(Over([]Charge{at(0, 1000), at(9, 1000)}, bounds), core.Tokens(100))
-	is.Equal(Over([]Charge{at(9, 1000), at(0, 1000)}, bounds), core.Tokens(100)) // in any order
+	is.Equal(MaxOverGrant([]Charge{at(0, 1000), at(10, 1000)}, bounds), core.Tokens(0))
+	is.Equal(MaxOverGrant([]Charge{at(0, 1000), at(9, 1000)}, bounds), core.Tokens(100))
+	is.Equal(MaxOverGrant([]Charge{at(9, 1000), at(0, 1000)}, bounds), core.Tokens(100)) // in any order
 	changed := []Bound{{Rate: 100, Burst: 1000}, {From: core.Instant(5 * time.Second), Rate: 10, Burst: 100}}
-	is.Equal(Over([]Charge{at(4, 1000), at(6, 100)}, changed), core.Tokens(0)) // spans: 1000 + 100 + 10
-	is.Equal(Over([]Charge{at(6, 150)}, changed), core.Tokens(50))
+	is.Equal(MaxOverGrant([]Charge{at(4, 1000), at(6, 100)}, changed), core.Tokens(0)) // spans: 1000 + 100 + 10
+	is.Equal(MaxOverGrant([]Charge{at(6, 150)}, changed), core.Tokens(50))
 }
 
 // A clock drift above the bound over-grants, so the adversary test can fail.
 func TestClockDriftAboveTheBoundOverGrants(t *testing.T) {
 	is := is.New(t)
-	loop := &Loop{Rand: core.NewRand(1)}
-	links := &Links{Loop: loop, OneWay: linkDelay}
+	loop := &EventLoop{Rand: core.NewRand(1)}
+	links := &Links{EventLoop: loop, OneWay: linkDelay}
 	limits := []limit.Limit{{Workspace: "ws", Rate: 100_000, Burst: 10_000}}
 	f := NewFleet(loop, links, 1, limits, limit.Settings{}, 0)
-	f.slots[0].clock.PPM = 20 * limit.DefaultDriftPPM
-	f.slots[0].Own.clock = f.slots[0].clock
+	f.slots[0].clock.DriftPPM = 20 * limit.DefaultDriftPPM
+	f.slots[0].Ownership.clock = f.slots[0].clock
 	a := &adversary{loop: loop, fleet: f, limits: limits, charges: map[core.WorkspaceID][]Charge{}}
 	a.bounds = map[core.WorkspaceID][]Bound{"ws": {{Rate: 100_000, Burst: 10_000}}}
 	loop.Every(5*time.Millisecond, func() {
@@ -65,18 +65,18 @@
 // almost the whole burst can be used again over all hosts.
 func TestWholeBurstIsRestored(t *testing.T) {
 	is := is.New(t)
-	loop := &Loop{Rand: core.NewRand(3)}
-	links := &Links{Loop: loop, OneWay: linkDelay, Loss: 0.05, Double: 0.05, Late: 0.05, LateBy: 10 * time.Second}
+	loop := &EventLoop{Rand: core.NewRand(3)}
+	links := &Links{EventLoop: loop, OneWay: linkDelay, LossFraction: 0.05, DuplicateFraction: 0.05, DelayFraction: 0.05, MaxExtraDelay: 10 * time.Second}
 	limits := []limit.Limit{{Workspace: "large", Rate: 1000, Burst: 8000}, {Workspace: "small", Rate: 40, Burst: 300}}
 	f := NewFleet(loop, links, 5, limits, shortSettings, maxDriftPPM)
 	a := &adversary{loop: loop, fleet: f, limits: limits, charges: map[core.WorkspaceID][]Charge{}}
 	loop.Every(50*time.Millisecond, a.requestAtAll)
 	for i := range 6 {
 		loop.RunUntil(loop.Now.Add(10 * time.Second))
-		f.Lose(f.slots[i%5])
-		f.Start(i % 5)
+		f.Crash(f.slots[i%5])
+		f.StartHost(i % 5)
 	}
-	links.Loss, links.Double, links.Late = 0, 0, 0
+	links.LossFraction, links.DuplicateFraction, links.DelayFraction = 0, 0, 0
 	loop.RunUntil(loop.Now.Add(2 * time.Minute))
 	a.idleUntil = loop.Now.Add(time.Hour)
 	loop.RunUntil(loop.Now.Add(2 * time.Minute))
@@ -108,7 +108,7 @@
 			continue // only the measurement runs these
 		}
 		if !hasOutage(tr) {
-			tr.Lasts = min(tr.Lasts, 150*time.Second) // the measurement runs the whole trace
+			tr.Duration = min(tr.Duration, 150*time.Second) // the measurement runs the whole trace
 		}
 		x := measurePolicy(tr, policies[machinePolicyIndex], 1, tr.Arrivals(1))
 		is.Equal(x.over, core.Tokens(0))
@@ -121,7 +121,7 @@
 func TestSameSeedSameTrace(t *testing.T) {
 	is := is.New(t)
 	tr := Traces()[4]
-	tr.Lasts = 90 * time.Second
+	tr.Duration = 90 * time.Second
 	a, b := measurePolicy(tr, policies[machinePolicyIndex], 5, tr.Arrivals(5)), measurePolicy(tr, policies[machinePolicyIndex], 5, tr.Arrivals(5))
 	is.Equal(a, b)
 }
--- a/internal/measure/limits/loop.go
+++ b/internal/measure/limits/loop.go
@@ -42,8 +42,8 @@
 	return e
 }
 
-// Loop runs steps in the order of their virtual time.
-type Loop struct {
+// EventLoop runs steps in the order of their virtual time.
+type EventLoop struct {
 	Now    core.Instant
 	Rand   *core.Rand
 	events events
@@ -51,16 +51,16 @@
 }
 
 // At runs a step at an instant, or now if it is past.
-func (l *Loop) At(at core.Instant, run func()) {
+func (l *EventLoop) At(at core.Instant, run func()) {
 	l.seq++
 	heap.Push(&l.events, event{max(at, l.Now), l.seq, run})
 }
 
 // After runs a step d from now.
-func (l *Loop) After(d time.Duration, run func()) { l.At(l.Now.Add(d), run) }
+func (l *EventLoop) After(d time.Duration, run func()) { l.At(l.Now.Add(d), run) }
 
 // Every runs a step periodically.
-func (l *Loop) Every(d time.Duration, run func()) {
+func (l *EventLoop) Every(d time.Duration, run func()) {
 	l.After(d, func() {
 		run()
 		l.Every(d, run)
@@ -68,7 +68,7 @@
 }
 
 // RunUntil runs all steps due before an instant.
-func (l *Loop) RunUntil(end core.Instant) {
+func (l *EventLoop) RunUntil(end core.Instant) {
 	for len(l.events) > 0 && l.events[0].at.Before(end) {
 		e := heap.Pop(&l.events).(event)
 		l.Now = e.at
@@ -79,30 +79,30 @@
 
 // Links delivers messages between hosts, with loss, duplicates and delays.
 type Links struct {
-	*Loop
-	OneWay time.Duration
-	Loss   float64                         // fraction of messages lost
-	Double float64                         // fraction of messages sent twice
-	Late   float64                         // fraction of messages with an extra delay
-	LateBy time.Duration                   // maximum extra delay
-	Sent   uint64                          // messages
-	Cut    func(from, to core.HostID) bool // reports whether a link is cut
+	*EventLoop
+	OneWay            time.Duration
+	LossFraction      float64                         // fraction of messages lost
+	DuplicateFraction float64                         // fraction of messages sent twice
+	DelayFraction     float64                         // fraction of messages with an extra delay
+	MaxExtraDelay     time.Duration                   // maximum extra delay
+	MessagesSent      uint64                          // messages
+	Cut               func(from, to core.HostID) bool // reports whether a link is cut
 }
 
-// Carry delivers a message after the link's delay, unless it is lost.
-func (l *Links) Carry(from, to core.HostID, deliver func()) {
-	l.Sent++
+// Deliver delivers a message after the link's delay, unless it is lost.
+func (l *Links) Deliver(from, to core.HostID, deliver func()) {
+	l.MessagesSent++
 	copies := 1
-	if l.Double > 0 && l.Rand.Float64() < l.Double {
+	if l.DuplicateFraction > 0 && l.Rand.Float64() < l.DuplicateFraction {
 		copies = 2
 	}
 	for range copies {
-		if l.Loss > 0 && l.Rand.Float64() < l.Loss || l.Cut != nil && l.Cut(from, to) {
+		if l.LossFraction > 0 && l.Rand.Float64() < l.LossFraction || l.Cut != nil && l.Cut(from, to) {
 			continue
 		}
 		d := l.OneWay + time.Duration(l.Rand.Int64N(int64(l.OneWay)/4+1))
-		if l.Late > 0 && l.Rand.Float64() < l.Late {
-			d += time.Duration(l.Rand.Int64N(int64(l.LateBy)))
+		if l.DelayFraction > 0 && l.Rand.Float64() < l.DelayFraction {
+			d += time.Duration(l.Rand.Int64N(int64(l.MaxExtraDelay)))
 		}
 		l.After(d, deliver)
 	}
@@ -110,13 +110,13 @@
 
 // Clock is a host's monotonic clock, whose drift is in parts per million.
 type Clock struct {
-	Offset core.Instant
-	PPM    int64
+	Offset   core.Instant
+	DriftPPM int64
 }
 
 // Read returns the clock's reading at a real time.
 func (c Clock) Read(real core.Instant) core.Instant {
-	return c.Offset + real + core.Instant(int64(real)/1_000_000*c.PPM)
+	return c.Offset + real + core.Instant(int64(real)/1_000_000*c.DriftPPM)
 }
 
 // store is a fake of the object API.
--- a/internal/measure/limits/machines.go
+++ b/internal/measure/limits/machines.go
@@ -19,7 +19,7 @@
 type Node struct {
 	ID          core.HostID
 	Machine     *limit.Machine
-	Own         *hostLease
+	Ownership   *hostLease
 	clock       Clock
 	dead        bool
 	pausedUntil core.Instant // end of its pause
@@ -28,7 +28,7 @@
 
 // Fleet is a fleet of limit machines with fake links, leases and store.
 type Fleet struct {
-	loop         *Loop
+	loop         *EventLoop
 	links        *Links
 	leases       *Leases
 	store        *store
@@ -42,7 +42,7 @@
 }
 
 // NewFleet starts a fleet of n hosts.
-func NewFleet(loop *Loop, links *Links, n int, limits []limit.Limit, s limit.Settings, ppm int64) *Fleet {
+func NewFleet(loop *EventLoop, links *Links, n int, limits []limit.Limit, s limit.Settings, ppm int64) *Fleet {
 	f := &Fleet{
 		loop: loop, links: links, store: newStore(), nodes: make(map[core.HostID]*Node),
 		limits: limits, config: 1, settings: s, maxDriftPPM: ppm,
@@ -52,26 +52,26 @@
 		shards = append(shards, core.Shard{Kind: core.ShardWorkspace, Name: string(l.Workspace)})
 	}
 	f.leases = newLeases(loop, shards)
-	f.leases.Handover = f.handover
+	f.leases.Handoff = f.handover
 	f.slots = make([]*Node, n)
 	for i := range f.slots {
-		f.Start(i)
+		f.StartHost(i)
 	}
 	f.leases.pollAll()
 	return f
 }
 
-// Start puts a new host into a slot.
-func (f *Fleet) Start(slot int) *Node {
+// StartHost puts a new host into a slot.
+func (f *Fleet) StartHost(slot int) *Node {
 	f.hostsStarted++
 	id := core.HostID(fmt.Sprintf("host-%03d", f.hostsStarted))
-	clock := Clock{Offset: core.Instant(f.loop.Rand.Int64N(int64(time.Hour))), PPM: f.loop.Rand.Int64N(2*f.maxDriftPPM+1) - f.maxDriftPPM}
+	clock := Clock{Offset: core.Instant(f.loop.Rand.Int64N(int64(time.Hour))), DriftPPM: f.loop.Rand.Int64N(2*f.maxDriftPPM+1) - f.maxDriftPPM}
 	s := f.settings
 	s.Self = id
 	n := &Node{ID: id, clock: clock, Machine: limit.New(s, core.NewRand(uint64(f.hostsStarted))), callbacks: make(map[core.RequestID]func(bool))}
-	n.Own = f.leases.add(id, clock)
+	n.Ownership = f.leases.add(id, clock)
 	if !f.leases.StoreDown {
-		n.Own.setView(f.leases.members())
+		n.Ownership.setView(f.leases.members())
 	}
 	n.Machine.Configure(n.now(f), f.config, f.limits)
 	f.nodes[id] = n
@@ -99,7 +99,7 @@
 	if n.dead {
 		return
 	}
-	f.runStep(n, func() limit.Result { return n.Machine.Tick(n.now(f), n.Own) })
+	f.runStep(n, func() limit.Result { return n.Machine.Tick(n.now(f), n.Ownership) })
 	f.loop.After(tickInterval, func() { f.tick(n) })
 }
 
@@ -112,9 +112,9 @@
 		}
 	}
 	for _, s := range r.Sends {
-		f.links.Carry(n.ID, s.To, func() {
+		f.links.Deliver(n.ID, s.To, func() {
 			if to := f.nodes[s.To]; to != nil {
-				f.runStep(to, func() limit.Result { return to.Machine.HandleMessage(to.now(f), to.Own, n.ID, s.Message) })
+				f.runStep(to, func() limit.Result { return to.Machine.HandleMessage(to.now(f), to.Ownership, n.ID, s.Message) })
 			}
 		})
 	}
@@ -128,14 +128,14 @@
 func (f *Fleet) callStore(n *Node, c core.ObjectCall) {
 	f.loop.After(storeRoundTrip/2, func() {
 		res := core.ObjectResult{Tag: c.Tag, Status: core.ObjectUnavailable}
-		if !f.leases.StoreDown && !n.Own.isolated {
+		if !f.leases.StoreDown && !n.Ownership.isolated {
 			res = f.store.do(c)
-			if f.links.Loss > 0 && f.loop.Rand.Float64() < f.links.Loss {
+			if f.links.LossFraction > 0 && f.loop.Rand.Float64() < f.links.LossFraction {
 				res = core.ObjectResult{Tag: c.Tag, Status: core.ObjectUnknown}
 			}
 		}
 		f.loop.After(storeRoundTrip/2, func() {
-			f.runStep(n, func() limit.Result { return n.Machine.HandleObject(n.now(f), n.Own, res) })
+			f.runStep(n, func() limit.Result { return n.Machine.HandleObject(n.now(f), n.Ownership, res) })
 		})
 	})
 }
@@ -146,7 +146,7 @@
 	ws := core.WorkspaceID(s.Name)
 	state := a.Machine.HandOff(a.now(f), ws)
 	if state != nil {
-		f.links.Carry(from, to, func() {
+		f.links.Deliver(from, to, func() {
 			f.runStep(b, func() limit.Result {
 				b.Machine.Adopt(b.now(f), ws, state, from)
 				return limit.Result{}
@@ -155,8 +155,8 @@
 	}
 }
 
-// Lose crashes a host.
-func (f *Fleet) Lose(n *Node) {
+// Crash crashes a host.
+func (f *Fleet) Crash(n *Node) {
 	n.dead = true
 	f.leases.remove(n.ID)
 }
@@ -164,16 +164,16 @@
 // Pause stops a host's process for a time; its clock goes on.
 func (f *Fleet) Pause(n *Node, d time.Duration) {
 	n.pausedUntil = f.loop.Now.Add(d)
-	n.Own.stopped = true
+	n.Ownership.stopped = true
 	f.loop.At(n.pausedUntil, func() {
 		if !n.dead {
-			n.Own.stopped = false
+			n.Ownership.stopped = false
 		}
 	})
 }
 
 // Isolate cuts a host off from the store, or reconnects it.
-func (f *Fleet) Isolate(n *Node, off bool) { n.Own.isolated = off }
+func (f *Fleet) Isolate(n *Node, off bool) { n.Ownership.isolated = off }
 
 // Configure distributes new limits; each host applies them after a random delay
 // below within.
@@ -208,20 +208,22 @@
 func (o *machinePolicy) Reserve(slot int, a Arrival, decide func(bool)) {
 	n := o.f.slots[slot]
 	n.callbacks[a.ID] = decide
-	o.f.runStep(n, func() limit.Result { return n.Machine.Reserve(n.now(o.f), n.Own, a.ID, a.Workspace, a.Tokens) })
+	o.f.runStep(n, func() limit.Result {
+		return n.Machine.Reserve(n.now(o.f), n.Ownership, a.ID, a.Workspace, a.ReservedTokens)
+	})
 }
 
 func (o *machinePolicy) Settle(slot int, a Arrival) {
 	n := o.f.slots[slot]
-	o.f.runStep(n, func() limit.Result { return n.Machine.Settle(n.now(o.f), n.Own, a.ID, a.Used, true) })
+	o.f.runStep(n, func() limit.Result { return n.Machine.Settle(n.now(o.f), n.Ownership, a.ID, a.UsedTokens, true) })
 }
 
 func (o *machinePolicy) Fault(f Fault) {
 	switch f.Kind {
 	case "lose":
-		o.f.Lose(o.f.slots[o.lostSlot(f)])
+		o.f.Crash(o.f.slots[o.lostSlot(f)])
 	case "replace":
-		o.f.Start(f.Slot)
+		o.f.StartHost(f.Slot)
 	case "store down":
 		o.f.leases.StoreDown = true
 	case "store up":
@@ -231,10 +233,10 @@
 
 // lostSlot returns the slot of the host that a fault loses.
 func (o *machinePolicy) lostSlot(f Fault) int {
-	if f.Of == "" {
+	if f.OwnerOf == "" {
 		return f.Slot
 	}
-	owner := o.f.leases.assigned[core.Shard{Kind: core.ShardWorkspace, Name: string(f.Of)}].host
+	owner := o.f.leases.assigned[core.Shard{Kind: core.ShardWorkspace, Name: string(f.OwnerOf)}].host
 	for i, n := range o.f.slots {
 		if n.ID == owner {
 			o.w.Alive[i] = false
@@ -244,4 +246,4 @@
 	return 0
 }
 
-func (o *machinePolicy) Messages() uint64 { return o.w.Links.Sent }
+func (o *machinePolicy) MessagesSent() uint64 { return o.w.Links.MessagesSent }
--- a/internal/measure/limits/measure.go
+++ b/internal/measure/limits/measure.go
@@ -81,16 +81,16 @@
 func measurePolicy(t Trace, w namedPolicy, seed uint64, arrivals []Arrival) summary {
 	world := newWorld(t, seed)
 	o := run(world, w.start(world), arrivals)
-	x := summary{over: o.Over(t), allRequests: o.Requests, messages: float64(o.Messages) / float64(max(1, o.Requests))}
+	x := summary{over: o.MaxOverGrant(t), allRequests: o.Requests, messages: float64(o.Messages) / float64(max(1, o.Requests))}
 	for _, tenant := range t.Tenants {
-		c := o.By[tenant.Limit.Workspace]
+		c := o.CountsByWorkspace[tenant.Limit.Workspace]
 		x.waited += c.Waited
-		if tenant.Offered <= 1 {
+		if tenant.OfferedFraction <= 1 {
 			x.refused += c.Refused
-			x.within += c.Asked
+			x.within += c.Requests
 			continue
 		}
-		x.flooderPercent = 100 * float64(c.Tokens) / (float64(tenant.Limit.Rate) * t.Lasts.Seconds())
+		x.flooderPercent = 100 * float64(c.UsedTokens) / (float64(tenant.Limit.Rate) * t.Duration.Seconds())
 	}
 	return x
 }
@@ -110,13 +110,13 @@
 	b.over = max(b.over, x.over)
 	waited := percent(x.waited, x.allRequests)
 	switch {
-	case t.Calm && t.Hosts <= maxHostsToday:
+	case t.NoFaults && t.Hosts <= maxHostsToday:
 		b.refusedCalm = max(b.refusedCalm, extra)
 		b.messages = max(b.messages, x.messages)
 		b.waited = max(b.waited, waited)
-	case t.Calm:
+	case t.NoFaults:
 		b.refusedCalm = max(b.refusedCalm, extra)
-	case t.Faulty:
+	case t.HostsLost:
 		b.refusedHostsLost = max(b.refusedHostsLost, extra)
 	}
 	b.messagesAll = max(b.messagesAll, x.messages)
--- a/internal/measure/limits/policy.go
+++ b/internal/measure/limits/policy.go
@@ -15,17 +15,17 @@
 	Settle(slot int, a Arrival)
 	// Fault applies a change of the fleet.
 	Fault(f Fault)
-	// Messages returns the number of messages between hosts so far.
-	Messages() uint64
+	// MessagesSent returns the number of messages between hosts so far.
+	MessagesSent() uint64
 }
 
 // World is the simulated environment of a policy.
 type World struct {
-	Loop  *Loop
-	Links *Links
-	Trace Trace
-	Alive []bool // by slot
-	Store bool   // reachable
+	Loop           *EventLoop
+	Links          *Links
+	Trace          Trace
+	Alive          []bool // by slot
+	StoreReachable bool   // reachable
 }
 
 // Delay and loss of the links.
@@ -35,9 +35,9 @@
 )
 
 func newWorld(t Trace, seed uint64) *World {
-	loop := &Loop{Rand: core.NewRand(seed)}
-	w := &World{Loop: loop, Trace: t, Alive: make([]bool, t.Hosts), Store: true}
-	w.Links = &Links{Loop: loop, OneWay: linkDelay, Loss: lossRate}
+	loop := &EventLoop{Rand: core.NewRand(seed)}
+	w := &World{Loop: loop, Trace: t, Alive: make([]bool, t.Hosts), StoreReachable: true}
+	w.Links = &Links{EventLoop: loop, OneWay: linkDelay, LossFraction: lossRate}
 	for i := range w.Alive {
 		w.Alive[i] = true
 	}
@@ -58,26 +58,26 @@
 
 // Counts are the results of one workspace.
 type Counts struct {
-	Asked   int
-	Refused int
-	Waited  int         // decided after a round trip
-	Tokens  core.Tokens // used by granted requests
+	Requests   int
+	Refused    int
+	Waited     int         // decided after a round trip
+	UsedTokens core.Tokens // used by granted requests
 }
 
 // Outcome is the result of one policy on one trace.
 type Outcome struct {
-	By       map[core.WorkspaceID]*Counts
-	Charges  map[core.WorkspaceID][]Charge
-	Messages uint64
-	Requests int
+	CountsByWorkspace map[core.WorkspaceID]*Counts
+	Charges           map[core.WorkspaceID][]Charge
+	Messages          uint64
+	Requests          int
 }
 
-// Over returns the maximum that any workspace got beyond its limit, in tokens.
-func (o *Outcome) Over(t Trace) core.Tokens {
+// MaxOverGrant returns the maximum that any workspace got beyond its limit, in tokens.
+func (o *Outcome) MaxOverGrant(t Trace) core.Tokens {
 	worst := core.Tokens(0)
 	for _, x := range t.Tenants {
 		bounds := []Bound{{Rate: x.Limit.Rate, Burst: x.Limit.Burst}}
-		worst = max(worst, Over(o.Charges[x.Limit.Workspace], bounds))
+		worst = max(worst, MaxOverGrant(o.Charges[x.Limit.Workspace], bounds))
 	}
 	return worst
 }
@@ -87,9 +87,9 @@
 
 // run runs a trace against a policy.
 func run(w *World, p Policy, arrivals []Arrival) *Outcome {
-	o := &Outcome{By: make(map[core.WorkspaceID]*Counts), Charges: make(map[core.WorkspaceID][]Charge)}
+	o := &Outcome{CountsByWorkspace: make(map[core.WorkspaceID]*Counts), Charges: make(map[core.WorkspaceID][]Charge)}
 	for _, t := range w.Trace.Tenants {
-		o.By[t.Limit.Workspace] = &Counts{}
+		o.CountsByWorkspace[t.Limit.Workspace] = &Counts{}
 	}
 	base := core.Instant(warmUp)
 	for _, f := range w.Trace.Faults {
@@ -99,32 +99,32 @@
 		w.Loop.At(base.Add(time.Duration(a.At)), func() { w.startRequest(p, o, a) })
 	}
 	var before uint64
-	w.Loop.At(base, func() { before = p.Messages() })
-	w.Loop.RunUntil(base.Add(w.Trace.Lasts + 20*time.Second))
-	o.Messages = p.Messages() - before
+	w.Loop.At(base, func() { before = p.MessagesSent() })
+	w.Loop.RunUntil(base.Add(w.Trace.Duration + 20*time.Second))
+	o.Messages = p.MessagesSent() - before
 	return o
 }
 
 func (w *World) applyFault(p Policy, f Fault) {
 	switch f.Kind {
 	case "lose":
-		if f.Of == "" {
+		if f.OwnerOf == "" {
 			w.Alive[f.Slot] = false
 		}
 	case "replace":
 		w.Alive[f.Slot] = true
 	case "store down":
-		w.Store = false
+		w.StoreReachable = false
 	case "store up":
-		w.Store = true
+		w.StoreReachable = true
 	}
 	p.Fault(f)
 }
 
 func (w *World) startRequest(p Policy, o *Outcome, a Arrival) {
 	slot := w.liveSlot(a.Slot)
-	c := o.By[a.Workspace]
-	c.Asked++
+	c := o.CountsByWorkspace[a.Workspace]
+	c.Requests++
 	o.Requests++
 	sentAt := w.Loop.Now
 	p.Reserve(slot, a, func(granted bool) {
@@ -135,9 +135,9 @@
 			c.Refused++
 			return
 		}
-		o.Charges[a.Workspace] = append(o.Charges[a.Workspace], Charge{a.Workspace, w.Loop.Now, a.Used})
-		c.Tokens += a.Used
-		w.Loop.After(a.Lasts, func() { p.Settle(slot, a) })
+		o.Charges[a.Workspace] = append(o.Charges[a.Workspace], Charge{a.Workspace, w.Loop.Now, a.UsedTokens})
+		c.UsedTokens += a.UsedTokens
+		w.Loop.After(a.Duration, func() { p.Settle(slot, a) })
 	})
 }
 
@@ -158,7 +158,7 @@
 }
 
 func (c *central) Reserve(_ int, a Arrival, decide func(bool)) {
-	mark, ok := c.buckets[a.Workspace].Take(c.w.Loop.Now, a.Tokens)
+	mark, ok := c.buckets[a.Workspace].Take(c.w.Loop.Now, a.ReservedTokens)
 	if ok {
 		c.marks[a.ID] = mark
 	}
@@ -166,9 +166,9 @@
 }
 
 func (c *central) Settle(_ int, a Arrival) {
-	c.buckets[a.Workspace].Settle(c.w.Loop.Now, c.marks[a.ID], a.Tokens-a.Used)
+	c.buckets[a.Workspace].Settle(c.w.Loop.Now, c.marks[a.ID], a.ReservedTokens-a.UsedTokens)
 	delete(c.marks, a.ID)
 }
 
-func (c *central) Fault(Fault)      {}
-func (c *central) Messages() uint64 { return 0 }
+func (c *central) Fault(Fault)          {}
+func (c *central) MessagesSent() uint64 { return 0 }
