--- a/spec/config/config.pml
+++ b/spec/config/config.pml
@@ -2,9 +2,9 @@
  *
  * internal/admin and internal/core/config. Three operators each apply one
  * change, which names one content-addressed chunk; the third goes back to the
- * content that stood first. An update of the head is in flight for any time, its
+ * first content. An update of the head is in flight for any time, its
  * answer may be lost, and it may be sent again. Reads of the head may be
- * old. A collector deletes chunks in between; a host reads heads and fetches
+ * stale. A collector deletes chunks in between; a host reads heads and fetches
  * their chunks. A process that takes no further step has crashed.
  *
  * Bounds: three changes, the first sent twice at most, the others once; one
@@ -12,7 +12,7 @@
  * it is fresh is the feed's matter.
  *
  * Checked: an update is accepted only from the head that it was made from; an
- * operator who is told "conflict" was not and never is accepted, one who is told
+ * operator who gets "conflict" was not and never is accepted, one who gets
  * "accepted" was; no accepted change is without its audit record; the accepted
  * head's chunk exists; the version in force on a host only rises.
  *
@@ -104,7 +104,7 @@
 #ifndef RECORD_AFTER
   recorded[i] = true;
 #endif
-  atomic { /* upload: what the base does not name is written, also where it stands */
+  atomic { /* upload: what the base does not name is written, also if it exists */
     if
     :: chunk[i] == baseChunk
 #ifdef NO_TOUCH
@@ -125,7 +125,7 @@
     :: answer[i] == OK -> goto done
     :: answer[i] == CONFLICT -> goto decided
     :: sends < SENDS -> goto accept /* no answer came in time */
-    :: sends == SENDS -> goto over /* told: in doubt */
+    :: sends == SENDS -> goto over /* reported: in doubt */
     fi
   }
 
@@ -136,12 +136,12 @@
     :: headToken != i && headVersion <= baseVersion[i] -> goto over
     :: headToken != i && headVersion > baseVersion[i]
     :: oldToken == i -> goto done
-    :: oldToken != i && oldVersion <= baseVersion[i] -> goto over /* an old read: in doubt */
+    :: oldToken != i && oldVersion <= baseVersion[i] -> goto over /* a stale read: in doubt */
     :: oldToken != i && oldVersion > baseVersion[i]
     fi;
 #ifndef NO_CHAIN
     if
-    :: sends > 1 && accepted[i] -> goto done /* the chain of tokens holds it */
+    :: sends > 1 && accepted[i] -> goto done /* it is in the chain of tokens */
     :: else
     fi;
 #endif
--- a/spec/feed/feed.pml
+++ b/spec/feed/feed.pml
@@ -2,15 +2,15 @@
 /*
  * The configuration in force on each host never goes back, as in
  * internal/core/feed: the store holds one head, watchers read it, relays pass
- * on the newest head that they know, and a head comes into force once its
- * chunks are there.
+ * on the newest head that they know, and a head is put in force once it has
+ * all chunks.
  *
  * Faults: a read answers from the past; messages are lost, late, doubled and
  * reordered (a message that was sent may be taken at any later time, any number
  * of times); a relay is as old as it likes; a parent is changed (every host may
- * hear every other); a chunk comes late or never; a host restarts empty. A
+ * receive from every other); a chunk comes late or never; a host restarts empty. A
  * restarted host is a new process: its version may start anew at whatever it
- * hears, but from then on rises.
+ * receives, but from then on rises.
  *
  * Also checked: a host counts as fresh as of a moment only if the version that
  * was the newest then is in force there. Moments are acceptances: at moment v
@@ -32,7 +32,7 @@
 byte was[H];              /* the same before the step */
 byte asOf[H];             /* as of this moment the host's version was the newest */
 byte sentHead[H];         /* bits: heads that a host has ever sent */
-byte statement[H];        /* the latest moment that a host can vouch for */
+byte statement[H];        /* the latest moment that a host can state */
 byte version[H];          /* the newest version at that moment, as stated */
 
 byte i;
@@ -88,17 +88,17 @@
 }
 
 inline host(h) {
-  /* a chunk-complete target comes into force */
+  /* a chunk-complete target is put in force */
   if
   :: d_step { target[h] != force[h] -> force[h] = target[h]; count(h); check() }
-  /* sends its newest head; it stays under way for good */
+  /* sends its newest head; it stays in flight for good */
   :: d_step { target[h] > 0 -> sentHead[h] = sentHead[h] | (1 << target[h]) }
   /* restarts empty */
   :: d_step { force[h] > 0 -> target[h] = 0; force[h] = 0; was[h] = 0; asOf[h] = 0; statement[h] = 0; version[h] = 0 }
   fi
 }
 
-/* hears one of the heads that another host has ever sent */
+/* receives one of the heads that another host has ever sent */
 inline hears(h, from) {
   if
   :: d_step { (sentHead[from] >> 1) & 1 -> learn(h, 1); check() }
@@ -107,8 +107,8 @@
   fi
 }
 
-/* asks a neighbour how fresh it is; the answer counts as of the moment that
- * the neighbour vouches for, not as of now */
+/* pings a neighbour; the answer counts as of the moment that the neighbour
+ * states, not as of now */
 inline asks(h, from) {
 #ifdef AGE_IGNORED
   d_step { statement[from] > 0 -> newest(h, store, version[from]); check() }
--- a/spec/limit/limit.pml
+++ b/spec/limit/limit.pml
@@ -1,17 +1,18 @@
 /* Shares of one workspace's limit: granting, renewal, restating, take-over, with
- * one owner lost or cut off from the store. The states and steps are named as in
- * internal/core/limit.
+ * one owner lost or cut off from the store. Names in
+ * internal/core/limit: ask ShareRequest, booked entry of the ledger, cut
+ * rebalance and sendShare, heard markRestated, drop dropExpired.
  *
  * PAN: -E -w22
  * CC: -DCOLLAPSE
  *
- * Bounds: two owners (0 acts first, 1 succeeds once), two holders, a limit of
- * UNITS slices, at most MAXGRANTS shares cut or sent again and MAXASKS Asks, channels
+ * Bounds: two owners (0 acts first, 1 succeeds once), two share holders, a limit of
+ * UNITS units, at most MAXGRANTS shares sent and MAXASKS share requests, channels
  * that lose and reorder shares and double one. Time is
- * abstract: a holder's term ends (drop) before its owner may take the share back
- * (reclaim), as the counting from before the Ask ensures; the horizon ends only
+ * abstract: a holder's share expires (drop) before its owner may reclaim it
+ * (reclaim), as counting from before the share request ensures; the horizon ends only
  * after every share of the first owner ended. Spent is what may be spent at one
- * moment: what holders hold plus the pools of owners that may spend. It must
+ * moment: the shares of holders plus the pools of owners that may spend. It must
  * never exceed UNITS. 1,887,772 states. */
 
 #define UNITS 2
@@ -22,8 +23,8 @@
 bool lost0 = false;          /* owner 0 is dead */
 bool moved = false;          /* the shard went to owner 1 */
 
-/* holders */
-byte held[HOLDERS];          /* slices that the holder may spend */
+/* share holders */
+byte held[HOLDERS];          /* units that the holder may spend */
 byte fence[HOLDERS];         /* promised */
 byte applied[HOLDERS];       /* Seq of the last share applied */
 byte by[HOLDERS];            /* fencing number of that share */
@@ -31,18 +32,18 @@
 /* owners */
 byte pool[2];
 byte booked[4];              /* booked[2*owner + holder]: at most held */
-byte seq[4];                 /* of the last share cut */
-byte sentTo[4];              /* what that share says */
+byte seq[4];                 /* of the last share sent */
+byte sentTo[4];              /* units of that share */
 bool open[4];                /* not acknowledged */
-bool heard[2];               /* by owner 1 */
+bool heard[2];               /* restated to owner 1 */
 bool withheld = true;        /* owner 1's pool */
 bool horizonPast = false;    /* no share of owner 0 can be valid any more */
 bool listed[2];              /* holders named in the object */
 byte fences[2];
 bool claimed = false;        /* owner 1 has read and claimed the list */
 bool seen[2];                /* listed as owner 1 read it */
-byte grants = 0;             /* shares cut, bounded */
-byte asks = 0;               /* asks sent, bounded */
+byte grants = 0;             /* shares sent, bounded */
+byte asks = 0;               /* share requests sent, bounded */
 byte copies = 0;             /* doubled messages, bounded */
 
 #define MAXGRANTS 3
@@ -60,7 +61,7 @@
 
 inline check() { assert(SPENT <= UNITS) }
 
-/* cut: an owner decides what a holder is to have and books it, debit first. */
+/* cut: an owner sets the share of a holder in its ledger, debit first. */
 inline cut(o, h, units) {
   grants++;
   sentTo[2*o+h] = units;
@@ -77,7 +78,7 @@
   share!h, fences[o], seq[2*o+h], sentTo[2*o+h]
 }
 
-/* confirm: the holder states what it holds after the last share. */
+/* confirm: the holder states its share after the last one applied. */
 inline confirm(o, h, s, units) {
   if
   :: s == seq[2*o+h] && units < booked[2*o+h] ->
@@ -117,7 +118,7 @@
 #ifndef FROZEN_RECLAIMS
        acting(0) &&
 #endif
-       !(share ?? [0, 1, eval(seq[0]), eval(sentTo[0])]) -> /* lapsed: its term ended, also that of shares under way */
+       !(share ?? [0, 1, eval(seq[0]), eval(sentTo[0])]) -> /* expired, also the shares in flight */
        pool[0] = pool[0] + booked[0]; booked[0] = 0; open[0] = false;
        seq[0] = seq[0] + 1; check() }
 #ifdef FROZEN_SPENDS
@@ -130,7 +131,7 @@
 proctype Lease() {
   if
   :: atomic { lost0 = true; actingOwner = 2 } /* dead */
-  :: atomic { actingOwner = 2 }               /* cut off from the store: frozen */
+  :: atomic { actingOwner = 2 }               /* cut off from the store: frozen, it can't act */
   fi;
   atomic { actingOwner = 1; moved = true }
 }
@@ -145,7 +146,7 @@
   do
   :: atomic { nempty(ask1) -> ask1?h, f, s, u;
        if
-       :: f < fences[1] /* it has to promise first */
+       :: f < fences[1] /* it has to promise the fencing number first */
 #ifdef NO_PROMISE
           -> if :: !heard[h] -> heard[h] = true; booked[2+h] = u; seq[2+h] = s :: else fi
 #endif
@@ -157,7 +158,7 @@
              :: true -> booked[2+h] = u
 #else
              :: withheld && seen[h] -> booked[2+h] = u
-             :: else -> booked[2+h] = 0 /* what it held has ended: a late Ask */
+             :: else -> booked[2+h] = 0 /* its share has expired: a late share request */
 #endif
              fi
           :: else -> confirm(1, h, s, u)
@@ -199,13 +200,13 @@
        fi;
        f = 0; s = 0; u = 0; check() }
   :: atomic { share ?? [eval(me), f, s, u] -> share ?? eval(me), f, s, u; f = 0; s = 0; u = 0 } /* lost */
-  :: atomic { claimed && asks < MAXASKS && nfull(ask1) -> /* onRecall: promise, then state */
+  :: atomic { claimed && asks < MAXASKS && nfull(ask1) -> /* onStateRequest: promise, then restate */
        asks++; fence[me] = 2; ask1!me, 2, applied[me], held[me] }
   :: atomic { asks < MAXASKS && fence[me] < 2 && nfull(ask0) -> asks++; ask0!me, fence[me], applied[me], held[me] }
 #ifdef NO_PROMISE
   :: atomic { claimed && asks < MAXASKS && fence[me] < 2 && nfull(ask1) -> asks++; ask1!me, fence[me], applied[me], held[me] }
 #endif
-  :: atomic { held[me] > 0 -> held[me] = 0 } /* drop: the term ended */
+  :: atomic { held[me] > 0 -> held[me] = 0 } /* drop: the share expired */
   od
 }
 
--- a/spec/once/once.pml
+++ b/spec/once/once.pml
@@ -4,7 +4,7 @@
  * share nothing but the store, so that a host's crash is the crash of its
  * attempts, at any step. Calls to the store are in flight for any time: they
  * take effect late, their answers are lost, or they never arrive (outage). A
- * read may be old. Callers leave at any step.
+ * read may be stale. Callers leave at any step.
  *
  * Bounds: 3 attempts; two send 2 creates and 2 releases each, the third one
  * each; an attempt's outcome is recorded once. Expiry is left out: it deletes a record only after its
@@ -31,7 +31,7 @@
 byte version;
 byte versions;
 
-/* An old state that a read may show. */
+/* A former state that a read may show. */
 bool oldPresent;
 byte oldToken;
 byte oldPhase;
--- a/spec/ownership/ownership.pml
+++ b/spec/ownership/ownership.pml
@@ -1,8 +1,10 @@
 /* PAN: -w24 */
 /* CC: -DCOLLAPSE -DNOFAIR */
 /*
- * Ownership of one shard: lease, fencing, overlap rule and custody, as in
- * internal/core/lease. Checked after every step: no two hosts act at once, and
+ * Ownership of one shard: lease, fencing, overlap rule and handoff, as in
+ * internal/core/lease (settled: the lowest applied view; custody: the sender of
+ * a Handoff was entitled to act and has stopped). Checked after every step: no
+ * two hosts act at once, and
  * the fencing number rises with each change of owner.
  *
  * Bounds: N hosts of which two are members at first, versions 1..V of the
@@ -12,21 +14,21 @@
  * Faults: a lease may run out at any moment (pause, store outage, slow clock)
  * and be renewed at any later one, also by a heartbeat that was written late or
  * whose acknowledgement comes late or twice, as when a write took effect and
- * its answer was lost; a HandOver is lost, late, doubled or reordered; a view
+ * its answer was lost; a Handoff is lost, late, doubled or reordered; a view
  * is adopted late and several versions at a time; a host stops taking steps in
  * any state, which is a crash.
  *
  * Time is kept only as far as leases need it. Before the watcher of a host has
  * waited the term, heartbeats from before the watch may still renew its lease;
  * from then on they can't. A heartbeat written during the watch ends it, since
- * the fencing update is conditional on the object that showed the silence.
- * A HandOver that its receiver has taken is forgotten: a repeat is ignored.
+ * the fencing update is conditional on the unchanged heartbeat object.
+ * A Handoff that its receiver has applied is dropped: a repeat is ignored.
  *
  * States stored: 3.5 million with the bounds below. Trials with V=5 (before
  * hosts could read the head ahead of joining) and with N=4, V=3 held as well,
  * with 12.6 and 7.8 million.
  *
- * The settled view is taken as the newest true value at once. Hosts learn it
+ * The true lowest applied view is used at once. Hosts learn it
  * later, which only makes rights begin later.
  */
 #ifndef N
@@ -58,10 +60,10 @@
 byte since[N];             /* the owner under view[] has owned it since */
 byte custody;              /* mask */
 byte pending[N];           /* custody that waits for this version */
-byte handed[N];            /* the latest HandOver taken */
-byte held;                 /* mask: the lease runs */
+byte handed[N];            /* the latest Handoff applied */
+byte held;                 /* mask: the lease is valid */
 byte checked;              /* mask: SKIP_RECHECK acts on an earlier check */
-byte handOver;             /* mask by version: HandOver sent to owner[version] */
+byte handOver;             /* mask by version: Handoff sent to owner[version] */
 /* who acted last */
 byte lastActor = NONE;
 byte lastFence;
@@ -99,7 +101,7 @@
 #endif
 
 /* reduce: what can't be told apart any more is made the same. Versions before
- * the settled one are used by nobody; a run that began before it counts as
+ * the lowest applied one are unused; a run that began before it counts as
  * begun; custody of a settled run adds nothing. */
 inline reduce() {
   a = 1;
@@ -184,7 +186,7 @@
   fi
 }
 
-/* forget: the state of a host that is out for good plays no part. */
+/* forget: the state of a host that is out for good is reset. */
 inline forget(i) {
   view[i] = 0; since[i] = 0; pending[i] = 0; handed[i] = 0; number[i] = 0;
   custody = custody & ~BIT(i); held = held & ~BIT(i); fenced = fenced & ~BIT(i);
@@ -214,8 +216,8 @@
   fi
 }
 
-/* step: one version further. The one who acts and loses the shard stops and
- * hands it over; the next owner of one that surely stopped may act at once. */
+/* step: one version further. A host that acts and loses the shard stops and
+ * hands it off; the next owner of one that surely stopped may act at once. */
 inline step(i) {
   w = view[i] + 1;
   if
@@ -260,7 +262,7 @@
   :: HAS(joined, i) && !HAS(members, i) -> stop(i); forget(i)
   :: else -> claim(i)
   fi;
-  if /* custody of another's shard means nothing */
+  if /* custody of another host's shard has no effect */
   :: owner[view[i]] != i -> custody = custody & ~BIT(i)
   :: else
   fi
@@ -287,9 +289,9 @@
       d_step { stop(i); staying = staying & ~BIT(i); members = members & ~BIT(i) }
       next();
       d_step { removed[version] = i; forget(i); check() } }
-  /* the lease runs out */
+  /* the lease expires */
   :: d_step { HAS(held, i) -> held = held & ~BIT(i) }
-  /* it is renewed: nobody watches, or by a heartbeat from before the watch */
+  /* it is renewed: no host watches, or by a heartbeat from before the watch */
 #ifdef COUNT_FROM_ACK
   :: d_step { RENEWS(i) -> held = held | BIT(i); check() }
 #else
@@ -297,7 +299,7 @@
 #endif
   /* another host begins to watch this one's heartbeat */
   :: d_step { HAS(members, i) && watched == NONE && !HAS(fenced, i) -> watched = i }
-  /* a new heartbeat is written, or the watcher gives up */
+  /* a new heartbeat is written, or the watch is abandoned */
 #if defined(FENCE_UNCONDITIONAL) || defined(REMOVE_UNFENCED)
   :: d_step { watched == i && RENEWS(i) -> held = held | BIT(i); check() }
 #endif
@@ -323,7 +325,7 @@
   fi
 }
 
-/* receive: a HandOver arrives, perhaps again. */
+/* receive: a Handoff arrives, perhaps again. */
 inline receive(x) {
   d_step { HAS(handOver, x) && owner[x] < N && LIVE(owner[x]) && x > handed[owner[x]] ->
     w = owner[x];
@@ -337,7 +339,7 @@
 }
 
 #ifdef HAND_BEFORE_STOPPING
-/* early: hands over on seeing the new view, and adopts it later. */
+/* early: hands off on seeing the new view, and adopts it later. */
 inline early(i) {
   d_step { LIVE(i) && view[i] > 0 && view[i] < version && owner[view[i] + 1] != i && !HAS(handOver, view[i] + 1) ->
     settle();
--- a/spec/pins/pins.pml
+++ b/spec/pins/pins.pml
@@ -2,14 +2,16 @@
  *
  * One adapter on one upstream that ignores fencing numbers; an entry host (two
  * with -DTWO) with one request, which may pause and crash at any step; owner 0, whose
- * lease ends at LEASE or which leaves earlier, with or without handing its
- * state over, and its successor, owner 1. Asks, tickets, restatements, releases
- * and accounts may be lost, doubled and arrive at any time; a dispatch and an
+ * lease ends at LEASE or which leaves earlier, with or without handing off its
+ * state, and its successor, owner 1. Ticket requests, tickets, restatements, releases
+ * and lists of outstanding requests may be lost, doubled and arrive at any time; a dispatch and an
  * unload order take up to LINGER; a report is up to LAG old. Entry hosts may
  * believe either host to be the owner at any time.
  *
- * Names as in internal/core/placement: Ask, ticket, Valid, held, released,
- * evictable, settle, clearLost, makeRoom, Departing, Adopt.
+ * Names in internal/core/placement: Ask requestTicket, asked
+ * receiveTicketRequest and issueTickets, Valid TicketValid, held reconcileOutstanding, released
+ * receiveRelease, clearLost clearLostPins, makeRoom evictFor, settle reconcile,
+ * Departing HandOff; ticket and Adopt are the same.
  *
  * Bounds: 1 entry host, 2 owners, one eviction each, END units of time; 7.6
  * million states. That no pin is stuck is an assertion up to END, not a proof.
@@ -17,9 +19,9 @@
  * PAN: -E -w22
  */
 
-#define VALID  1   /* of a ticket, from the asker's send */
-#define LINGER 1   /* most that a dispatch or an order takes */
-#define LAG    1   /* most that a report is old */
+#define VALID  1   /* of a ticket, from the sending of its request */
+#define LINGER 1   /* maximum time of a dispatch or an order */
+#define LAG    1   /* maximum age of a report */
 #define LEASE  3   /* end of owner 0's lease */
 #define END    6
 #define GUARD  (VALID + LINGER)
@@ -31,25 +33,25 @@
 
 /* entry hosts */
 mtype state[2] = idle;
-byte sent[2];       /* of the ask */
+byte sent[2];       /* of the ticket request */
 byte until[2];      /* of the ticket */
 byte arrives[2];    /* latest arrival of the dispatch */
 bool dead[2];
 byte diedAt[2];
-byte view[2];       /* whom it takes to be the owner */
+byte view[2];       /* the host it takes to be the owner */
 
 /* messages; a set bit may be delivered any number of times, or never */
 bool askMsg[4];     /* by 2 * owner + entry */
 bool runMsg[4];     /* restatement */
 bool ticketMsg[4];
-byte echo[4];       /* the ask's sent, in the ticket */
+byte echo[4];       /* the request's sent, in the ticket */
 bool releaseMsg[4];
 
 /* owners */
 byte owner = 0;
 bool gone;          /* owner 0 has left or its lease ended */
 byte since = 0;     /* owner 1's take-over */
-bool open[2];       /* knows the adapter to be resident */
+bool open[2];       /* knows the adapter to be loaded */
 bool settled[2];
 bool pin[4];
 byte heard[4];
@@ -60,7 +62,7 @@
 bool resident = true;
 byte endedAt;       /* when request 0 last ran */
 bool runs[2];
-bool unload;        /* an order on its way */
+bool unload;        /* an order in flight */
 byte unloadBy;      /* its latest arrival */
 byte sampleAt;
 bool sampleRun[2];
@@ -165,7 +167,7 @@
   }
 }
 
-/* a late restatement pins what is over until an account clears it */
+/* a late restatement pins what is over until a list of outstanding requests clears it */
 inline restated(o, e) {
   atomic { runMsg[P(o, e)] && ACTING(o) && !pin[P(o, e)] -> pin[P(o, e)] = true; heard[P(o, e)] = now }
 }
@@ -174,7 +176,7 @@
   atomic { releaseMsg[P(o, e)] && pin[P(o, e)] -> pin[P(o, e)] = false; releaseMsg[P(o, e)] = false }
 }
 
-/* an account lists whatever the entry host has ever asked this owner for */
+/* the list has every request for which the entry host has a ticket request at this owner */
 inline held(o, e) {
   atomic {
     !dead[e] && pin[P(o, e)] && ACTING(o) ->
@@ -201,7 +203,7 @@
   }
 }
 
-/* owner 1 takes tickets up once no order of owner 0 can arrive any more */
+/* owner 1 gives tickets once no order of owner 0 can arrive any more */
 inline opens() {
   atomic {
     ACTING(1) && !open[1] && !evicted[1] && sampleResident && now >= since + WAIT && sampleAt + LAG >= since + WAIT -> open[1] = true
@@ -241,7 +243,7 @@
   }
 }
 
-/* owner 0 leaves early; what it had begun is still on its way */
+/* owner 0 leaves early; what it had begun is still in flight */
 inline Departing() {
   atomic {
     !gone && now > 0 && now < LEASE -> gone = true; owner = 1; since = now;
@@ -269,8 +271,8 @@
 #endif
 #define LONG_DEAD(e) (dead[e] && now > diedAt[e] + BOUND && now > since + BOUND && state[e] != running && state[e] != flying)
 
-/* no pin is stuck: a dead host's ends BOUND after its last message could
- * arrive, once its request has ended; messages of the dead last one unit */
+/* no pin is stuck: that of a crashed host ends BOUND after its last message
+ * could arrive, once its request has ended; its messages last one unit */
 inline tick() {
   atomic {
     now < END && MAY_WAIT && POLLED && !CLEARS(0) -> now++;
