--- a/internal/core/limit/loan.go
+++ b/internal/core/limit/loan.go
@@ -45,7 +45,7 @@
 	}
 	to := m.chooseLender(now, own, ws, h, n, led)
 	if to == "" && led == nil {
-		m.refuse(r, id, core.CodeOverloaded, noOwnerRetryAfter, "the workspace's limit is moving to another host")
+		m.refuse(r, id, core.CodeOverloaded, noOwnerRetryAfter, "the workspace's limit is changing hosts")
 		return
 	}
 	if to == "" {
@@ -53,7 +53,7 @@
 		return
 	}
 	if len(m.pendingLoans) >= m.settings.MaxPendingLoans {
-		m.refuse(r, id, core.CodeOverloaded, time.Second, "too many requests are waiting for the workspace's limit")
+		m.refuse(r, id, core.CodeOverloaded, time.Second, "too many requests wait for their limit")
 		return
 	}
 	p := &pendingLoan{workspace: ws, tokens: n, expires: now.Add(m.settings.LoanTimeout), askedHost: to}
@@ -342,7 +342,7 @@
 		h.lastLender = ""
 	}
 	m.stats.LoanTimeouts++
-	m.refuse(r, id, core.CodeRateLimited, time.Second, "the host that keeps the workspace's limit did not answer in time")
+	m.refuse(r, id, core.CodeRateLimited, time.Second, "no answer in time from the host that keeps the workspace's limit")
 }
 
 // onLoanReturn takes the unused part of a loan back, once.
