--- a/internal/core/limit/bucket.go
+++ b/internal/core/limit/bucket.go
@@ -34,7 +34,7 @@
 // maxSamples bounds the memory of one bucket.
 const maxSamples = 64
 
-// advance accrues up to now. A clock that stands still or goes back accrues nothing.
+// advance accrues up to now. A clock that stops or goes backward accrues nothing.
 func (b *bucket) advance(now core.Instant) {
 	if now > b.last {
 		gained := accrued(slowedByDrift(b.rate, b.ppm), now.Sub(b.last))
--- a/internal/core/limit/holder_list.go
+++ b/internal/core/limit/holder_list.go
@@ -168,7 +168,7 @@
 	led.ownRate, led.ownBurst = f.ownRate, f.ownBurst
 }
 
-// onListWritten opens the ledger, or lets the listed hosts get shares: the stored
+// onListWritten opens the ledger, or permits shares for the listed hosts: the stored
 // list names this owner.
 func (m *Machine) onListWritten(now core.Instant, own core.Ownership, led *ledger, l *holderList, r *Result) {
 	g, acting := own.Acting(now, shardOf(led.workspace))
@@ -252,9 +252,9 @@
 }
 
 // onListGrown requests the state of newly listed hosts, and lists the hosts that
-// were added meanwhile.
-func (m *Machine) onListGrown(led *ledger, was []core.HostID, r *Result) {
-	fresh := slices.DeleteFunc(slices.Clone(led.listed), func(h core.HostID) bool { return slices.Contains(was, h) })
+// were added during the write.
+func (m *Machine) onListGrown(led *ledger, previous []core.HostID, r *Result) {
+	fresh := slices.DeleteFunc(slices.Clone(led.listed), func(h core.HostID) bool { return slices.Contains(previous, h) })
 	m.requestState(led, fresh, r)
 	if len(led.toList) > 0 {
 		m.writeList(led, union(led.listed, led.toList), r)
--- a/internal/core/limit/ledger.go
+++ b/internal/core/limit/ledger.go
@@ -270,7 +270,7 @@
 }
 
 // recordRequest updates the holder's entry from its share request. It returns nil
-// if the host is not listed yet, so must not be granted anything. For a host without
+// if the host is not listed yet and must not be granted anything. For a host without
 // an entry the stated share counts only if its restatement was awaited; otherwise
 // that share has expired and the request is late.
 func (m *Machine) recordRequest(now core.Instant, led *ledger, from core.HostID, a ShareRequest, restated bool) *entry {
@@ -331,7 +331,7 @@
 	}})
 }
 
-// sendEmptyShare answers a host that holds nothing and gets nothing now.
+// sendEmptyShare answers a host that holds nothing and is granted nothing.
 func (m *Machine) sendEmptyShare(led *ledger, to core.HostID, a ShareRequest, r *Result) {
 	r.Send(to, Message{Share: &Share{
 		Workspace: led.workspace, Fence: led.fence, Seq: a.Applied, TotalRate: led.limit.Rate,
--- a/internal/core/limit/loan.go
+++ b/internal/core/limit/loan.go
@@ -12,7 +12,7 @@
 	tokens     core.Tokens
 	expires    core.Instant
 	askedHost  core.HostID
-	askedOwner bool // the owner was asked after another host refused
+	ownerTried bool // the loan was requested from the owner after another host refused
 	resent     bool // the loan request was repeated, as a message may have been lost
 	abandoned  bool // refused or cancelled: a loan that still comes is returned
 }
@@ -89,11 +89,11 @@
 
 // bestLender returns the holder with the highest estimated level of at least n, and
 // debits n from that estimate; empty if there is none.
-func (led *ledger) bestLender(now core.Instant, n nanotokens, asker core.HostID) core.HostID {
+func (led *ledger) bestLender(now core.Instant, n nanotokens, requester core.HostID) core.HostID {
 	var best *entry
 	most := nanotokens(0)
 	for _, e := range led.entries {
-		if has := e.estimatedLevel(now); e.host != asker && has >= n && has > most {
+		if has := e.estimatedLevel(now); e.host != requester && has >= n && has > most {
 			best, most = e, has
 		}
 	}
@@ -295,8 +295,8 @@
 	if h.lastLender == from {
 		h.lastLender = ""
 	}
-	if ok && from != owner && p.askedHost == from && !p.askedOwner && owner != m.settings.Self {
-		p.askedOwner, p.askedHost = true, owner
+	if ok && from != owner && p.askedHost == from && !p.ownerTried && owner != m.settings.Self {
+		p.ownerTried, p.askedHost = true, owner
 		r.Send(owner, Message{LoanRequest: &LoanRequest{Workspace: p.workspace, ID: l.ID, Tokens: p.tokens, Entry: m.settings.Self}})
 		return
 	}
@@ -306,7 +306,7 @@
 	m.refuse(r, l.ID, core.CodeRateLimited, retry, "the workspace's rate is used up")
 }
 
-// An unanswered loan request is sent again after BorrowBound/resendDivisor. The
+// An unanswered loan request is sent again after LoanTimeout/resendDivisor. The
 // lender debits an id only once.
 const resendDivisor = 4
 
--- a/internal/core/limit/machine.go
+++ b/internal/core/limit/machine.go
@@ -27,7 +27,7 @@
 	MaxHomes           int           // maximum number of hosts that get shares of a workspace from the start
 	MaxPendingLoans    int           // maximum number of requests that wait for a loan
 	StartDelay         time.Duration // after its start a host opens ledgers only on demand, since owners move often while a fleet forms; negative: no delay
-	EvenDivisor        int           // 1/EvenPart of the rate is weight spread evenly over the hosts; negative: none
+	EvenDivisor        int           // 1/EvenDivisor of the rate is spread evenly as weight over the hosts; negative: none
 }
 
 // Defaults of Settings.
@@ -175,12 +175,12 @@
 
 // applyLimitChange adjusts this host's share and ledger of a workspace whose limit
 // changed. Workspaces are independent, so their order doesn't matter.
-func (m *Machine) applyLimitChange(now core.Instant, ws core.WorkspaceID, was, is Limit) {
+func (m *Machine) applyLimitChange(now core.Instant, ws core.WorkspaceID, old, updated Limit) {
 	if h := m.holders[ws]; h != nil {
-		h.scaleDown(now, was, is)
+		h.scaleDown(now, old, updated)
 	}
 	if led := m.ledgers[ws]; led != nil {
-		led.limit = is
+		led.limit = updated
 		led.updatePool(now)
 		led.queryAll = true
 	}
--- a/internal/core/limit/machine_test.go
+++ b/internal/core/limit/machine_test.go
@@ -236,7 +236,7 @@
 	p.is.Equal(p.holder.limits[ws].Burst, core.Tokens(500))
 }
 
-// A share computed from a higher limit than this host knows is scaled down.
+// A share computed from a higher limit than this host has configured is scaled down.
 func TestShareOfAHigherLimitIsScaledDown(t *testing.T) {
 	p := newPair(t)
 	p.grantShare()
--- a/internal/core/limit/message.go
+++ b/internal/core/limit/message.go
@@ -55,7 +55,7 @@
 	Fence     core.Fence       `cbor:"2,keyasint"`
 }
 
-// LoanRequest asks for the tokens of one request.
+// LoanRequest requests a loan of the tokens of one request.
 type LoanRequest struct {
 	Workspace core.WorkspaceID `cbor:"1,keyasint"`
 	ID        core.RequestID   `cbor:"2,keyasint"`
--- a/internal/core/limit/reserve.go
+++ b/internal/core/limit/reserve.go
@@ -36,7 +36,7 @@
 }
 
 // Reserve takes tokens (prompt and allowed output) for a request. The decision
-// comes with the result, or within BorrowBound if a loan is needed.
+// comes with the result, or within LoanTimeout if a loan is needed.
 func (m *Machine) Reserve(now core.Instant, own core.Ownership, id core.RequestID, ws core.WorkspaceID, tokens core.Tokens) Result {
 	var r Result
 	l, ok := m.limits[ws]
--- a/internal/core/limit/share_holder.go
+++ b/internal/core/limit/share_holder.go
@@ -39,10 +39,10 @@
 	refusalsForAnySize = 3 // refusals from which loans of any size are covered
 )
 
-func (e *exhaustion) refused(now core.Instant, l LoanReply, most time.Duration) {
+func (e *exhaustion) refused(now core.Instant, l LoanReply, maxTTL time.Duration) {
 	e.refusals = min(e.refusals+1, maxRefusals)
 	e.available = l.LargestLoan
-	e.until = now.Add(min(max(l.RetryAfter, minExhausted<<e.refusals), most))
+	e.until = now.Add(min(max(l.RetryAfter, minExhausted<<e.refusals), maxTTL))
 }
 
 // covers reports whether a loan of n would certainly be refused too. After
@@ -64,8 +64,8 @@
 }
 
 // decayLargest lowers the largest request by an eighth per interval.
-func (d *demand) decayLargest(now core.Instant, every time.Duration) {
-	if now.Sub(d.lastDecay) >= every {
+func (d *demand) decayLargest(now core.Instant, interval time.Duration) {
+	if now.Sub(d.lastDecay) >= interval {
 		d.lastDecay = now
 		d.largest -= d.largest / 8
 	}
@@ -114,14 +114,14 @@
 
 // scaleDown shrinks a share by a lowered limit. If the limit is raised, the owner
 // sends a larger share.
-func (h *shareHolder) scaleDown(now core.Instant, was, is Limit) {
+func (h *shareHolder) scaleDown(now core.Instant, old, updated Limit) {
 	s := &h.bucket
 	rate, burst := s.rate, s.burst
-	if is.Rate < was.Rate {
-		rate = microtokenRate(mulDiv(int64(rate), int64(is.Rate), int64(was.Rate)))
+	if updated.Rate < old.Rate {
+		rate = microtokenRate(mulDiv(int64(rate), int64(updated.Rate), int64(old.Rate)))
 	}
-	if is.Burst < was.Burst {
-		burst = nanotokens(mulDiv(int64(burst), int64(is.Burst), int64(was.Burst)))
+	if updated.Burst < old.Burst {
+		burst = nanotokens(mulDiv(int64(burst), int64(updated.Burst), int64(old.Burst)))
 	}
 	s.shrink(now, rate, burst)
 }
@@ -245,7 +245,7 @@
 }
 
 // coveredBy reports whether a repeated share covers all that is held. After the held
-// share has expired only an empty one does, so nothing expired comes back.
+// share has expired only an empty one does, so an expired share is never restored.
 func (h *shareHolder) coveredBy(s Share) bool {
 	if h.bucket.burst == 0 {
 		return s.Burst == 0
--- a/internal/core/limit/successor_test.go
+++ b/internal/core/limit/successor_test.go
@@ -155,7 +155,7 @@
 	p.is.Equal(p.holder.holders[ws].applied, before)
 }
 
-// A host is granted nothing before the stored list names it, even if it asks.
+// A host is granted nothing before the stored list names it, even if it requests a share.
 func TestHostIsListedBeforeItGetsAShare(t *testing.T) {
 	p := newPair(t)
 	p.deliver()
