--- a/internal/core/node/dispatch.go
+++ b/internal/core/node/dispatch.go
@@ -48,7 +48,7 @@
 	n.requestClaim(r)
 }
 
-// requestClaim asks the home of the request's fingerprint whether it may run on the
+// requestClaim asks the home of the request's fingerprint for permission to run on the
 // upstream of its ticket. Invariant: one crashing request crashes at most
 // as many upstreams as package suspect allows.
 func (n *Node) requestClaim(r *request) {
--- a/internal/core/node/events.go
+++ b/internal/core/node/events.go
@@ -58,7 +58,7 @@
 	Attempt        int
 	Kind           EndKind
 	TokensUsed     core.Tokens  // prompt and generated tokens
-	Counted        bool         // Used is the upstream's count
+	Counted        bool         // TokensUsed is the upstream's count
 	Crashed        bool         // the upstream crashed or closed all its connections
 	Outcome        core.Outcome // of a non-idempotent request
 	TokensReceived core.Tokens  // generated tokens seen by this host
--- a/internal/core/node/finish.go
+++ b/internal/core/node/finish.go
@@ -58,7 +58,7 @@
 	n.emit(Cancel{ID: r.id(), Attempt: r.attempt})
 }
 
-// correctRan returns the refusal with Ran set to what is known of the request.
+// correctRan returns the refusal with Ran set by the state of the request's attempts.
 // Invariant: a refusal says "not run" only if no attempt may have run.
 func correctRan(r *request, refusal *core.Refusal) *core.Refusal {
 	ran := refusal.Ran
--- a/internal/core/node/read.go
+++ b/internal/core/node/read.go
@@ -43,8 +43,8 @@
 // InFlight returns the number of requests that this host has not completed.
 func (n *Node) InFlight() int { return n.requests.byArrival.Len() }
 
-// Entries returns the entry hosts for a caller. Without a known key the answer
-// depends on no workspace: all usable hosts count as homes.
+// Entries returns the entry hosts for a caller. If keyHash is that of no configured
+// key, the answer depends on no workspace: all usable hosts count as homes.
 func (n *Node) Entries(keyHash string, domain core.Domain) directory.Answer {
 	in := directory.Input{
 		Members:   n.lease.Members(),
--- a/internal/core/node/request.go
+++ b/internal/core/node/request.go
@@ -32,7 +32,7 @@
 	stage         stage
 	ticket        *placement.Ticket
 	attempt       int         // number of the last dispatch, 0 before the first
-	notRun        int         // attempts that surely did not run
+	notRun        int         // attempts that certainly did not run
 	tokensUsed    core.Tokens // of all attempts
 	excluded      []core.UpstreamID
 	hasRecord     bool // this request must finish its at-most-once record
@@ -81,7 +81,7 @@
 	return r
 }
 
-// all returns the requests in order of arrival. They may be removed meanwhile.
+// all returns the requests in order of arrival. They may be removed during the iteration.
 func (t *requestTable) all() []*request {
 	out := make([]*request, 0, t.byArrival.Len())
 	for e := t.byArrival.Front(); e != nil; e = e.Next() {
