--- a/internal/core/lease/change.go
+++ b/internal/core/lease/change.go
@@ -146,7 +146,7 @@
 	}
 	m.assignRoles(now)
 	m.claimPending(now)
-	m.member.nextHeartbeat = now // acknowledge the new view at once
+	m.member.nextHeartbeat = now // acknowledge the new view immediately
 	m.shards.dirty = true
 }
 
--- a/internal/core/lease/handover.go
+++ b/internal/core/lease/handover.go
@@ -6,7 +6,7 @@
 	"gentiancroft/internal/core"
 )
 
-// Resending of a HandOver message until it is acknowledged.
+// Resending of a Handoff message until it is acknowledged.
 const (
 	handoffResendInterval = 300 * time.Millisecond
 	maxHandoffSends       = 20
@@ -23,7 +23,7 @@
 	to            core.HostID
 	view          uint64
 	senderStopped bool // this host was entitled to act and has stopped
-	stateReady    bool // the caller has passed the shard's state to HandOver
+	stateReady    bool // the caller has passed the shard's state to HandOff
 	state         []byte
 	nextSend      core.Instant
 	sends         int
@@ -77,7 +77,7 @@
 }
 
 // redirect sends a shard's state to its present owner where the intended one is
-// no longer a member. That owner may not act on the strength of this message:
+// no longer a member. That owner may not act because of this message:
 // it waits until its view is the lowest applied one.
 func (m *Machine) redirect(d *handoff) {
 	if s := m.shards.index[d.shard]; s != nil && s.owner != "" && s.owner != m.Self() {
@@ -96,9 +96,9 @@
 	h.outgoing = keep
 }
 
-// receiveHandOver accepts a shard's state. A repeat is acknowledged but not
+// receiveHandoff accepts a shard's state. A repeat is acknowledged but not
 // applied, so state is never credited twice.
-func (m *Machine) receiveHandOver(now core.Instant, from core.HostID, h Handoff) {
+func (m *Machine) receiveHandoff(now core.Instant, from core.HostID, h Handoff) {
 	s := m.shards.index[h.Shard]
 	if s == nil || m.number == 0 {
 		return // not ready yet: the sender retries
--- a/internal/core/lease/leader.go
+++ b/internal/core/lease/leader.go
@@ -54,8 +54,8 @@
 	m.writeBatch(now, l.stored, l.objectVersion)
 }
 
-// resign asks another host of the batch, one that isn't leaving, to take over
-// at once.
+// resign requests that another host of the batch, one that isn't leaving, take
+// over immediately.
 func (m *Machine) resign(now core.Instant) {
 	const resendInterval = 2 * time.Second
 	if now < m.leadership.nextResign {
--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -78,9 +78,9 @@
 	case msg.Ack != nil:
 		m.receiveAck(now, from, *msg.Ack)
 	case msg.LeaderChange != nil:
-		m.receiveLeading(now, from, *msg.LeaderChange)
+		m.receiveLeaderChange(now, from, *msg.LeaderChange)
 	case msg.Handoff != nil:
-		m.receiveHandOver(now, from, *msg.Handoff)
+		m.receiveHandoff(now, from, *msg.Handoff)
 	case msg.HandoffAck != nil:
 		m.handoffs.acknowledge(msg.HandoffAck.Shard, msg.HandoffAck.View)
 	}
@@ -98,7 +98,7 @@
 }
 
 // Leave marks this host as leaving: it owns no shards from the next view on,
-// and Changes reports those it acted on as Departing. It keeps its lease until
+// and Changes reports those it acted on as HandoffNeeded. It keeps its lease until
 // Release.
 func (m *Machine) Leave(now core.Instant) Output {
 	m.leaving = true
@@ -106,7 +106,7 @@
 }
 
 // Release gives up the membership. Call it once nothing is in flight and every
-// shard has been handed over; Left reports when it is done.
+// shard has been handed over; Released reports when it is done.
 func (m *Machine) Release(now core.Instant) Output {
 	m.leaving, m.releasing = true, true
 	return m.finish(now)
--- a/internal/core/lease/member.go
+++ b/internal/core/lease/member.go
@@ -28,7 +28,7 @@
 	stored         HeartbeatBatch
 	hasRead        bool // objectVersion and stored have been read
 	objectAbsent   bool // the batch's object doesn't exist
-	takeOverNow    bool // the leader has asked this host to take over at once
+	takeOverNow    bool // the leader has requested that this host take over immediately
 }
 
 // sentHeartbeat is a heartbeat that waits for its acknowledgement.
@@ -117,9 +117,9 @@
 	}
 }
 
-// receiveLeading handles the announcement of a new leader, or a leader's
+// receiveLeaderChange handles the announcement of a new leader, or a leader's
 // request to take over from it.
-func (m *Machine) receiveLeading(now core.Instant, from core.HostID, l LeaderChange) {
+func (m *Machine) receiveLeaderChange(now core.Instant, from core.HostID, l LeaderChange) {
 	if l.Next == m.Self() {
 		m.member.takeOverNow = m.number != 0 && !m.leaving && !m.leadership.leading
 		return
--- a/internal/core/lease/messages.go
+++ b/internal/core/lease/messages.go
@@ -29,14 +29,14 @@
 	Fenced            bool   `cbor:"6,keyasint,omitempty"` // the member has been fenced
 }
 
-// LeaderChange announces a batch's leader, or that Leader asks Next to take over.
+// LeaderChange announces a batch's leader, or requests that Next take over from Leader.
 type LeaderChange struct {
 	Leader core.HostID `cbor:"1,keyasint"`
 	Next   core.HostID `cbor:"2,keyasint,omitempty"`
 }
 
-// Handoff passes a shard's state to its owner under View. Custody says that
-// the sender was entitled to act on the shard until it adopted View, and has
+// Handoff passes a shard's state to its owner under View. SenderStopped says
+// that the sender was entitled to act on the shard until it adopted View, and has
 // stopped.
 type Handoff struct {
 	Shard         core.Shard `cbor:"1,keyasint"`
@@ -45,7 +45,7 @@
 	State         []byte     `cbor:"4,keyasint,omitempty"`
 }
 
-// HandoffAck acknowledges a HandOver, which ends its resending.
+// HandoffAck acknowledges a Handoff, which ends its resending.
 type HandoffAck struct {
 	Shard core.Shard `cbor:"1,keyasint"`
 	View  uint64     `cbor:"2,keyasint"`
--- a/internal/core/lease/settings.go
+++ b/internal/core/lease/settings.go
@@ -12,7 +12,7 @@
 //
 // A host acts on a shard only while its lease is valid by its own clock, and
 // only if it has owned the shard in every view that some live host may still
-// act under, or the host that owned it before has handed it over or is dead.
+// act under, or its previous owner has handed it over or crashed.
 // docs/design/ownership.md has the argument, spec/ownership the model.
 package lease
 
@@ -22,7 +22,7 @@
 	"gentiancroft/internal/core"
 )
 
-// Defaults. DefaultTerm bounds how long the shards of a dead host stay without
+// Defaults. DefaultTerm bounds how long the shards of a crashed host stay without
 // an owner; it must be longer than the takeover of a batch by another leader.
 const (
 	DefaultTerm             = 6 * time.Second
@@ -48,7 +48,7 @@
 	Self             core.Member
 	Term             time.Duration // of a lease, counted from before its heartbeat was sent
 	RenewInterval    time.Duration // between heartbeats, and between writes of a batch
-	PollInterval     time.Duration // between reads of all heartbeats; a small fleet reads them every Renew
+	PollInterval     time.Duration // between reads of all heartbeats; a small fleet reads them every RenewInterval
 	FenceMargin      time.Duration // added to the term before another host is fenced
 	SuspectAfter     time.Duration // a host without a heartbeat for so long is suspected
 	Stagger          time.Duration // between the attempts of hosts that could take the same action
--- a/internal/core/lease/shards.go
+++ b/internal/core/lease/shards.go
@@ -22,7 +22,7 @@
 	owner              core.HostID
 	score              uint64
 	ownerSince         uint64 // first view from which the owner has owned it without a break
-	predecessorStopped bool   // the previous owner has stopped, or is dead
+	predecessorStopped bool   // the previous owner has stopped or crashed
 	acting             bool   // as last reported by Changes
 	heldAtExpiry       bool   // this host was acting when its lease expired
 	receivedView       uint64 // latest view that it was handed over under
@@ -36,7 +36,7 @@
 const (
 	RightGained   RightChangeKind = iota + 1 // this host may act
 	RightLost                                // this host may not act; there is no host to hand over to
-	HandoffNeeded                            // this host may not act; call HandOver with the shard's state
+	HandoffNeeded                            // this host may not act; call HandOff with the shard's state
 	StateReceived                            // the previous owner has handed over its state
 )
 
@@ -45,9 +45,9 @@
 type RightChange struct {
 	Shard core.Shard
 	Kind  RightChangeKind
-	Host  core.HostID // of Departing: the new owner; of State: the sender
+	Host  core.HostID // of HandoffNeeded: the new owner; of StateReceived: the sender
 	View  uint64
-	State []byte // of State
+	State []byte // of StateReceived
 }
 
 // SetShards sets the shards that exist. The owner of a new one may act once the
@@ -158,7 +158,7 @@
 //
 // Invariant: predecessorStopped is set only if the previous owner has certainly
 // stopped. Here that means that it owned the shard in every view that a live
-// host may act under, and is dead; claim sets it after a handoff.
+// host may act under, and was removed; claim sets it after a handoff.
 func (m *Machine) applyVersionToShard(now core.Instant, s *shard, version uint64, joined, inactive, removed []core.HostID) {
 	previous, soleOwner, acted := s.owner, s.ownerSince <= m.lowestApplied, m.mayAct(now, s)
 	if slices.Contains(inactive, s.owner) {
