--- a/internal/core/placement/entry.go
+++ b/internal/core/placement/entry.go
@@ -90,7 +90,7 @@
 	}
 }
 
-func (m *Machine) ask(a PlacementRequest) {
+func (m *Machine) addRequest(a PlacementRequest) {
 	if old := m.entry.requests[a.Request]; old != nil {
 		m.withdraw(old, TicketEnd{NotReached: true})
 	}
@@ -173,7 +173,7 @@
 }
 
 // receiveTicketReply handles an owner's answer. A ticket that matches no open
-// ticket request is late: it is returned at once, unless the request may be
+// ticket request is late: it is returned immediately, unless the request may be
 // running on it.
 func (m *Machine) receiveTicketReply(from core.HostID, a TicketReplyMessage) {
 	r := m.entry.requests[a.Request]
--- a/internal/core/placement/loader.go
+++ b/internal/core/placement/loader.go
@@ -49,7 +49,7 @@
 	// settings allow.
 	assumedInFlight int
 	assumedUntil    core.Instant
-	lastQuery       core.Instant         // when members were last asked what they load
+	lastQuery       core.Instant         // when members were last queried for their loads
 	reported        map[core.HostID]bool // members that reported what they load
 	inFlight        map[uint64]*inFlightLoad
 	candidates      map[core.AdapterRef]*loadCandidate
@@ -137,7 +137,7 @@
 	}
 }
 
-func (m *Machine) receiveLoading(from core.HostID, msg LoadReportMessage) {
+func (m *Machine) receiveLoadReport(from core.HostID, msg LoadReportMessage) {
 	if msg.Query {
 		m.sendLoads(from)
 		return
--- a/internal/core/placement/loadrequest.go
+++ b/internal/core/placement/loadrequest.go
@@ -66,7 +66,7 @@
 	m.send(loader, Message{LoadRequest: &msg})
 }
 
-// sweepLoadRequests repeats load requests; a new loader gets them at once.
+// sweepLoadRequests repeats load requests; a new loader receives them immediately.
 func (m *Machine) sweepLoadRequests() {
 	loader, _ := m.ownership.Owner(LoaderShard)
 	moved := loader != m.entry.lastLoader
--- a/internal/core/placement/machine.go
+++ b/internal/core/placement/machine.go
@@ -70,7 +70,7 @@
 // Place places a request on an upstream. The decision comes in this or a later
 // Result. A second call with the same request ID replaces the first.
 func (m *Machine) Place(now core.Instant, own core.Ownership, a PlacementRequest) Result {
-	return m.step(now, own, func() { m.ask(a) })
+	return m.step(now, own, func() { m.addRequest(a) })
 }
 
 // Cancel ends a request whose caller is gone, with or without a ticket.
@@ -201,7 +201,7 @@
 	case msg.LoadDone != nil:
 		m.receiveLoadDone(*msg.LoadDone)
 	case msg.LoadReport != nil:
-		m.receiveLoading(from, *msg.LoadReport)
+		m.receiveLoadReport(from, *msg.LoadReport)
 	case msg.ReplicaRequest != nil:
 		m.receiveReplicaRequest(*msg.ReplicaRequest)
 	}
--- a/internal/core/placement/settings.go
+++ b/internal/core/placement/settings.go
@@ -85,8 +85,8 @@
 
 // StuckBound returns the longest time that a pin outlives both the last message
 // of its entry host and the end of its request at the upstream, given a report
-// every pollEvery.
-func (s Settings) StuckBound(pollEvery time.Duration) time.Duration {
+// every pollInterval.
+func (s Settings) StuckBound(pollInterval time.Duration) time.Duration {
 	s = s.withDefaults()
-	return s.EntryTimeout + s.evictionGuard() + s.MaxReportLag + pollEvery
+	return s.EntryTimeout + s.evictionGuard() + s.MaxReportLag + pollInterval
 }
