--- a/internal/core/dispatch/health/health.go
+++ b/internal/core/dispatch/health/health.go
@@ -51,7 +51,7 @@
 }
 
 // Tracker is the health of one upstream. A caller that filters by it must bound
-// how many upstreams are ejected at once.
+// how many upstreams are ejected at the same time.
 type Tracker struct {
 	settings     Settings
 	failures     int // in a row
--- a/internal/core/dispatch/once/expiry.go
+++ b/internal/core/dispatch/once/expiry.go
@@ -79,7 +79,7 @@
 }
 
 // isCollector reports whether this host deletes expired records. Two collectors at
-// once do no harm: every delete is conditional.
+// the same time are safe: every delete is conditional.
 func isCollector(own core.Ownership) bool {
 	if own == nil {
 		return false
--- a/internal/core/dispatch/once/once.go
+++ b/internal/core/dispatch/once/once.go
@@ -88,7 +88,7 @@
 	key       string
 	token     string
 	step      step
-	version   uint64 // of the record, once it is known to be this entry's
+	version   uint64 // of the record, once a result has shown that it is this entry's
 	attempts  int
 	cancelled bool
 	dropped   bool
--- a/internal/core/dispatch/once/steps.go
+++ b/internal/core/dispatch/once/steps.go
@@ -112,7 +112,7 @@
 	return true
 }
 
-// confirmOwn proceeds once the record is known to carry this entry's token.
+// confirmOwn proceeds after the record was found to carry this entry's token.
 func (m *Machine) confirmOwn(now core.Instant, e *entry, version uint64) {
 	e.version = version
 	if e.cancelled {
--- a/internal/core/dispatch/pick/filter_ejected.go
+++ b/internal/core/dispatch/pick/filter_ejected.go
@@ -4,7 +4,7 @@
 
 // NotEjected drops upstreams that are ejected for their health. The code
 // that builds the candidates must bound the fraction of a pool that is ejected at
-// once.
+// the same time.
 type NotEjected struct{}
 
 // Name implements Filter.
--- a/internal/core/dispatch/pick/pick.go
+++ b/internal/core/dispatch/pick/pick.go
@@ -16,12 +16,12 @@
 	Avoid      []core.UpstreamID // upstreams on which the request has failed
 }
 
-// Candidate is one upstream as known to the choosing host.
+// Candidate is one upstream in the choosing host's view.
 type Candidate struct {
 	Upstream        core.UpstreamID
 	Domain          core.Domain
 	Load            int     // requests running and waiting, including this host's in flight
-	Batch           int     // requests it can run at once
+	Batch           int     // maximum number of running requests
 	SlowStartWeight float64 // slow start: fraction of a full load that it may get, in (0, 1]
 	Ejected         bool    // ejected for its health
 	Leaving         bool    // accepts no new work
--- a/internal/core/dispatch/pick/picker_two.go
+++ b/internal/core/dispatch/pick/picker_two.go
@@ -3,7 +3,7 @@
 import "gentiancroft/internal/core"
 
 // twoChoices returns the better of two random candidates, so that hosts with the
-// same stale view don't all choose the one that looks idlest.
+// same stale view don't all choose the one with the lowest published load.
 func twoChoices(all []Candidate, rng *core.Rand, score func(*Candidate) float64) (int, string) {
 	if len(all) == 1 {
 		return 0, "only_one"
--- a/internal/core/dispatch/retry/budget.go
+++ b/internal/core/dispatch/retry/budget.go
@@ -32,7 +32,7 @@
 	accruedAt core.Instant // time of the last accrual
 }
 
-// NewBudget returns a budget with one second's worth of its floor.
+// NewBudget returns a budget that holds MinPerSecond retries.
 func NewBudget(s Settings) *Budget {
 	s = s.withDefaults()
 	return &Budget{settings: s, balance: s.MinPerSecond}
--- a/internal/core/dispatch/suspect/entry.go
+++ b/internal/core/dispatch/suspect/entry.go
@@ -7,11 +7,11 @@
 	"gentiancroft/internal/core"
 )
 
-// maxHomesAsked is the number of homes that an entry host asks before it decides
-// without one.
-const maxHomesAsked = 2
+// maxHomesTried is the number of homes that an entry host sends a claim to before
+// it decides without a verdict.
+const maxHomesTried = 2
 
-// sendClaim sends a claim to a home that has not been asked yet. The previous one
+// sendClaim sends a claim to a home that has not received it yet. The previous home
 // did not answer in time and is marked unresponsive.
 func (m *Machine) sendClaim(now core.Instant, c *claim) {
 	if c.isolated {
@@ -23,7 +23,7 @@
 		m.epoch++
 	}
 	home, ok := m.home(now, c.req.Fingerprint)
-	if !ok || c.attempts == maxHomesAsked {
+	if !ok || c.attempts == maxHomesTried {
 		m.decideWithoutHome(now, c)
 		return
 	}
--- a/internal/core/dispatch/suspect/fleet_test.go
+++ b/internal/core/dispatch/suspect/fleet_test.go
@@ -88,7 +88,7 @@
 	f.crashCounts = append(f.crashCounts, r.Publish...)
 	for _, d := range r.Decisions {
 		if d.Revoked {
-			continue // every request was dispatched at once
+			continue // every request was dispatched immediately
 		}
 		if !d.Allowed {
 			f.refused[d.ID] = d.Refusal.Code
--- a/internal/core/dispatch/suspect/home.go
+++ b/internal/core/dispatch/suspect/home.go
@@ -77,7 +77,7 @@
 	}
 	x := run{id: c.ID, entry: from, upstream: c.Upstream, renewedAt: now}
 	if c.Running {
-		r.runs = append(r.runs, x) // it runs already: record it, nothing to decide
+		r.runs = append(r.runs, x) // it is already running: record it without a decision
 		return
 	}
 	if !r.allows(now, c) {
--- a/internal/core/dispatch/suspect/learned.go
+++ b/internal/core/dispatch/suspect/learned.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// crashCountOf returns the crash count of a fingerprint as known at this host, from
-// its own record or from others.
+// crashCountOf returns the crash count of a fingerprint at this host, from its
+// own record or as published by another home.
 func (m *Machine) crashCountOf(now core.Instant, f uint64) int {
 	count := 0
 	if s, ok := m.learned[f]; ok && now.Before(s.until) {
--- a/internal/core/dispatch/suspect/message.go
+++ b/internal/core/dispatch/suspect/message.go
@@ -19,7 +19,7 @@
 	FreeSlot *FreeSlotMessage `cbor:"5,keyasint,omitempty"`
 }
 
-// ClaimMessage asks a fingerprint's home for permission to run.
+// ClaimMessage requests permission to run from a fingerprint's home.
 type ClaimMessage struct {
 	ID          claimID         `cbor:"1,keyasint"`
 	Fingerprint uint64          `cbor:"2,keyasint"`
@@ -49,14 +49,14 @@
 	Age         time.Duration   `cbor:"5,keyasint,omitempty"` // since the claim was made
 }
 
-// IsolateMessage asks the isolation host of an upstream for its slot.
+// IsolateMessage requests the slot of an upstream from its isolation host.
 type IsolateMessage struct {
 	ID       claimID         `cbor:"1,keyasint"`
 	Entry    core.HostID     `cbor:"2,keyasint"` // receives the verdict
 	Upstream core.UpstreamID `cbor:"3,keyasint"`
 }
 
-// FreeSlotMessage gives a slot back, or leaves its queue.
+// FreeSlotMessage releases an isolation slot, or a place in its queue.
 type FreeSlotMessage struct {
 	ID       claimID         `cbor:"1,keyasint"`
 	Upstream core.UpstreamID `cbor:"2,keyasint"`
--- a/internal/core/dispatch/suspect/suspect.go
+++ b/internal/core/dispatch/suspect/suspect.go
@@ -1,4 +1,4 @@
-// Package suspect limits how many upstreams one crashing request can take down.
+// Package suspect limits how many upstreams one crashing request can crash.
 //
 // Every fingerprint of a request has a home host, chosen by rendezvous hashing,
 // so all entry hosts use the same one. Before a dispatch the entry host claims
@@ -10,7 +10,7 @@
 // completes is cleared; one that crashes a second upstream is refused everywhere.
 //
 // Inputs are claims and releases of the local host, messages, the membership and
-// ticks. Sending, spreading the counts, dispatching and detecting crashes are
+// ticks. Sending, publishing the counts, dispatching and detecting crashes are
 // left to the caller.
 package suspect
 
@@ -22,7 +22,7 @@
 	"gentiancroft/internal/core"
 )
 
-// MaxCrashes is the number of upstreams that one crashing request may take down.
+// MaxCrashes is the number of upstreams that one crashing request may crash.
 const MaxCrashes = 2
 
 // Bounds on what one host keeps.
@@ -40,7 +40,7 @@
 	clearedTTL            = 10 * time.Minute       // how long a fingerprint counts as harmless after it completed
 	claimTTL              = time.Minute            // a claim that is not renewed expires
 	renewInterval         = 20 * time.Second       // between renewals of a running request's claim
-	claimTimeout          = 250 * time.Millisecond // before the second home is asked
+	claimTimeout          = 250 * time.Millisecond // before the claim is sent to the second home
 	unresponsiveTTL       = 5 * time.Second        // how long a home that did not answer is skipped
 	isolationTimeout      = 20 * time.Second       // how long a suspect waits for its slot
 	secondUpstreamTimeout = 250 * time.Millisecond // how long a non-suspect waits for a slot on a second upstream
@@ -93,7 +93,7 @@
 type Result struct {
 	core.Output[Message]
 	Decisions []Decision
-	Publish   []CrashCount // to be spread to all hosts by fingerprint; the highest serial wins
+	Publish   []CrashCount // to be published to all hosts by fingerprint; the highest serial wins
 }
 
 // Kinds of rendezvous names: those of fingerprints, for their homes, and those of
@@ -176,7 +176,7 @@
 	return true
 }
 
-// Claim asks for permission to dispatch a request. An earlier claim of the same
+// Claim requests permission to dispatch a request. An earlier claim of the same
 // request is aborted.
 func (m *Machine) Claim(now core.Instant, own core.Ownership, r Request) Result {
 	m.begin(own)
