--- a/internal/core/admission/backlog.go
+++ b/internal/core/admission/backlog.go
@@ -153,7 +153,7 @@
 }
 
 // timeToDrain returns how long the queued tokens of a workspace take at its
-// weight's share; drainWindow if the rate is not known yet, one hour at most.
+// weight's share; drainWindow before a rate was measured, at most one hour.
 func (d *drainMeter) timeToDrain(now core.Instant, queued core.Tokens, totalWeight, weight int64) time.Duration {
 	d.rollWindow(now)
 	if d.rate <= 0 {
--- a/internal/core/admission/doc.go
+++ b/internal/core/admission/doc.go
@@ -1,7 +1,7 @@
 // Package admission decides which waiting request runs next and which one is
 // refused when too many wait.
 //
-// A Queue belongs to one or more upstreams and lives at their owner, so it gets
+// A Queue belongs to one or more upstreams and is kept by their owner, so it holds
 // the requests of all entry hosts: a workspace gains nothing by spreading over
 // them. Capacity is shared in tokens, by weight, among the workspaces that wait
 // (start-time fair queueing), with one virtual clock per priority class.
--- a/internal/core/admission/property_test.go
+++ b/internal/core/admission/property_test.go
@@ -122,7 +122,7 @@
 	_, ok := q.PopUnderShare(3, core.Overnight, anyAdapter)
 	is.True(!ok)
 	q.Push(3, item(0, "small", core.Interactive, 100))
-	q.Pop(core.Instant(3).Add(3*time.Second), anyAdapter) // the drain rate is known from here on
+	q.Pop(core.Instant(3).Add(3*time.Second), anyAdapter) // the drain rate has been measured from here on
 	q.Push(4, item(1, "other", core.Interactive, 1))
 	it, _ := q.Pop(core.Instant(4).Add(3*time.Second), anyAdapter)
 	is.True(it.Workspace != "flood")
