--- a/internal/core/feed/feed.go
+++ b/internal/core/feed/feed.go
@@ -186,15 +186,15 @@
 	case msg.Values != nil:
 		m.receiveValues(now, from, *msg.Values)
 	case msg.ValuesAck != nil:
-		m.receiveGot(now, from, *msg.ValuesAck)
+		m.receiveValuesAck(now, from, *msg.ValuesAck)
 	case msg.BucketSums != nil:
-		m.receiveBuckets(now, from, *msg.BucketSums)
+		m.receiveBucketSums(now, from, *msg.BucketSums)
 	case msg.Digests != nil:
 		m.receiveDigests(now, from, *msg.Digests)
 	case msg.ValuesRequest != nil:
-		m.receiveNeed(now, from, *msg.ValuesRequest)
+		m.receiveValuesRequest(now, from, *msg.ValuesRequest)
 	case msg.ChunkRequest != nil:
-		m.receiveWant(now, from, *msg.ChunkRequest)
+		m.receiveChunkRequest(now, from, *msg.ChunkRequest)
 	case msg.ChunkPart != nil:
 		m.receivePart(now, from, *msg.ChunkPart)
 	}
--- a/internal/core/feed/fetch.go
+++ b/internal/core/feed/fetch.go
@@ -35,7 +35,7 @@
 }
 
 // fetch is a chunk that is being fetched. Waiters are hosts that requested it
-// meanwhile.
+// in that time.
 type fetch struct {
 	hash        string
 	data        []byte
@@ -154,8 +154,8 @@
 	return hosts[(request-1)%len(hosts)], true
 }
 
-// receiveWant sends part of a chunk, or records who is waiting for it.
-func (m *Machine) receiveWant(_ core.Instant, from core.HostID, w ChunkRequest) {
+// receiveChunkRequest sends part of a chunk, or records who is waiting for it.
+func (m *Machine) receiveChunkRequest(_ core.Instant, from core.HostID, w ChunkRequest) {
 	if data := m.conf.chunks[w.Hash]; data != nil {
 		m.sendPart(from, w.Hash, data, w.Offset)
 		return
--- a/internal/core/feed/freshness.go
+++ b/internal/core/feed/freshness.go
@@ -37,7 +37,7 @@
 	m.updateFreshness()
 }
 
-// updateFreshness advances currentAsOf if the newest known version is in force.
+// updateFreshness advances currentAsOf if the newest version on record is in force.
 func (m *Machine) updateFreshness() {
 	f := &m.freshness
 	if f.known && m.conf.inForce.Version >= f.version {
--- a/internal/core/feed/link.go
+++ b/internal/core/feed/link.go
@@ -96,7 +96,7 @@
 }
 
 // mark records that a key has changed. Keys of the configuration and of status
-// are sent first and at once.
+// are sent first, without waiting for the flush interval.
 func (l *link) mark(now core.Instant, k Key) {
 	if l.dirty[k] {
 		return
@@ -115,7 +115,7 @@
 }
 
 // flush sends the newest values of changed keys if no message is in flight. An
-// unacknowledged message is given up after the resend interval; its keys count
+// unacknowledged message is abandoned after the resend interval; its keys count
 // as changed again.
 func (m *Machine) flush(now core.Instant, l *link) {
 	if l.inFlight != nil {
@@ -180,8 +180,8 @@
 	m.out.Send(from, Message{ValuesAck: &ValuesAck{Seq: v.Seq}})
 }
 
-// receiveGot handles the acknowledgement of the message in flight.
-func (m *Machine) receiveGot(_ core.Instant, from core.HostID, g ValuesAck) {
+// receiveValuesAck handles the acknowledgement of the message in flight.
+func (m *Machine) receiveValuesAck(_ core.Instant, from core.HostID, g ValuesAck) {
 	if l := m.findLink(from); l != nil && g.Seq == l.seq {
 		l.inFlight, l.resends = nil, 0
 	}
--- a/internal/core/feed/messages.go
+++ b/internal/core/feed/messages.go
@@ -26,9 +26,9 @@
 	ConfigVersion uint64 `cbor:"3,keyasint,omitempty"` // newest configuration that the sender has received a head of
 }
 
-// Pong answers a Ping. Age before it was sent, Version was the newest
-// configuration; Known is false if the sender has never learned which is the
-// newest.
+// Pong answers a Ping. NewestVersion was the newest configuration as of
+// VersionAge before the Pong was sent; VersionKnown is false if the sender has
+// never determined the newest version.
 type Pong struct {
 	Echo          int64         `cbor:"1,keyasint"`
 	Sum           uint64        `cbor:"2,keyasint"`
--- a/internal/core/feed/repair.go
+++ b/internal/core/feed/repair.go
@@ -88,8 +88,8 @@
 	m.out.Send(l.host, Message{BucketSums: &BucketSums{Sums: slices.Clone(m.bucketSums[:])}})
 }
 
-// receiveBuckets answers with the keys and stamps in the buckets that differ.
-func (m *Machine) receiveBuckets(_ core.Instant, from core.HostID, b BucketSums) {
+// receiveBucketSums answers with the keys and stamps in the buckets that differ.
+func (m *Machine) receiveBucketSums(_ core.Instant, from core.HostID, b BucketSums) {
 	if len(b.Sums) != bucketCount {
 		return
 	}
@@ -154,19 +154,19 @@
 	}
 }
 
-// receiveNeed marks the requested values as changed on the link to the sender.
-func (m *Machine) receiveNeed(now core.Instant, from core.HostID, n ValuesRequest) {
+// receiveValuesRequest marks the requested values as changed on the link to the sender.
+func (m *Machine) receiveValuesRequest(now core.Instant, from core.HostID, n ValuesRequest) {
 	l := m.findLink(from)
 	if l == nil {
 		return
 	}
-	wanted := make(map[uint64]bool, len(n.IDs))
+	requested := make(map[uint64]bool, len(n.IDs))
 	for _, id := range n.IDs {
-		wanted[id] = true
+		requested[id] = true
 	}
 	const allBuckets = ^uint64(0)
 	for _, v := range m.valuesIn(allBuckets) {
-		if wanted[v.keyHash] {
+		if requested[v.keyHash] {
 			l.mark(now, v.entry.Key)
 		}
 	}
