--- a/internal/core/config/chunks.go
+++ b/internal/core/config/chunks.go
@@ -28,7 +28,7 @@
 }()
 
 // Encode splits a document into content-addressed chunks, returned by hash. The
-// caller fills in the head's Version, By, At and Token. Entries are assigned to
+// caller fills in the head's Version, By, At and WriteID. Entries are assigned to
 // chunks by a hash of their identity, so a change of one entry changes one chunk.
 // A chunk over MaxChunkBytes is an error.
 func Encode(d *Document) (Head, map[string][]byte, error) {
--- a/internal/core/config/document.go
+++ b/internal/core/config/document.go
@@ -87,8 +87,8 @@
 	Address string          `yaml:"address" json:"address" cbor:"4,keyasint"` // ip:port
 	Domain  core.Domain     `yaml:"domain" json:"domain" cbor:"5,keyasint"`
 	Base    core.BaseModel  `yaml:"base,omitempty" json:"base,omitempty" cbor:"6,keyasint,omitempty"`
-	Slots   int             `yaml:"slots,omitempty" json:"slots,omitempty" cbor:"7,keyasint,omitempty"`                   // adapters loaded at once
-	Batch   int             `yaml:"batch" json:"batch" cbor:"8,keyasint"`                                                 // requests run at once
+	Slots   int             `yaml:"slots,omitempty" json:"slots,omitempty" cbor:"7,keyasint,omitempty"`                   // maximum number of loaded adapters
+	Batch   int             `yaml:"batch" json:"batch" cbor:"8,keyasint"`                                                 // maximum number of running requests
 	Fencing bool            `yaml:"checks_fencing,omitempty" json:"checks_fencing,omitempty" cbor:"9,keyasint,omitempty"` // it rejects orders with an outdated fencing number
 	Leaving bool            `yaml:"leaving,omitempty" json:"leaving,omitempty" cbor:"10,keyasint,omitempty"`              // it gets no new work
 }
--- a/internal/core/config/parse.go
+++ b/internal/core/config/parse.go
@@ -9,8 +9,8 @@
 
 const maxDocumentBytes = 32 << 20
 
-// listItem is one entry of a list. It keeps its own error, so that all bad entries of
-// a document are reported at once.
+// listItem is one entry of a list. It keeps its own error, so that all invalid entries
+// of a document are reported together.
 type listItem[T any] struct {
 	value T
 	err   error
