--- a/internal/settings/units.go
+++ b/internal/settings/units.go
@@ -10,8 +10,8 @@
 // Duration is a positive length of time with its unit, such as 250ms or 1h30m, or "".
 type Duration string
 
-// Value returns the duration, 0 if it is empty. Decode rejects invalid ones; for them
-// Value is undefined.
+// Value returns the duration, 0 if it is empty. For an invalid one, which Decode rejects,
+// the result is undefined.
 func (d Duration) Value() time.Duration {
 	v, _ := parseDuration(string(d))
 	return v
