--- a/internal/admin/apply.go
+++ b/internal/admin/apply.go
@@ -18,8 +18,8 @@
 }
 
 // Apply makes a plan the accepted configuration and returns its head. A plan
-// without changes returns the head that it was made from. After an InDoubt error
-// the change may have been accepted; after any other error it was not.
+// without changes returns the head that it was made from. After a
+// ResultUnknown error the change may have been accepted; after any other error it was not.
 //
 // The audit record is written first, so that every accepted change has one;
 // History skips the records of changes that were not accepted. The chunks are
@@ -58,7 +58,7 @@
 	return h, nil
 }
 
-// deleteRecord deletes the record of a change that is known not to be accepted.
+// deleteRecord deletes the record of a change that was certainly not accepted.
 func (s *Service) deleteRecord(ctx context.Context, r Record) {
 	s.api.Do(ctx, core.ObjectCall{Op: core.ObjectDelete, Key: r.key()})
 }
--- a/internal/admin/audit.go
+++ b/internal/admin/audit.go
@@ -153,7 +153,7 @@
 	return out, nil
 }
 
-// pruneRecords deletes the page of records that exceeds KeepVersions. It also
+// pruneRecords deletes the page of records that exceeds AuditRetention. It also
 // deletes the page before that one, in case its pruning failed. It is best
 // effort.
 func (s *Service) pruneRecords(ctx context.Context, version uint64) {
--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -195,7 +195,7 @@
 }
 
 // store creates an object, or rewrites it if it exists: its version must become
-// newer than the base's head, so that Collect does not delete it.
+// newer than the base's head, so that CollectChunks does not delete it.
 func (s *Service) store(ctx context.Context, key string, value []byte) error {
 	for range maxAttempts {
 		r := s.callWithRetry(ctx, core.ObjectCall{Op: core.ObjectCreate, Key: key, Value: value})
@@ -206,7 +206,7 @@
 		case core.ObjectOK:
 			return nil
 		case core.ObjectNotFound, core.ObjectConflict:
-			continue // deleted by Collect, or written by another operator: retry
+			continue // deleted by CollectChunks, or written by another operator: retry
 		}
 		return Unavailable.New("the object API did not store %s", key)
 	}
