--- a/internal/console/change.go
+++ b/internal/console/change.go
@@ -18,7 +18,7 @@
 	opRemove = "remove"
 )
 
-// formEdit is the change that a posted form asks for.
+// formEdit is the change that a posted form describes.
 type formEdit struct {
 	section       *section
 	values        formValues
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,5 +1,5 @@
-// Package hangup wraps callers' connections to detect at once that a caller hangs up while
-// its request is served. What follows from a hang-up is left to the callback.
+// Package hangup wraps callers' connections to detect immediately that a caller hangs up
+// while its request is served. Reacting to a hang-up is left to the callback.
 package hangup
 
 import (
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -32,7 +32,7 @@
 	is.Equal(err, io.EOF)
 	called := false
 	c.Watch(func() { called = true })
-	is.True(called) // a watch that starts after the hang-up calls back at once
+	is.True(called) // a watch that starts after the hang-up calls back immediately
 }
 
 func TestInterleavedWatchesAndReadsLoseNoBytes(t *testing.T) {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -164,7 +164,7 @@
 		select {
 		case line := <-s.queue:
 			if s.write(line) != nil {
-				return // the reader is gone
+				return // the reader has closed its end
 			}
 		default:
 			return
--- a/internal/supervise/tree.go
+++ b/internal/supervise/tree.go
@@ -94,7 +94,7 @@
 // Serve runs the tree until ctx ends.
 func (t *Tree) Serve(ctx context.Context) error { return t.root.Serve(ctx) }
 
-// ServeBackground runs the tree until ctx ends. The channel gets the result.
+// ServeBackground runs the tree until ctx ends. The channel receives the result.
 func (t *Tree) ServeBackground(ctx context.Context) <-chan error { return t.root.ServeBackground(ctx) }
 
 // service adapts a worker's function to suture.Service.
