--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,8 +15,8 @@
 	"gentiancroft/internal/upstream"
 )
 
-// EngineSettings configure an emulated engine. Slots, Batch and Prefixes have
-// defaults that replace zero; a zero duration means no delay.
+// EngineSettings configure an emulated engine. AdapterSlots, BatchSize and
+// PrefixCacheSize have defaults that replace zero; a zero duration means no delay.
 type EngineSettings struct {
 	Name              string
 	LoadTime          time.Duration // of one adapter load; used if Weights is nil
@@ -28,7 +28,7 @@
 	PrefixCacheSize   int           // maximum number of cached prompt prefixes
 	ReportLag         time.Duration // maximum age of a load report
 	EventDelay        time.Duration // delay of cache events
-	LostEventInterval int           // every EventGap-th cache event is lost; 0: none
+	LostEventInterval int           // every LostEventInterval-th cache event is lost; 0: none
 	RestartTime       time.Duration // time for which a crashed engine drops connections
 	CheckFence        bool          // rejects load and unload orders with an outdated fencing number
 	PoisonPrompt      string        // a prompt that contains it crashes the engine; "": none
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -21,7 +21,7 @@
 	Leaving      bool    `json:"leaving"`     // load reports say that the upstream is leaving
 }
 
-// slowed returns d multiplied by Slow.
+// slowed returns d multiplied by SlowFactor, or d if SlowFactor is not positive.
 func (f Faults) slowed(d time.Duration) time.Duration {
 	if f.SlowFactor <= 0 {
 		return d
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet runs emulators in one process: the platform, engines and plain
 // services, each at its own address, and the weight store that the engines
-// share. The settings say which; the behaviour is that of the packages standin
-// and standin/platform.
+// share. The settings select them; their behaviour is defined by the packages
+// standin and standin/platform.
 package fleet
 
 import (
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -93,7 +93,7 @@
 	return total
 }
 
-// Do carries out one call at once; a watch returns what is newer now and does
+// Do carries out one call without delay; a watch returns what is newer now and does
 // not wait. A value over MaxValueBytes gives ObjectUnavailable.
 func (s *Store) Do(c core.ObjectCall) core.ObjectResult {
 	s.mu.Lock()
--- a/internal/standin/prefix.go
+++ b/internal/standin/prefix.go
@@ -22,18 +22,18 @@
 // prefixCache is an engine's LRU cache of prompt prefixes, with the events that
 // it publishes.
 type prefixCache struct {
-	mu         sync.Mutex
-	capacity   int
-	entries    map[string]*list.Element
-	recency    *list.List // of *CacheEvent, most recently used first
-	events     []CacheEvent
-	lastNumber int
-	eventDelay time.Duration // age at which an event is published
-	eventGap   int           // every eventGap-th event is lost; 0: none
+	mu                sync.Mutex
+	capacity          int
+	entries           map[string]*list.Element
+	recency           *list.List // of *CacheEvent, most recently used first
+	events            []CacheEvent
+	lastNumber        int
+	eventDelay        time.Duration // age at which an event is published
+	lostEventInterval int           // every lostEventInterval-th event is lost; 0: none
 }
 
-func newPrefixCache(size int, delay time.Duration, gap int) *prefixCache {
-	return &prefixCache{capacity: size, entries: map[string]*list.Element{}, recency: list.New(), eventDelay: delay, eventGap: gap}
+func newPrefixCache(size int, delay time.Duration, lostEventInterval int) *prefixCache {
+	return &prefixCache{capacity: size, entries: map[string]*list.Element{}, recency: list.New(), eventDelay: delay, lostEventInterval: lostEventInterval}
 }
 
 // lookupOrInsert reports whether the prompt's prefix was cached. If not, it
@@ -61,12 +61,12 @@
 	return false
 }
 
-// appendEvent appends an event, except for every eventGap-th, which is lost.
+// appendEvent appends an event, except for every lostEventInterval-th, which is lost.
 // The caller holds mu.
 func (p *prefixCache) appendEvent(adapter, head string, stored bool) {
 	const maxEvents = 4096
 	p.lastNumber++
-	if p.eventGap > 0 && p.lastNumber%p.eventGap == 0 {
+	if p.lostEventInterval > 0 && p.lastNumber%p.lostEventInterval == 0 {
 		return
 	}
 	p.events = append(p.events, CacheEvent{Number: p.lastNumber, Adapter: adapter, Prefix: head, Stored: stored, at: time.Now()})
@@ -91,7 +91,7 @@
 }
 
 // clear empties the cache, as a restart does. Events that are not published yet
-// stay.
+// are kept.
 func (p *prefixCache) clear() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -19,11 +19,11 @@
 	LoadTime       time.Duration // of one adapter at full speed
 	FullSpeedLoads int           // concurrent loads at full speed; more slow each other down; 0: unlimited
 	LoadsPerSecond float64       // loads per second; loads over the rate are refused; 0: unlimited
-	LoadBurst      int           // loads that may start at once within the rate; 0: 1
+	LoadBurst      int           // maximum burst of loads within the rate; 0: 1
 }
 
 // WeightStore emulates the store from which all engines of a deployment load
-// adapter weights. It limits the rate of loads by a token bucket.
+// adapter weights. A token bucket limits the rate of loads.
 type WeightStore struct {
 	settings WeightSettings
 
@@ -44,9 +44,9 @@
 	return &WeightStore{settings: s, tokens: float64(s.LoadBurst), refilledAt: time.Now()}
 }
 
-// Load waits for the duration of one load. With more than Transit concurrent
-// loads it takes proportionally longer. It returns a StoreError if the load is
-// over the rate or ctx is done.
+// Load waits for the duration of one load. With more than FullSpeedLoads
+// concurrent loads it takes proportionally longer. It returns a WeightStoreError
+// if the load is over the rate or ctx is done.
 func (w *WeightStore) Load(ctx context.Context) error {
 	duration, err := w.startLoad()
 	if err != nil {
