--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// readEvents reads a stream to its end and notes whether it ended with [DONE]
+// readEvents reads a stream to its end and records whether it ended with [DONE]
 // or an error event.
 func (r *reply) readEvents(body io.Reader, started time.Time, onToken func(int)) error {
 	lines := bufio.NewScanner(body)
@@ -116,7 +116,7 @@
 	return lines.Err()
 }
 
-// fetchEntries asks a host for the addresses of hosts, those in the given
+// fetchEntries fetches the addresses of hosts from a host, those in the given
 // failure domain first. It returns them with the seconds for which they may be
 // cached.
 func fetchEntries(address string, ws core.WorkspaceID, domain core.Domain) ([]string, float64, error) {
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -69,8 +69,8 @@
 	servers   []*http.Server
 }
 
-// entryHost is one running host; cancel stops it at once, and runError gets the
-// result of Run.
+// entryHost is one running host; cancel stops it without a graceful shutdown,
+// and runError receives the result of Run.
 type entryHost struct {
 	*wiring.ServeHost
 	domain   core.Domain
@@ -285,13 +285,13 @@
 }
 
 // waitUntil polls until condition returns true. It fails after the timeout or
-// when ctx is done; what describes the condition in the error.
-func waitUntil(ctx context.Context, timeout time.Duration, what string, condition func() bool) error {
+// when ctx is done; description names the condition in the error.
+func waitUntil(ctx context.Context, timeout time.Duration, description string, condition func() bool) error {
 	const pollInterval = 20 * time.Millisecond
 	end := time.Now().Add(timeout)
 	for !condition() {
 		if time.Now().After(end) {
-			return Failed.New("condition not met within %v: %s", timeout, what)
+			return Failed.New("condition not met within %v: %s", timeout, description)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -78,8 +78,8 @@
 	return s
 }
 
-// attempt sends the request to the hosts in order. It goes on to the next host
-// only if it could not connect to one.
+// attempt sends the request to the hosts in order. It tries the next host
+// only if it could not connect to the previous one.
 func (c *loadClient) attempt(ctx context.Context, p plan, due time.Time) sample {
 	for _, address := range c.targets(ctx, p.key) {
 		a, err := c.client.Do(ctx, c.newCall(address, p))
@@ -192,7 +192,7 @@
 	return e.Error.Code
 }
 
-// targets returns the hosts to send to, the best first: with Follow those of
+// targets returns the hosts to send to, the best first: with UseEntries those of
 // GET /v1/entries, if any host answers it.
 func (c *loadClient) targets(ctx context.Context, key string) []string {
 	if !c.options.UseEntries {
@@ -240,7 +240,7 @@
 }
 
 // expireEntries expires a cached answer that lists a host which could not be
-// reached. Its addresses are still used to ask for a new one.
+// reached. Its addresses are still used to fetch a new answer.
 func (c *loadClient) expireEntries(key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -58,10 +58,10 @@
 	_ = r.total.RecordValue(s.total.Microseconds())
 }
 
-func (r *Result) setElapsed(took time.Duration) {
+func (r *Result) setElapsed(elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.elapsed = took
+	r.elapsed = elapsed
 }
 
 // RequestCount returns the number of requests offered.
