--- a/internal/core/limit/holder_list.go
+++ b/internal/core/limit/holder_list.go
@@ -160,12 +160,12 @@
 }
 
 // adopt takes over the entries and the pool of an older ledger.
-func (led *ledger) adopt(now core.Instant, f *ledger) {
-	led.entries, led.lastSeq, led.priorFence = f.entries, f.lastSeq, f.fence
-	f.pool.advance(now)
-	led.pool = f.pool
-	led.withheld, led.notRestated, led.withheldUntil = f.withheld, f.notRestated, f.withheldUntil
-	led.ownRate, led.ownBurst = f.ownRate, f.ownBurst
+func (led *ledger) adopt(now core.Instant, previous *ledger) {
+	led.entries, led.lastSeq, led.priorFence = previous.entries, previous.lastSeq, previous.fence
+	previous.pool.advance(now)
+	led.pool = previous.pool
+	led.withheld, led.notRestated, led.withheldUntil = previous.withheld, previous.notRestated, previous.withheldUntil
+	led.ownRate, led.ownBurst = previous.ownRate, previous.ownBurst
 }
 
 // onListWritten opens the ledger, or permits shares for the listed hosts: the stored
--- a/internal/core/limit/ledger.go
+++ b/internal/core/limit/ledger.go
@@ -238,27 +238,27 @@
 }
 
 // onShareRequest records what a holder states and answers with its share.
-func (m *Machine) onShareRequest(now core.Instant, own core.Ownership, from core.HostID, a ShareRequest, r *Result) {
-	led := m.openLedger(now, own, a.Workspace, r)
-	if led == nil || a.Fence > led.fence {
+func (m *Machine) onShareRequest(now core.Instant, own core.Ownership, from core.HostID, req ShareRequest, r *Result) {
+	led := m.openLedger(now, own, req.Workspace, r)
+	if led == nil || req.Fence > led.fence {
 		return
 	}
-	if a.Fence < led.fence && (a.Fence == 0 || a.Fence != led.priorFence) {
+	if req.Fence < led.fence && (req.Fence == 0 || req.Fence != led.priorFence) {
 		m.requestState(led, []core.HostID{from}, r) // the holder must first promise this ledger's fencing number
 		return
 	}
 	restated := led.markRestated(from)
-	e := m.recordRequest(now, led, from, a, restated)
+	e := m.recordRequest(now, led, from, req, restated)
 	if e == nil {
 		m.addToList(own, led, from, r)
-		m.sendEmptyShare(led, from, a, r)
+		m.sendEmptyShare(led, from, req, r)
 		return
 	}
-	if a.Acknowledgement {
+	if req.Acknowledgement {
 		return
 	}
 	m.assignShare(now, led, e)
-	m.sendShare(now, own, led, e, a.Sent, r)
+	m.sendShare(now, own, led, e, req.Sent, r)
 }
 
 // markRestated records that a host restated its share, and reports whether that was
@@ -273,42 +273,42 @@
 // if the host is not listed yet and must not be granted anything. For a host without
 // an entry the stated share counts only if its restatement was awaited; otherwise
 // that share has expired and the request is late.
-func (m *Machine) recordRequest(now core.Instant, led *ledger, from core.HostID, a ShareRequest, restated bool) *entry {
+func (m *Machine) recordRequest(now core.Instant, led *ledger, from core.HostID, req ShareRequest, restated bool) *entry {
 	e := led.entry(from)
 	if e == nil {
 		if _, ok := slices.BinarySearch(led.listed, from); !ok {
 			return nil
 		}
 		e = led.addEntry(from)
-		e.seq = a.Applied
-		led.lastSeq = max(led.lastSeq, a.Applied)
+		e.seq = req.Applied
+		led.lastSeq = max(led.lastSeq, req.Applied)
 		if restated && led.withheld {
-			e.rate, e.burst = microtokenRate(max(a.Rate, 0)), nanotokens(max(a.Burst, 0))
+			e.rate, e.burst = microtokenRate(max(req.Rate, 0)), nanotokens(max(req.Burst, 0))
 		}
 		e.targetRate, e.targetBurst = e.rate, e.burst
 		e.expires = now.Add(extendedByDrift(m.settings.ShareTTL, m.settings.DriftPPM))
 		led.updatePool(now)
 	}
-	led.confirm(now, e, a)
-	e.level, e.statedAt = min(nanotokens(a.Level), e.burst), now
-	e.demand, e.largest, e.unresponsive = a.Demand, a.Largest, false
+	led.confirm(now, e, req)
+	e.level, e.statedAt = min(nanotokens(req.Level), e.burst), now
+	e.demand, e.largest, e.unresponsive = req.Demand, req.Largest, false
 	return e
 }
 
 // confirm lowers an entry to what its holder states once the holder has applied the
 // last share, and adds the level released with that share to the pool.
-func (led *ledger) confirm(now core.Instant, e *entry, a ShareRequest) {
-	if a.Applied != e.seq {
+func (led *ledger) confirm(now core.Instant, e *entry, req ShareRequest) {
+	if req.Applied != e.seq {
 		return
 	}
-	rate, burst := min(e.rate, microtokenRate(max(a.Rate, 0))), min(e.burst, nanotokens(max(a.Burst, 0)))
+	rate, burst := min(e.rate, microtokenRate(max(req.Rate, 0))), min(e.burst, nanotokens(max(req.Burst, 0)))
 	freed := e.burst - burst
 	e.rate, e.burst = rate, burst
 	led.updatePool(now)
-	level := max(nanotokens(a.Returned), 0)
+	level := max(nanotokens(req.Returned), 0)
 	if e.unacknowledged {
 		e.unacknowledged = false
-		level += max(nanotokens(a.Released), 0)
+		level += max(nanotokens(req.Released), 0)
 	}
 	led.pool.level = min(led.pool.level+min(level, freed), led.pool.maxLevel())
 	led.pool.sampleRoom()
@@ -332,9 +332,9 @@
 }
 
 // sendEmptyShare answers a host that holds nothing and is granted nothing.
-func (m *Machine) sendEmptyShare(led *ledger, to core.HostID, a ShareRequest, r *Result) {
+func (m *Machine) sendEmptyShare(led *ledger, to core.HostID, req ShareRequest, r *Result) {
 	r.Send(to, Message{Share: &Share{
-		Workspace: led.workspace, Fence: led.fence, Seq: a.Applied, TotalRate: led.limit.Rate,
-		TotalBurst: led.limit.Burst, Echo: a.Sent, Term: m.settings.ShareTTL,
+		Workspace: led.workspace, Fence: led.fence, Seq: req.Applied, TotalRate: led.limit.Rate,
+		TotalBurst: led.limit.Burst, Echo: req.Sent, Term: m.settings.ShareTTL,
 	}})
 }
--- a/internal/core/limit/loan.go
+++ b/internal/core/limit/loan.go
@@ -11,7 +11,7 @@
 	workspace  core.WorkspaceID
 	tokens     core.Tokens
 	expires    core.Instant
-	askedHost  core.HostID
+	lender     core.HostID
 	ownerTried bool // the loan was requested from the owner after another host refused
 	resent     bool // the loan request was repeated, as a message may have been lost
 	abandoned  bool // refused or cancelled: a loan that still comes is returned
@@ -56,7 +56,7 @@
 		m.refuse(r, id, core.CodeOverloaded, time.Second, "too many requests wait for their limit")
 		return
 	}
-	p := &pendingLoan{workspace: ws, tokens: n, expires: now.Add(m.settings.LoanTimeout), askedHost: to}
+	p := &pendingLoan{workspace: ws, tokens: n, expires: now.Add(m.settings.LoanTimeout), lender: to}
 	m.pendingLoans[id] = p
 	m.timers.add(timer{at: now.Add(m.settings.LoanTimeout / resendDivisor), kind: timerPendingLoan, request: id})
 	r.Send(to, Message{LoanRequest: &LoanRequest{Workspace: ws, ID: id, Tokens: n, Entry: m.settings.Self}})
@@ -91,16 +91,16 @@
 // debits n from that estimate; empty if there is none.
 func (led *ledger) bestLender(now core.Instant, n nanotokens, requester core.HostID) core.HostID {
 	var best *entry
-	most := nanotokens(0)
+	bestLevel := nanotokens(0)
 	for _, e := range led.entries {
-		if has := e.estimatedLevel(now); e.host != requester && has >= n && has > most {
-			best, most = e, has
+		if level := e.estimatedLevel(now); e.host != requester && level >= n && level > bestLevel {
+			best, bestLevel = e, level
 		}
 	}
 	if best == nil {
 		return ""
 	}
-	best.level, best.statedAt = most-n, now
+	best.level, best.statedAt = bestLevel-n, now
 	return best.host
 }
 
@@ -295,8 +295,8 @@
 	if h.lastLender == from {
 		h.lastLender = ""
 	}
-	if ok && from != owner && p.askedHost == from && !p.ownerTried && owner != m.settings.Self {
-		p.ownerTried, p.askedHost = true, owner
+	if ok && from != owner && p.lender == from && !p.ownerTried && owner != m.settings.Self {
+		p.ownerTried, p.lender = true, owner
 		r.Send(owner, Message{LoanRequest: &LoanRequest{Workspace: p.workspace, ID: l.ID, Tokens: p.tokens, Entry: m.settings.Self}})
 		return
 	}
@@ -316,9 +316,9 @@
 	p.resent = true
 	m.timers.add(timer{at: p.expires, kind: timerPendingLoan, request: id})
 	if owner, ok := own.Owner(shardOf(p.workspace)); ok && owner != m.settings.Self {
-		p.askedHost = owner
+		p.lender = owner
 	}
-	r.Send(p.askedHost, Message{LoanRequest: &LoanRequest{Workspace: p.workspace, ID: id, Tokens: p.tokens, Entry: m.settings.Self, Repeated: true}})
+	r.Send(p.lender, Message{LoanRequest: &LoanRequest{Workspace: p.workspace, ID: id, Tokens: p.tokens, Entry: m.settings.Self, Repeated: true}})
 }
 
 // onPendingTimer repeats a loan request, and refuses the request if no loan came in
@@ -338,7 +338,7 @@
 	}
 	p.abandoned = true
 	m.timers.add(timer{at: now.Add(abandonedTTL), kind: timerPendingLoan, request: id})
-	if h := m.holders[p.workspace]; h != nil && h.lastLender == p.askedHost {
+	if h := m.holders[p.workspace]; h != nil && h.lastLender == p.lender {
 		h.lastLender = ""
 	}
 	m.stats.LoanTimeouts++
@@ -346,18 +346,18 @@
 }
 
 // onLoanReturn takes the unused part of a loan back, once.
-func (m *Machine) onLoanReturn(now core.Instant, t LoanReturn) {
-	l, ok := m.loans[t.ID]
-	if !ok || l.workspace != t.Workspace {
+func (m *Machine) onLoanReturn(now core.Instant, returned LoanReturn) {
+	l, ok := m.loans[returned.ID]
+	if !ok || l.workspace != returned.Workspace {
 		return
 	}
-	m.endLoanInFlight(now, t.ID)
-	l = m.loans[t.ID]
-	delete(m.loans, t.ID)
-	unused := min(toNanotokens(t.Unused), l.amount)
+	m.endLoanInFlight(now, returned.ID)
+	l = m.loans[returned.ID]
+	delete(m.loans, returned.ID)
+	unused := min(toNanotokens(returned.Unused), l.amount)
 	s := m.sourceBucket(l.workspace, l.fromPool, l.generation)
 	if s == nil {
-		m.stats.LateReturns += t.Unused
+		m.stats.LateReturns += returned.Unused
 		return
 	}
 	s.settle(now, l.mark, unused)
--- a/internal/core/limit/share_holder.go
+++ b/internal/core/limit/share_holder.go
@@ -86,8 +86,8 @@
 	if span < minDemandSpan {
 		return d.rate
 	}
-	lately := core.Tokens(mulDiv(int64(d.tokens), int64(time.Second), int64(span)))
-	d.rate = (d.rate + lately) / 2
+	spanRate := core.Tokens(mulDiv(int64(d.tokens), int64(time.Second), int64(span)))
+	d.rate = (d.rate + spanRate) / 2
 	d.spanStart, d.tokens = now, 0
 	return d.rate
 }
@@ -202,16 +202,16 @@
 }
 
 // onStateRequest promises the fencing number and answers with what this host holds.
-func (m *Machine) onStateRequest(now core.Instant, from core.HostID, c StateRequest, r *Result) {
-	h := m.holderOf(now, c.Workspace)
-	if c.Fence < h.promisedFence {
+func (m *Machine) onStateRequest(now core.Instant, from core.HostID, req StateRequest, r *Result) {
+	h := m.holderOf(now, req.Workspace)
+	if req.Fence < h.promisedFence {
 		return
 	}
-	h.promisedFence = c.Fence
-	a := m.shareRequest(now, c.Workspace, h)
+	h.promisedFence = req.Fence
+	a := m.shareRequest(now, req.Workspace, h)
 	r.Send(from, Message{ShareRequest: &a})
 	h.lastRequest, h.answered = now, false
-	m.rescheduleRequest(now.Add(m.settings.RenewInterval), c.Workspace, h)
+	m.rescheduleRequest(now.Add(m.settings.RenewInterval), req.Workspace, h)
 }
 
 // onShare applies a share: its rate and burst once, its term always.
--- a/internal/core/limit/targets.go
+++ b/internal/core/limit/targets.go
@@ -102,7 +102,7 @@
 		return
 	}
 	rate, burst := m.targetShare(now, led, e)
-	want := rate
+	target := rate
 	rate = min(rate, e.rate+led.pool.rate)
 	burst = min(burst, e.burst+led.pool.maxLevel())
 	if !led.frozen && withinHysteresis(int64(rate), int64(e.rate)) && withinHysteresis(int64(burst), int64(e.burst)) {
@@ -112,7 +112,7 @@
 	led.lastSeq++
 	e.seq, e.unacknowledged, e.addedLevel = led.lastSeq, true, 0
 	e.targetRate, e.targetBurst = rate, burst
-	if want > rate+rate/hysteresis {
+	if target > rate+rate/hysteresis {
 		led.starved = union(led.starved, []core.HostID{e.host})
 	}
 	growRate, growBurst := max(rate-e.rate, 0), max(burst-e.burst, 0)
