--- a/internal/core/placement/entry.go
+++ b/internal/core/placement/entry.go
@@ -90,12 +90,12 @@
 	}
 }
 
-func (m *Machine) addRequest(a PlacementRequest) {
-	if old := m.entry.requests[a.Request]; old != nil {
+func (m *Machine) addRequest(req PlacementRequest) {
+	if old := m.entry.requests[req.Request]; old != nil {
 		m.withdraw(old, TicketEnd{NotReached: true})
 	}
-	r := &request{PlacementRequest: a}
-	m.entry.requests[a.Request] = r
+	r := &request{PlacementRequest: req}
+	m.entry.requests[req.Request] = r
 	m.place(r)
 }
 
@@ -175,59 +175,59 @@
 // receiveTicketReply handles an owner's answer. A ticket that matches no open
 // ticket request is late: it is returned immediately, unless the request may be
 // running on it.
-func (m *Machine) receiveTicketReply(from core.HostID, a TicketReplyMessage) {
-	r := m.entry.requests[a.Request]
-	if a.Kind == ReplyUnknownRequest {
+func (m *Machine) receiveTicketReply(from core.HostID, reply TicketReplyMessage) {
+	r := m.entry.requests[reply.Request]
+	if reply.Kind == ReplyUnknownRequest {
 		if r != nil && r.owner == from && r.state != awaitingLoad {
 			m.sendTicketRequest(r)
 		}
 		return
 	}
-	if r == nil || r.seq != a.Seq || r.state == awaitingLoad {
-		if a.Kind == ReplyTicket && (r == nil || r.state == awaitingLoad || r.upstream != a.Upstream) {
+	if r == nil || r.seq != reply.Seq || r.state == awaitingLoad {
+		if reply.Kind == ReplyTicket && (r == nil || r.state == awaitingLoad || r.upstream != reply.Upstream) {
 			m.trackOwner(from)
-			m.send(from, Message{Release: &ReleaseMessage{Request: a.Request, Seq: a.Seq, Upstream: a.Upstream, End: TicketEnd{NotReached: true}}})
+			m.send(from, Message{Release: &ReleaseMessage{Request: reply.Request, Seq: reply.Seq, Upstream: reply.Upstream, End: TicketEnd{NotReached: true}}})
 		}
 		return
 	}
-	m.updateLoad(a)
-	r.confirmed = r.confirmed || a.Kind == ReplyTicket
+	m.updateLoad(reply)
+	r.confirmed = r.confirmed || reply.Kind == ReplyTicket
 	if r.state == hasTicket {
 		return
 	}
-	switch a.Kind {
+	switch reply.Kind {
 	case ReplyTicket:
-		m.acceptTicket(r, a)
+		m.acceptTicket(r, reply)
 	case ReplyNotOwner:
 		r.rejections++ // the sweep retries with the current owner
 	case ReplyNotLoaded:
 		m.view.markAbsent(r.upstream, r.Adapter)
-		m.placeElsewhere(r, a.Kind)
+		m.placeElsewhere(r, reply.Kind)
 	case ReplyLeaving, ReplyOtherReplica:
-		m.placeElsewhere(r, a.Kind)
+		m.placeElsewhere(r, reply.Kind)
 	case ReplyOverloaded:
 		m.uncount(r)
 		m.refuse(r, core.Refuse(core.CodeOverloaded, retryOverloaded, "too many requests wait for "+string(r.upstream)))
 	}
 }
 
-func (m *Machine) updateLoad(a TicketReplyMessage) {
-	if x := m.view.upstreams[a.Upstream]; x != nil {
-		x.reportedLoad, x.ownAtReport = a.Load, x.ownRequests
+func (m *Machine) updateLoad(reply TicketReplyMessage) {
+	if x := m.view.upstreams[reply.Upstream]; x != nil {
+		x.reportedLoad, x.ownAtReport = reply.Load, x.ownRequests
 	}
 }
 
 // acceptTicket gives a ticket to the caller's request, or requests another if
 // it has already expired.
-func (m *Machine) acceptTicket(r *request, a TicketReplyMessage) {
-	r.validUntil = a.Sent.Add(a.TTL)
+func (m *Machine) acceptTicket(r *request, reply TicketReplyMessage) {
+	r.validUntil = reply.Sent.Add(reply.TTL)
 	if !m.now.Before(r.validUntil) {
 		m.logDecision("ticket.ended", "the ticket expired before it arrived")
 		m.sendTicketRequest(r)
 		return
 	}
 	r.state = hasTicket
-	r.fence = a.Fence
+	r.fence = reply.Fence
 	x := m.view.upstreams[r.upstream]
 	if x == nil {
 		m.withdraw(r, TicketEnd{NotReached: true})
@@ -239,7 +239,7 @@
 		Upstream:      r.upstream,
 		Address:       x.config.Address,
 		Adapter:       r.Adapter,
-		Grant:         core.Grant{Fence: a.Fence, Until: r.validUntil},
+		Grant:         core.Grant{Fence: reply.Fence, Until: r.validUntil},
 		WaitedForLoad: r.waitedForLoad,
 	}})
 }
--- a/internal/core/placement/machine.go
+++ b/internal/core/placement/machine.go
@@ -69,8 +69,8 @@
 
 // Place places a request on an upstream. The decision comes in this or a later
 // Result. A second call with the same request ID replaces the first.
-func (m *Machine) Place(now core.Instant, own core.Ownership, a PlacementRequest) Result {
-	return m.step(now, own, func() { m.addRequest(a) })
+func (m *Machine) Place(now core.Instant, own core.Ownership, req PlacementRequest) Result {
+	return m.step(now, own, func() { m.addRequest(req) })
 }
 
 // Cancel ends a request whose caller is gone, with or without a ticket.
--- a/internal/core/placement/owner.go
+++ b/internal/core/placement/owner.go
@@ -147,51 +147,51 @@
 
 // receiveTicketRequest handles a ticket request or a restatement. Invariant:
 // one pin per request, however often the message arrives.
-func (m *Machine) receiveTicketRequest(from core.HostID, a TicketRequestMessage) {
-	o := m.owned.byID[a.Upstream]
+func (m *Machine) receiveTicketRequest(from core.HostID, req TicketRequestMessage) {
+	o := m.owned.byID[req.Upstream]
 	if o == nil || !m.ownership.Serving(m.now, o.shard) {
-		m.reply(nil, from, &a, ReplyNotOwner)
+		m.reply(nil, from, &req, ReplyNotOwner)
 		return
 	}
-	if p := o.pins[a.Request]; p != nil {
-		if a.Seq < p.seq {
+	if p := o.pins[req.Request]; p != nil {
+		if req.Seq < p.seq {
 			return // late message of an earlier attempt
 		}
-		if a.Seq == p.seq || a.Restated {
-			p.seq, p.lastConfirmed, p.entryLost = a.Seq, m.now, false
-			m.reply(o, from, &a, ReplyTicket)
+		if req.Seq == p.seq || req.Restated {
+			p.seq, p.lastConfirmed, p.entryLost = req.Seq, m.now, false
+			m.reply(o, from, &req, ReplyTicket)
 			return
 		}
-		m.unpin(o, a.Request, TicketEnd{NotReached: true})
+		m.unpin(o, req.Request, TicketEnd{NotReached: true})
 	}
-	if a.Restated {
-		m.pin(o, from, &a, queueItem(from, &a, m.now))
-		m.reply(o, from, &a, ReplyTicket)
+	if req.Restated {
+		m.pin(o, from, &req, queueItem(from, &req, m.now))
+		m.reply(o, from, &req, ReplyTicket)
 		return
 	}
-	if q := o.ticketRequests[a.Request]; q != nil {
-		if a.Seq >= q.Seq {
-			q.TicketRequestMessage, q.from, q.received = a, from, m.now
+	if q := o.ticketRequests[req.Request]; q != nil {
+		if req.Seq >= q.Seq {
+			q.TicketRequestMessage, q.from, q.received = req, from, m.now
 		}
 		return
 	}
-	m.enqueue(o, from, a)
+	m.enqueue(o, from, req)
 }
 
-func (m *Machine) enqueue(o *ownedUpstream, from core.HostID, a TicketRequestMessage) {
+func (m *Machine) enqueue(o *ownedUpstream, from core.HostID, req TicketRequestMessage) {
 	if m.isLeaving(o) {
-		m.reply(o, from, &a, ReplyLeaving)
+		m.reply(o, from, &req, ReplyLeaving)
 		return
 	}
-	if s := o.slots[a.Adapter]; s != nil && !a.Counted {
+	if s := o.slots[req.Adapter]; s != nil && !req.Counted {
 		s.countRequest(m.now, m.settings.PopularityHalfLife)
 	}
-	if o.reported && !m.residentOrLoading(o, a.Adapter) {
-		m.reply(o, from, &a, ReplyNotLoaded)
+	if o.reported && !m.residentOrLoading(o, req.Adapter) {
+		m.reply(o, from, &req, ReplyNotLoaded)
 		return
 	}
-	o.ticketRequests[a.Request] = &queuedRequest{TicketRequestMessage: a, from: from, received: m.now}
-	for _, shed := range o.queue.Push(m.now, queueItem(from, &a, m.now)) {
+	o.ticketRequests[req.Request] = &queuedRequest{TicketRequestMessage: req, from: from, received: m.now}
+	for _, shed := range o.queue.Push(m.now, queueItem(from, &req, m.now)) {
 		m.replyQueued(o, shed.Request, ReplyOverloaded)
 	}
 	m.issueTickets(o)
@@ -207,15 +207,15 @@
 	return s != nil && (s.state == resident || s.state == loading)
 }
 
-func queueItem(from core.HostID, a *TicketRequestMessage, now core.Instant) admission.Item {
+func queueItem(from core.HostID, req *TicketRequestMessage, now core.Instant) admission.Item {
 	return admission.Item{
-		Request: a.Request, Entry: from, Workspace: a.Workspace, Weight: a.Weight,
-		Class: a.Class, Cost: a.Cost, Adapter: a.Adapter, Deadline: now.Add(a.Remaining),
+		Request: req.Request, Entry: from, Workspace: req.Workspace, Weight: req.Weight,
+		Class: req.Class, Cost: req.Cost, Adapter: req.Adapter, Deadline: now.Add(req.Remaining),
 	}
 }
 
-func (m *Machine) reply(o *ownedUpstream, to core.HostID, a *TicketRequestMessage, k ReplyKind) {
-	msg := TicketReplyMessage{Request: a.Request, Seq: a.Seq, Upstream: a.Upstream, Kind: k, Sent: a.Sent}
+func (m *Machine) reply(o *ownedUpstream, to core.HostID, req *TicketRequestMessage, k ReplyKind) {
+	msg := TicketReplyMessage{Request: req.Request, Seq: req.Seq, Upstream: req.Upstream, Kind: k, Sent: req.Sent}
 	if o != nil {
 		msg.Load = m.currentLoad(o)
 		msg.Fence = o.fence
--- a/internal/core/placement/pins.go
+++ b/internal/core/placement/pins.go
@@ -29,9 +29,9 @@
 	o.slots[s.adapter] = s
 }
 
-func (m *Machine) pin(o *ownedUpstream, from core.HostID, a *TicketRequestMessage, it admission.Item) {
-	o.pins[a.Request] = &pin{from: from, seq: a.Seq, adapter: a.Adapter, item: it, lastConfirmed: m.now}
-	if s := o.slots[a.Adapter]; s != nil {
+func (m *Machine) pin(o *ownedUpstream, from core.HostID, req *TicketRequestMessage, it admission.Item) {
+	o.pins[req.Request] = &pin{from: from, seq: req.Seq, adapter: req.Adapter, item: it, lastConfirmed: m.now}
+	if s := o.slots[req.Adapter]; s != nil {
 		s.pins++
 	}
 }
@@ -74,29 +74,29 @@
 
 // receiveOutstandingList compares an entry host's list of outstanding requests
 // with the pins and queued requests that this host has from it.
-func (m *Machine) receiveOutstandingList(from core.HostID, h OutstandingMessage) {
-	known := make(map[core.RequestID]bool, len(h.Requests))
+func (m *Machine) receiveOutstandingList(from core.HostID, list OutstandingMessage) {
+	known := make(map[core.RequestID]bool, len(list.Requests))
 	for _, o := range m.owned.list {
-		m.reconcileOutstanding(o, from, h, known)
+		m.reconcileOutstanding(o, from, list, known)
 	}
-	for _, id := range h.Requests {
+	for _, id := range list.Requests {
 		if !known[id] {
 			m.send(from, Message{TicketReply: &TicketReplyMessage{Request: id, Kind: ReplyUnknownRequest}})
 		}
 	}
 }
 
-func (m *Machine) reconcileOutstanding(o *ownedUpstream, from core.HostID, h OutstandingMessage, known map[core.RequestID]bool) {
+func (m *Machine) reconcileOutstanding(o *ownedUpstream, from core.HostID, list OutstandingMessage, known map[core.RequestID]bool) {
 	var ended []core.RequestID
 	for id, p := range o.pins {
 		if p.from != from {
 			continue
 		}
 		known[id] = true
-		if p.seq > h.MaxSeq {
+		if p.seq > list.MaxSeq {
 			continue
 		}
-		if _, listed := slices.BinarySearch(h.Requests, id); listed {
+		if _, listed := slices.BinarySearch(list.Requests, id); listed {
 			p.lastConfirmed, p.entryLost = m.now, false
 			continue
 		}
@@ -107,7 +107,7 @@
 			continue
 		}
 		known[id] = true
-		if _, listed := slices.BinarySearch(h.Requests, id); q.Seq <= h.MaxSeq && !listed {
+		if _, listed := slices.BinarySearch(list.Requests, id); q.Seq <= list.MaxSeq && !listed {
 			delete(o.ticketRequests, id)
 			o.queue.Remove(id)
 		}
--- a/internal/core/placement/popularity.go
+++ b/internal/core/placement/popularity.go
@@ -55,13 +55,13 @@
 
 // receiveReplicaRequest handles an owner's request for a further replica of an
 // adapter that is too busy for one upstream.
-func (m *Machine) receiveReplicaRequest(s ReplicaRequestMessage) {
+func (m *Machine) receiveReplicaRequest(req ReplicaRequestMessage) {
 	l := m.loader
-	if l == nil || l.candidates[s.Adapter] != nil {
+	if l == nil || l.candidates[req.Adapter] != nil {
 		return
 	}
-	l.setPopularity(AdapterPopularity{Adapter: s.Adapter, Score: s.Score}, s.Pool, m.now)
-	m.addBackground(s.Adapter, s.Pool)
+	l.setPopularity(AdapterPopularity{Adapter: req.Adapter, Score: req.Score}, req.Pool, m.now)
+	m.addBackground(req.Adapter, req.Pool)
 }
 
 // addBackground adds a load candidate without waiting callers.
--- a/internal/core/placement/view.go
+++ b/internal/core/placement/view.go
@@ -19,11 +19,11 @@
 
 // estimatedLoad returns the load last reported by the owner, corrected by what
 // this host has sent or ended since.
-func (s *upstreamView) estimatedLoad() int {
-	return max(s.reportedLoad-s.ownAtReport, 0) + s.ownRequests
+func (x *upstreamView) estimatedLoad() int {
+	return max(x.reportedLoad-x.ownAtReport, 0) + x.ownRequests
 }
 
-func (s *upstreamView) leaving() bool { return s.Leaving || s.config.Leaving }
+func (x *upstreamView) leaving() bool { return x.Leaving || x.config.Leaving }
 
 // view is this host's view of all upstreams, as published by their owners.
 type view struct {
