--- a/internal/core/dispatch/suspect/isolation.go
+++ b/internal/core/dispatch/suspect/isolation.go
@@ -28,27 +28,27 @@
 
 // handleIsolate grants the slot of an upstream to a suspect, or queues it. A
 // repeated message from the running one renews it.
-func (m *Machine) handleIsolate(now core.Instant, a IsolateMessage) {
-	slot := m.slots[a.Upstream]
+func (m *Machine) handleIsolate(now core.Instant, msg IsolateMessage) {
+	slot := m.slots[msg.Upstream]
 	if slot == nil {
 		slot = &isolationSlot{}
-		m.slots[a.Upstream] = slot
-		m.slotOrder = append(m.slotOrder, a.Upstream)
+		m.slots[msg.Upstream] = slot
+		m.slotOrder = append(m.slotOrder, msg.Upstream)
 	}
 	switch {
-	case slot.running.ID == "" || slot.running.ID == a.ID:
-		m.grantSlot(now, slot, a)
-	case slices.ContainsFunc(slot.waiting, func(w IsolateMessage) bool { return w.ID == a.ID }):
+	case slot.running.ID == "" || slot.running.ID == msg.ID:
+		m.grantSlot(now, slot, msg)
+	case slices.ContainsFunc(slot.waiting, func(w IsolateMessage) bool { return w.ID == msg.ID }):
 	case len(slot.waiting) < maxQueuedPerSlot:
-		slot.waiting = append(slot.waiting, a)
+		slot.waiting = append(slot.waiting, msg)
 	default:
-		m.send(now, a.Entry, Message{Verdict: &VerdictMessage{ID: a.ID, CrashCount: 1}})
+		m.send(now, msg.Entry, Message{Verdict: &VerdictMessage{ID: msg.ID, CrashCount: 1}})
 	}
 }
 
-func (m *Machine) grantSlot(now core.Instant, slot *isolationSlot, a IsolateMessage) {
-	slot.running, slot.renewedAt = a, now
-	m.send(now, a.Entry, Message{Verdict: &VerdictMessage{ID: a.ID, Allowed: true, Isolated: true, CrashCount: 1}})
+func (m *Machine) grantSlot(now core.Instant, slot *isolationSlot, msg IsolateMessage) {
+	slot.running, slot.renewedAt = msg, now
+	m.send(now, msg.Entry, Message{Verdict: &VerdictMessage{ID: msg.ID, Allowed: true, Isolated: true, CrashCount: 1}})
 }
 
 // handleFree ends a suspect's run or wait; the next one gets the slot.
--- a/internal/core/feed/fetch.go
+++ b/internal/core/feed/fetch.go
@@ -155,12 +155,12 @@
 }
 
 // receiveChunkRequest sends part of a chunk, or records who is waiting for it.
-func (m *Machine) receiveChunkRequest(_ core.Instant, from core.HostID, w ChunkRequest) {
-	if data := m.conf.chunks[w.Hash]; data != nil {
-		m.sendPart(from, w.Hash, data, w.Offset)
+func (m *Machine) receiveChunkRequest(_ core.Instant, from core.HostID, req ChunkRequest) {
+	if data := m.conf.chunks[req.Hash]; data != nil {
+		m.sendPart(from, req.Hash, data, req.Offset)
 		return
 	}
-	f := m.conf.find(w.Hash)
+	f := m.conf.find(req.Hash)
 	if f != nil && len(f.waiters) < maxWaiters && !slices.Contains(f.waiters, from) {
 		f.waiters = append(f.waiters, from)
 	}
