--- a/internal/core/dispatch/suspect/home.go
+++ b/internal/core/dispatch/suspect/home.go
@@ -160,36 +160,36 @@
 }
 
 // handleRelease applies the end of a claim, or a crash reported without one.
-func (m *Machine) handleRelease(now core.Instant, e ReleaseMessage) {
-	r := m.records[e.Fingerprint]
-	if r == nil && e.End != EndCrashed {
+func (m *Machine) handleRelease(now core.Instant, msg ReleaseMessage) {
+	r := m.records[msg.Fingerprint]
+	if r == nil && msg.End != EndCrashed {
 		return
 	}
-	if e.End == EndCrashed {
-		r = m.recordOf(now, e.Fingerprint)
+	if msg.End == EndCrashed {
+		r = m.recordOf(now, msg.Fingerprint)
 	}
 	r.expire(now)
-	r.removeRun(e.ID)
-	switch e.End {
+	r.removeRun(msg.ID)
+	switch msg.End {
 	case EndCrashed:
-		m.countCrash(now, r, e)
+		m.countCrash(now, r, msg)
 	case EndOK:
-		m.clear(now, e.Fingerprint, r)
+		m.clear(now, msg.Fingerprint, r)
 	}
 }
 
 // countCrash counts a crash once, however many requests and hosts report it: a
 // dispatch that started before an already counted crash of its upstream was ended
 // by that crash.
-func (m *Machine) countCrash(now core.Instant, r *fingerprintRecord, e ReleaseMessage) {
-	dispatched := now.Add(-e.Age - crashReportSlack)
+func (m *Machine) countCrash(now core.Instant, r *fingerprintRecord, msg ReleaseMessage) {
+	dispatched := now.Add(-msg.Age - crashReportSlack)
 	for _, d := range r.crashes {
-		if d.upstream == e.Upstream && !d.at.Before(dispatched) {
+		if d.upstream == msg.Upstream && !d.at.Before(dispatched) {
 			return
 		}
 	}
-	m.revokeRuns(now, r, e.Upstream)
-	r.crashes = append(r.crashes, crash{upstream: e.Upstream, at: now})
+	m.revokeRuns(now, r, msg.Upstream)
+	r.crashes = append(r.crashes, crash{upstream: msg.Upstream, at: now})
 	if over := len(r.crashes) - MaxCrashes; over > 0 {
 		r.crashes = r.crashes[over:]
 	}
@@ -197,7 +197,7 @@
 	r.serial++
 	r.lastCrash = now
 	r.clearedUntil = 0
-	m.publish(e.Fingerprint, r)
+	m.publish(msg.Fingerprint, r)
 }
 
 // revokeRuns ends every run on an upstream that crashed.
--- a/internal/core/feed/link.go
+++ b/internal/core/feed/link.go
@@ -181,8 +181,8 @@
 }
 
 // receiveValuesAck handles the acknowledgement of the message in flight.
-func (m *Machine) receiveValuesAck(_ core.Instant, from core.HostID, g ValuesAck) {
-	if l := m.findLink(from); l != nil && g.Seq == l.seq {
+func (m *Machine) receiveValuesAck(_ core.Instant, from core.HostID, ack ValuesAck) {
+	if l := m.findLink(from); l != nil && ack.Seq == l.seq {
 		l.inFlight, l.resends = nil, 0
 	}
 }
--- a/internal/core/feed/repair.go
+++ b/internal/core/feed/repair.go
@@ -155,13 +155,13 @@
 }
 
 // receiveValuesRequest marks the requested values as changed on the link to the sender.
-func (m *Machine) receiveValuesRequest(now core.Instant, from core.HostID, n ValuesRequest) {
+func (m *Machine) receiveValuesRequest(now core.Instant, from core.HostID, req ValuesRequest) {
 	l := m.findLink(from)
 	if l == nil {
 		return
 	}
-	requested := make(map[uint64]bool, len(n.IDs))
-	for _, id := range n.IDs {
+	requested := make(map[uint64]bool, len(req.IDs))
+	for _, id := range req.IDs {
 		requested[id] = true
 	}
 	const allBuckets = ^uint64(0)
--- a/internal/core/lease/handover.go
+++ b/internal/core/lease/handover.go
@@ -79,9 +79,9 @@
 // redirect sends a shard's state to its present owner where the intended one is
 // no longer a member. That owner may not act because of this message:
 // it waits until its view is the lowest applied one.
-func (m *Machine) redirect(d *handoff) {
-	if s := m.shards.index[d.shard]; s != nil && s.owner != "" && s.owner != m.Self() {
-		d.to, d.view, d.senderStopped = s.owner, m.head.Version, false
+func (m *Machine) redirect(h *handoff) {
+	if s := m.shards.index[h.shard]; s != nil && s.owner != "" && s.owner != m.Self() {
+		h.to, h.view, h.senderStopped = s.owner, m.head.Version, false
 	}
 }
 
--- a/internal/core/lease/head.go
+++ b/internal/core/lease/head.go
@@ -201,11 +201,11 @@
 }
 
 // set adds or replaces a member's heartbeat.
-func (b *HeartbeatBatch) set(p HeartbeatRecord) {
-	i, ok := b.find(p.Number)
+func (b *HeartbeatBatch) set(record HeartbeatRecord) {
+	i, ok := b.find(record.Number)
 	if ok {
-		b.Entries[i] = p
+		b.Entries[i] = record
 		return
 	}
-	b.Entries = slices.Insert(b.Entries, i, p)
+	b.Entries = slices.Insert(b.Entries, i, record)
 }
--- a/internal/core/lease/poller.go
+++ b/internal/core/lease/poller.go
@@ -38,44 +38,44 @@
 
 // unchangedFor returns how long this host has seen a heartbeat unchanged,
 // counting only the time since reads last failed.
-func (w *poller) unchangedFor(now core.Instant, s *memberHeartbeat) time.Duration {
-	return now.Sub(max(s.seqAt, w.readsSince))
+func (p *poller) unchangedFor(now core.Instant, hb *memberHeartbeat) time.Duration {
+	return now.Sub(max(hb.seqAt, p.readsSince))
 }
 
 // syncMembers drops the heartbeats of removed members and starts to track those
 // of new ones.
-func (w *poller) syncMembers(h *Head, now core.Instant) {
+func (p *poller) syncMembers(h *Head, now core.Instant) {
 	present := make(map[uint64]bool, len(h.Members))
 	for i := range h.Members {
 		n := h.Members[i].Number
 		present[n] = true
-		if w.heartbeats[n] == nil {
-			w.heartbeats[n] = &memberHeartbeat{seqAt: now}
+		if p.heartbeats[n] == nil {
+			p.heartbeats[n] = &memberHeartbeat{seqAt: now}
 		}
 	}
-	w.anyFenced = false
-	for n, s := range w.heartbeats {
+	p.anyFenced = false
+	for n, s := range p.heartbeats {
 		if !present[n] {
-			delete(w.heartbeats, n)
+			delete(p.heartbeats, n)
 			continue
 		}
-		w.anyFenced = w.anyFenced || s.fenced
+		p.anyFenced = p.anyFenced || s.fenced
 	}
 }
 
 // readHeartbeats reads all heartbeats once per period and keeps a watch on the
 // head.
 func (m *Machine) readHeartbeats(now core.Instant) {
-	w := &m.poller
-	w.polls = m.number != 0 && (w.assigned || m.leadership.leading)
-	if !w.polls {
-		w.readFailed = true // after this gap, earlier reads don't prove that a heartbeat has stopped
+	p := &m.poller
+	p.polls = m.number != 0 && (p.assigned || m.leadership.leading)
+	if !p.polls {
+		p.readFailed = true // after this gap, earlier reads don't prove that a heartbeat has stopped
 		return
 	}
-	if now >= w.nextRead && m.calls.ready(now, callBatchList) {
-		w.nextRead = now.Add(m.settings.PollInterval)
+	if now >= p.nextRead && m.calls.ready(now, callBatchList) {
+		p.nextRead = now.Add(m.settings.PollInterval)
 		if len(m.head.Members) <= m.settings.MaxSmallFleet {
-			w.nextRead = now.Add(m.settings.RenewInterval)
+			p.nextRead = now.Add(m.settings.RenewInterval)
 		}
 		m.call(now, callBatchList, core.ObjectCall{Op: core.ObjectList, Key: HeartbeatsPrefix})
 	}
@@ -86,20 +86,20 @@
 
 // batchListDone handles the heartbeats of all batches.
 func (m *Machine) batchListDone(now core.Instant, r core.ObjectResult) {
-	w := &m.poller
+	p := &m.poller
 	if r.Status != core.ObjectOK {
-		w.readFailed = true
+		p.readFailed = true
 		return
 	}
-	if w.readFailed {
-		w.readFailed, w.readsSince = false, now
+	if p.readFailed {
+		p.readFailed, p.readsSince = false, now
 	}
 	for _, o := range r.Objects {
 		b, err := DecodeHeartbeatBatch(o.Value)
-		if err != nil || o.Version < w.objects[o.Key].version {
+		if err != nil || o.Version < p.objects[o.Key].version {
 			continue
 		}
-		w.objects[o.Key] = batchObject{batch: b, version: o.Version}
+		p.objects[o.Key] = batchObject{batch: b, version: o.Version}
 		m.noteNewerView(now, b.MaxHeadVersion, 0)
 		m.recordBatch(now, b)
 	}
@@ -171,7 +171,7 @@
 // update is conditional on the object version that this host has read: a
 // heartbeat written since makes it fail, and a later writer reads the mark.
 func (m *Machine) fence(now core.Instant) {
-	w := &m.poller
+	p := &m.poller
 	if !m.HasLease(now) || !m.calls.ready(now, callFence) {
 		return
 	}
@@ -183,8 +183,8 @@
 		if (key != "" && k != key) || (k == m.ownBatchKey && m.leadership.leading) || !m.leaseExpired(now, e) {
 			continue
 		}
-		s := w.heartbeats[e.Number]
-		if s.fenced || w.unchangedFor(now, s) < m.settings.fenceAfter()+m.rankDelay(k) {
+		s := p.heartbeats[e.Number]
+		if s.fenced || p.unchangedFor(now, s) < m.settings.fenceAfter()+m.rankDelay(k) {
 			continue
 		}
 		key, numbers = k, append(numbers, e.Number)
@@ -192,7 +192,7 @@
 	if key == "" {
 		return
 	}
-	o := w.objects[key]
+	o := p.objects[key]
 	b := o.batch
 	b.Entries = slices.Clone(b.Entries)
 	for _, n := range numbers {
@@ -204,7 +204,7 @@
 	if err != nil {
 		return
 	}
-	w.fencing = numbers
+	p.fencing = numbers
 	call := core.ObjectCall{Op: core.ObjectUpdate, Key: key, Value: value, IfVersion: o.version}
 	if o.version == 0 {
 		call = core.ObjectCall{Op: core.ObjectCreate, Key: key, Value: value}
@@ -227,14 +227,14 @@
 
 // removable returns the fenced members that this host may remove now, given its
 // rank.
-func (w *poller) removable(m *Machine, now core.Instant) []core.HostID {
-	if !w.anyFenced || !w.polls || !m.HasLease(now) {
+func (p *poller) removable(m *Machine, now core.Instant) []core.HostID {
+	if !p.anyFenced || !p.polls || !m.HasLease(now) {
 		return nil
 	}
 	var hosts []core.HostID
 	for i := range m.head.Members {
 		e := &m.head.Members[i]
-		s := w.heartbeats[e.Number]
+		s := p.heartbeats[e.Number]
 		if s == nil || !s.fenced || e.Host == m.Self() {
 			continue
 		}
--- a/internal/core/limit/handoff.go
+++ b/internal/core/limit/handoff.go
@@ -88,10 +88,10 @@
 			continue
 		}
 		h.bucket.advance(now)
-		left := max(h.bucket.level, 0)
+		level := max(h.bucket.level, 0)
 		h.bucket.reset()
 		a := m.shareRequest(now, ws, h)
-		a.Returned, a.Acknowledgement = int64(left), true
+		a.Returned, a.Acknowledgement = int64(level), true
 		r.Send(owner, Message{ShareRequest: &a})
 	}
 	return r
--- a/internal/core/limit/reserve.go
+++ b/internal/core/limit/reserve.go
@@ -89,8 +89,8 @@
 	return minDemandSpan/2 + time.Duration(m.rand.Jitter(int64(minDemandSpan)))
 }
 
-func (m *Machine) recordReservation(r *Result, id core.RequestID, v reservation) {
-	m.reservations[id] = v
+func (m *Machine) recordReservation(r *Result, id core.RequestID, res reservation) {
+	m.reservations[id] = res
 	m.grant(r, id)
 }
 
@@ -130,18 +130,18 @@
 
 // returnTokens returns unused tokens to their source, or charges an overrun to it.
 // An overrun of a loan is not charged.
-func (m *Machine) returnTokens(now core.Instant, v reservation, id core.RequestID, unused, over core.Tokens, r *Result) {
-	if v.source == sourceLoan {
+func (m *Machine) returnTokens(now core.Instant, res reservation, id core.RequestID, unused, over core.Tokens, r *Result) {
+	if res.source == sourceLoan {
 		// also if nothing is unused, so that the lender deletes the loan
-		r.Send(v.lender, Message{LoanReturn: &LoanReturn{Workspace: v.workspace, ID: id, Unused: unused}})
+		r.Send(res.lender, Message{LoanReturn: &LoanReturn{Workspace: res.workspace, ID: id, Unused: unused}})
 		return
 	}
-	s := m.sourceBucket(v.workspace, v.source == sourcePool, v.generation)
+	s := m.sourceBucket(res.workspace, res.source == sourcePool, res.generation)
 	if s == nil {
 		m.stats.LateReturns += unused
 		return
 	}
-	s.settle(now, v.mark, toNanotokens(unused))
+	s.settle(now, res.mark, toNanotokens(unused))
 	if over > 0 {
 		s.charge(now, toNanotokens(over))
 	}
--- a/internal/core/limit/share_holder.go
+++ b/internal/core/limit/share_holder.go
@@ -182,8 +182,8 @@
 		if !h.answered && h.bucket.burst > 0 {
 			next = requestRetryInterval
 		}
-		a := m.shareRequest(now, ws, h)
-		r.Send(owner, Message{ShareRequest: &a})
+		req := m.shareRequest(now, ws, h)
+		r.Send(owner, Message{ShareRequest: &req})
 		h.lastRequest, h.answered = now, false
 		h.demand.decayLargest(now, m.settings.RenewInterval)
 	}
--- a/internal/supervise/tree.go
+++ b/internal/supervise/tree.go
@@ -72,10 +72,10 @@
 }
 
 // Add adds a worker, which runs while the tree does. name must not be in use.
-func (t *Tree) Add(name string, d Worker) {
+func (t *Tree) Add(name string, w Worker) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tokens[name] = t.root.Add(&service{name: name, run: d})
+	t.tokens[name] = t.root.Add(&service{name: name, run: w})
 }
 
 // Remove stops a worker and waits until it has returned, at most stopTimeout. It does
@@ -104,7 +104,7 @@
 }
 
 // Serve implements suture.Service.
-func (d *service) Serve(ctx context.Context) error { return d.run(ctx) }
+func (s *service) Serve(ctx context.Context) error { return s.run(ctx) }
 
 // String returns the worker's name, which suture shows in events.
-func (d *service) String() string { return d.name }
+func (s *service) String() string { return s.name }
