--- a/internal/core/lease/settings.go
+++ b/internal/core/lease/settings.go
@@ -12,7 +12,7 @@
 //
 // A host acts on a shard only while its lease is valid by its own clock, and
 // only if it has owned the shard in every view that some live host may still
-// act under, or its previous owner has handed it over or crashed.
+// act under, or its previous owner has handed it over or was removed.
 // docs/design/ownership.md has the argument, spec/ownership the model.
 package lease
 
--- a/internal/core/lease/shards.go
+++ b/internal/core/lease/shards.go
@@ -22,7 +22,7 @@
 	owner              core.HostID
 	score              uint64
 	ownerSince         uint64 // first view from which the owner has owned it without a break
-	predecessorStopped bool   // the previous owner has stopped or crashed
+	predecessorStopped bool   // the previous owner has certainly stopped
 	acting             bool   // as last reported by Changes
 	heldAtExpiry       bool   // this host was acting when its lease expired
 	receivedView       uint64 // latest view that it was handed over under
