--- a/internal/core/limit/holder_list.go
+++ b/internal/core/limit/holder_list.go
@@ -160,15 +160,15 @@
 }
 
 // adopt takes over the entries and the pool of an older ledger.
-func (led *ledger) adopt(now core.Instant, f *ledger) {
-	led.entries, led.lastSeq, led.priorFence = f.entries, f.lastSeq, f.fence
-	f.pool.advance(now)
-	led.pool = f.pool
-	led.withheld, led.notRestated, led.withheldUntil = f.withheld, f.notRestated, f.withheldUntil
-	led.ownRate, led.ownBurst = f.ownRate, f.ownBurst
+func (led *ledger) adopt(now core.Instant, previous *ledger) {
+	led.entries, led.lastSeq, led.priorFence = previous.entries, previous.lastSeq, previous.fence
+	previous.pool.advance(now)
+	led.pool = previous.pool
+	led.withheld, led.notRestated, led.withheldUntil = previous.withheld, previous.notRestated, previous.withheldUntil
+	led.ownRate, led.ownBurst = previous.ownRate, previous.ownBurst
 }
 
-// onListWritten opens the ledger, or lets the listed hosts get shares: the stored
+// onListWritten opens the ledger, or permits shares for the listed hosts: the stored
 // list names this owner.
 func (m *Machine) onListWritten(now core.Instant, own core.Ownership, led *ledger, l *holderList, r *Result) {
 	g, acting := own.Acting(now, shardOf(led.workspace))
@@ -252,9 +252,9 @@
 }
 
 // onListGrown requests the state of newly listed hosts, and lists the hosts that
-// were added meanwhile.
-func (m *Machine) onListGrown(led *ledger, was []core.HostID, r *Result) {
-	fresh := slices.DeleteFunc(slices.Clone(led.listed), func(h core.HostID) bool { return slices.Contains(was, h) })
+// were added during the write.
+func (m *Machine) onListGrown(led *ledger, previous []core.HostID, r *Result) {
+	fresh := slices.DeleteFunc(slices.Clone(led.listed), func(h core.HostID) bool { return slices.Contains(previous, h) })
 	m.requestState(led, fresh, r)
 	if len(led.toList) > 0 {
 		m.writeList(led, union(led.listed, led.toList), r)
