--- a/internal/core/relaynode/admit.go
+++ b/internal/core/relaynode/admit.go
@@ -115,7 +115,7 @@
 	ok, retryAfter := m.quota.Admit(m.now, r.workspace.ID, r.cost)
 	if !ok {
 		level, reachable := m.quota.Level(m.now, r.workspace.ID)
-		return core.Refuse(core.CodeRateLimited, retryAfter, fmt.Sprintf("workspace %s is over its rate: %d tokens left, %.2f of the fleet reachable", r.workspace.ID, level, reachable))
+		return core.Refuse(core.CodeRateLimited, retryAfter, fmt.Sprintf("workspace %s is over its rate: %d tokens left, %.2f of the fleet heard", r.workspace.ID, level, reachable))
 	}
 	return nil
 }
