--- a/internal/core/relaynode/active.go
+++ b/internal/core/relaynode/active.go
@@ -48,7 +48,8 @@
 // arrivalHalfLife is the half-life of a request in the arrival rate.
 const arrivalHalfLife = 2079 * time.Millisecond
 
-// arrivalRate returns the requests per second that have arrived at this host lately.
+// arrivalRate returns the decaying average of the requests per second that arrive at
+// this host.
 func (m *Machine) arrivalRate() float32 {
 	return float32(m.arrivals.Now(m.now, arrivalHalfLife) * math.Ln2 / arrivalHalfLife.Seconds())
 }
--- a/internal/core/relaynode/active_test.go
+++ b/internal/core/relaynode/active_test.go
@@ -11,8 +11,8 @@
 	"gentiancroft/internal/core/residency"
 )
 
-// newHostInLargeFleet returns a host of a fleet of 6 strong hosts, s0 to s5, and 20
-// weak ones, w0 to w19, that are all reachable.
+// newHostInLargeFleet returns a host of a fleet of 6 hosts of 0.8 cores, s0 to s5, and
+// 20 of 0.192 cores, w0 to w19, that are all reachable.
 func newHostInLargeFleet(t *testing.T, name string) *host {
 	h := newHostAs(t, registered(name))
 	for i := range 26 {
@@ -42,7 +42,7 @@
 	h.step(MessageReceived{From: b.Host, Message: Message{Heartbeats: []Heartbeat{b}}})
 }
 
-// advanceFleet advances the time, with heartbeats from the strong hosts, and
+// advanceFleet advances the time, with heartbeats from the hosts of 0.8 cores, and
 // collects all effects.
 func (h *host) advanceFleet(d time.Duration) {
 	const step = 100 * time.Millisecond
@@ -143,8 +143,8 @@
 	h.is.True(h.recipients(hasResidencies)["w3"])
 }
 
-// At the first start of a deployment, a host that has found only a few others takes
-// them for a small fleet, in which each opens links to all.
+// At the first start of a deployment, a host that has found only a few others would
+// count a small fleet, in which every host opens links to all others.
 func TestNoHeartbeatsDuringDiscoveryOfANewDeployment(t *testing.T) {
 	h := newHostAs(t, registered("w0"))
 	h.m = New(Settings{Self: registered("w0"), FirstStart: true})
@@ -164,7 +164,7 @@
 func TestMoreRequestsMakeMoreHostsActive(t *testing.T) {
 	h := newHostInLargeFleet(t, "w0")
 	for i := range 6 {
-		h.deliverHeartbeat(fmt.Sprintf("s%d", i), Heartbeat{Number: 9, RequestRate: 200}) // 1,200 a second: as much as six strong hosts carry
+		h.deliverHeartbeat(fmt.Sprintf("s%d", i), Heartbeat{Number: 9, RequestRate: 200}) // 1,200 a second: as much as six hosts of 0.8 cores carry
 	}
 	h.advance(selectInterval)
 	h.is.True(!h.m.fleet.Active())
--- a/internal/core/relaynode/catalog.go
+++ b/internal/core/relaynode/catalog.go
@@ -13,8 +13,8 @@
 type Decision struct {
 	Name    string
 	Subject string
-	Detail  string // meaning of Note.Detail
-	Age     string // what Note.Age is the age of; "": it is not set
+	Detail  string // meaning of LogDecision.Detail
+	Age     string // what LogDecision.Age is the age of; "": it is not set
 	Reasons []Reason
 }
 
@@ -91,14 +91,14 @@
 	}
 }
 
-// InCatalog reports whether the catalog has the name and reason of n, and agrees with it
-// on whether it is logged.
-func InCatalog(n LogDecision) bool {
+// InCatalog reports whether the catalog has the name and reason of entry, and agrees
+// with it on whether it is logged.
+func InCatalog(entry LogDecision) bool {
 	for _, d := range Catalog() {
-		if d.Name != n.Name {
+		if d.Name != entry.Name {
 			continue
 		}
-		return slices.ContainsFunc(d.Reasons, func(r Reason) bool { return r.Name == n.Reason && r.MetricsOnly == n.MetricsOnly })
+		return slices.ContainsFunc(d.Reasons, func(r Reason) bool { return r.Name == entry.Reason && r.MetricsOnly == entry.MetricsOnly })
 	}
 	return false
 }
--- a/internal/core/relaynode/crashes.go
+++ b/internal/core/relaynode/crashes.go
@@ -86,8 +86,9 @@
 	}
 }
 
-// ownCrashes returns the crashes that this host observed lately, by fingerprint, for
-// the other hosts.
+// ownCrashes returns the numbers of crashes that this host observed, by fingerprint,
+// for the other hosts. Fingerprints whose last crash is older than crashReportTTL are
+// left out.
 func (m *Machine) ownCrashes() map[uint64]uint8 {
 	var seen map[uint64]uint8
 	for f, c := range m.crashes {
--- a/internal/core/relaynode/events.go
+++ b/internal/core/relaynode/events.go
@@ -1,8 +1,8 @@
-// Package direct is the state machine of a host that relays requests. It decides
-// which requests are admitted, which replica runs each and when one is retried;
-// which adapters are loaded on the replicas whose shards this host owns; and what is
-// sent to the other hosts and to the store. It composes fleet, replicas, quota,
-// shard, residency and table.
+// Package relaynode is the state machine of a host that relays requests. It decides
+// which requests are admitted, which replica runs each and when one is retried; which
+// adapters are loaded on the replicas whose shards this host owns; and what is sent to
+// the other hosts and to the store. It composes fleet, replicas, quota, shard,
+// residency and table.
 //
 // No other host and no store is consulted before a request is sent: messages of
 // other hosts improve the decisions but are never required for them.
@@ -168,7 +168,7 @@
 func (Leave) isEvent()             {}
 func (SettingsChanged) isEvent()   {}
 
-// Message is what hosts send to each other. It may be lost, duplicated or late.
+// Message is what hosts send to each other. It may be lost, duplicated or delayed.
 type Message struct {
 	Heartbeats      []Heartbeat          `cbor:"1,keyasint,omitempty"` // the sender's own first, then those of other hosts
 	Demands         []residency.Demand   `cbor:"2,keyasint,omitempty"`
@@ -190,21 +190,21 @@
 	Ready             bool             `cbor:"3,keyasint,omitempty"`
 	Leaving           bool             `cbor:"4,keyasint,omitempty"`
 	Uptime            time.Duration    `cbor:"5,keyasint,omitempty"`
-	Spent             map[uint32]int64 `cbor:"6,keyasint,omitempty"` // tokens admitted since the start, by core.Short of the workspace
+	Spent             map[uint32]int64 `cbor:"6,keyasint,omitempty"` // tokens admitted since the start, by core.ShortHash of the workspace
 	Loads             []Load           `cbor:"7,keyasint,omitempty"`
 	Crashes           map[uint64]uint8 `cbor:"8,keyasint,omitempty"`  // replicas crashed, by request fingerprint
 	ConfigVersion     uint64           `cbor:"9,keyasint,omitempty"`  // version of the configuration in force
 	VersionSum        uint64           `cbor:"10,keyasint,omitempty"` // sum of the adapters' newest versions
 	IsWatcher         bool             `cbor:"11,keyasint,omitempty"` // the host watches the store, and the store answers it
 	ListDigest        uint64           `cbor:"12,keyasint,omitempty"` // digest of its lists of replicas and hosts
-	ReachableStandbys []uint32         `cbor:"13,keyasint,omitempty"` // ready standby hosts that report to it, in every relaysPerCensus-th relay all reachable ones; by core.Short of the name
+	ReachableStandbys []uint32         `cbor:"13,keyasint,omitempty"` // ready standby hosts that report to it, in every relaysPerCensus-th relay all reachable ones; by core.ShortHash of the name
 	RequestRate       float32          `cbor:"14,keyasint,omitempty"` // requests per second that arrive at it
 }
 
 // Load is how many requests a host has at a replica.
 type Load struct {
 	_       struct{} `cbor:",toarray"`
-	Replica uint32   // core.Short of its id
+	Replica uint32   // core.ShortHash of its id
 	Running int
 }
 
--- a/internal/core/relaynode/finish.go
+++ b/internal/core/relaynode/finish.go
@@ -43,8 +43,8 @@
 }
 
 // retryBudget returns this host's retry budget for a service. It follows the size of
-// the fleet: a host that has just started has found few others, and must leave them
-// their fraction as soon as it finds them.
+// the fleet: a host that has just started has found few others, and must reduce its
+// fraction as it finds more.
 func (m *Machine) retryBudget(s table.ServiceID) *retry.Budget {
 	slack := m.settings.RetrySlack * retryBudgetFraction * m.retryFraction()
 	limits := retry.Settings{
--- a/internal/core/relaynode/heartbeats.go
+++ b/internal/core/relaynode/heartbeats.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// ownSpending returns the tokens that this host has admitted, by core.Short of the
+// ownSpending returns the tokens that this host has admitted, by core.ShortHash of the
 // workspace.
 func (m *Machine) ownSpending() map[uint32]int64 {
 	spent := make(map[uint32]int64, len(m.quota.Admitted()))
--- a/internal/core/relaynode/machine.go
+++ b/internal/core/relaynode/machine.go
@@ -42,7 +42,7 @@
 	rereads       uint64                      // counts the requested rereads of the documents
 	relists       uint64                      // counts the requested rereads of all lists
 	versionSum    uint64                      // of the adapters' newest versions
-	workspaces    map[uint32]core.WorkspaceID // by core.Short
+	workspaces    map[uint32]core.WorkspaceID // by core.ShortHash
 	waiters       residencyWaiters
 	unsent        map[core.UpstreamID]replicas.Residency // changed, and not sent to all active hosts yet
 	startedUses   map[adapterUse]int                     // requests sent since the last heartbeat
--- a/internal/core/relaynode/machine_test.go
+++ b/internal/core/relaynode/machine_test.go
@@ -58,8 +58,8 @@
 	h.is.True(h.dispatch().Upstream != first.Upstream)
 }
 
-// An answer that starts while its attempt is being cancelled is not moved, and a
-// later break of it must not count as the move.
+// A request whose answer starts while its attempt is being cancelled is not moved. If
+// the answer breaks off later, that must not count as the end of a move.
 func TestStartedAnswerIsNotMoved(t *testing.T) {
 	h := newHost(t)
 	h.arrive(RequestArrived{Path: "/read/x"})
@@ -322,7 +322,7 @@
 }
 
 // When the whole fleet restarts, each host sends a first request before it has found
-// the others, and must not keep the retries of all for itself.
+// the others, and must not use the retry budget of the whole fleet.
 func TestRetryBudgetFollowsTheFleetSize(t *testing.T) {
 	h := newHost(t)
 	retries := func() int {
--- a/internal/core/relaynode/requests.go
+++ b/internal/core/relaynode/requests.go
@@ -77,7 +77,7 @@
 }
 
 // due returns all requests, in order of arrival, if one of them is due for a check,
-// and else nil.
+// otherwise nil.
 func (t *requests) due(now core.Instant) []*request {
 	for _, r := range t.byID {
 		if now >= r.nextCheck {
--- a/internal/core/relaynode/settings.go
+++ b/internal/core/relaynode/settings.go
@@ -41,9 +41,9 @@
 	DefaultLeaveTimeout        = 7500 * time.Millisecond
 )
 
-// discoveryTime is how long the hosts of a new deployment take to find each other.
-// No host sends heartbeats before: the first few would take themselves for a small
-// fleet, in which every host has a link to every other one.
+// discoveryTime is how long the hosts of a new deployment take to find each other. No
+// host sends heartbeats before that: the first few would count a small fleet, in which
+// every host has a link to every other one.
 const discoveryTime = 600 * time.Millisecond
 
 func (s *Settings) setDefaults() {
--- a/internal/core/relaynode/watchers.go
+++ b/internal/core/relaynode/watchers.go
@@ -73,8 +73,8 @@
 }
 
 // listDiffers reports whether a watcher's list has differed from this host's for too
-// long. Each watcher is compared by itself: another one that is outdated in the same
-// way must not hide the difference.
+// long. Each watcher is compared separately: a second watcher that is outdated in the
+// same way must not hide the difference.
 func (m *Machine) listDiffers() bool {
 	for h, since := range m.watch.differSince {
 		switch {
--- a/internal/core/relaynode/watchers_test.go
+++ b/internal/core/relaynode/watchers_test.go
@@ -9,8 +9,8 @@
 	"gentiancroft/internal/core/replicas"
 )
 
-// watchersOf returns the active hosts of the tests' large fleet that watch the
-// store, and one that does not.
+// watchersOf returns the active hosts of the tests' large fleet that watch the store,
+// and a host that does not.
 func watchersOf(t *testing.T) (watch []string, other string) {
 	for _, name := range []string{"s0", "s1", "s2", "s3", "s4", "s5"} {
 		if newHostInLargeFleet(t, name).m.isWatcher() {
@@ -138,8 +138,8 @@
 	h.is.True(!h.m.ReadPlan().Watch) // it has read the list itself
 }
 
-// What changes while the store does not answer a host never reaches it, if it also
-// misses the watchers' messages.
+// A host that also missed the watchers' messages learns of changes made during a store
+// outage only by listing all objects again.
 func TestListsAreRereadAfterAStoreOutage(t *testing.T) {
 	h := newHost(t)
 	before := h.m.ReadPlan().Relist
