--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -11,8 +11,8 @@
 	"gentiancroft/internal/relay"
 )
 
-// StartRequest implements relay.Node. A request that finds the event ring full is refused
-// at once.
+// StartRequest implements relay.Node. If the event ring is full, the request is refused
+// immediately.
 func (g *Gateway) StartRequest(a relaynode.RequestArrived) relay.Exchange {
 	x := &exchange{id: a.ID, gateway: g, decisions: make(chan relaynode.Effect, decisionBuffer)}
 	g.mu.Lock()
@@ -89,7 +89,7 @@
 }
 
 // cancelAttempt cancels an attempt and those before it. Where c asks for that only
-// before the answer has started, and it has, the attempt goes on.
+// before the answer has started, and it has, the attempt continues.
 func (x *exchange) cancelAttempt(c relaynode.Cancel) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/gateway/executors.go
+++ b/internal/gateway/executors.go
@@ -55,7 +55,7 @@
 
 // sendOrder carries out an order and returns its outcome to the machine.
 func (g *Gateway) sendOrder(ctx context.Context, o residency.Order) {
-	done := g.carriers.Replicas.Order(ctx, o)
+	done := g.executors.Replicas.Order(ctx, o)
 	what := "unload."
 	if o.Load {
 		what = "load."
@@ -69,7 +69,7 @@
 
 // readReport reads a replica's report for the machine.
 func (g *Gateway) readReport(ctx context.Context, p residency.Probe) {
-	report := g.carriers.Replicas.Report(ctx, p)
+	report := g.executors.Replicas.Report(ctx, p)
 	if report.Err != nil {
 		log.WithField("upstream", string(p.Replica)).WithError(report.Err).Warn("report not read")
 	}
@@ -78,7 +78,7 @@
 
 // callStore carries out a write of the machine.
 func (g *Gateway) callStore(ctx context.Context, c core.ObjectCall) {
-	result := g.carriers.Store.Do(ctx, c)
+	result := g.executors.Store.Do(ctx, c)
 	result.Tag = c.Tag
 	g.reportStoreStatus(result.Status)
 	g.Notify(relaynode.WriteDone{Result: result})
@@ -116,6 +116,6 @@
 		return
 	}
 	for _, p := range x.To {
-		g.carriers.Links.Send(p.Host, p.Link, payload)
+		g.executors.Links.Send(p.Host, p.Link, payload)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway runs the state machine of a relaying host (package direct). One
+// Package gateway runs the state machine of a relaying host (package relaynode). One
 // worker takes events from a bounded ring, steps the machine and has its effects
 // carried out; other workers watch the store's objects and turn them into events.
 //
-// It decides nothing about requests or replicas: that is the machine's part. The
-// HTTP interface is package relay; I/O is done by the executors.
+// It decides nothing about requests or replicas: the machine does. The HTTP interface
+// is package relay; I/O is done by the executors.
 package gateway
 
 import (
@@ -36,7 +36,7 @@
 // Gateway owns a machine and the ring of its events.
 type Gateway struct {
 	machine          *relaynode.Machine
-	carriers         Executors
+	executors        Executors
 	clock            Clock
 	registry         metrics.Registry
 	events           *supervise.Ring[relaynode.Event]
@@ -60,10 +60,10 @@
 }
 
 // New returns a gateway whose workers are not running yet; see Register.
-func New(m *relaynode.Machine, c Executors, clock Clock, r metrics.Registry) *Gateway {
+func New(m *relaynode.Machine, executors Executors, clock Clock, r metrics.Registry) *Gateway {
 	g := &Gateway{
 		machine:          m,
-		carriers:         c,
+		executors:        executors,
 		clock:            clock,
 		registry:         r,
 		events:           supervise.NewRing[relaynode.Event]("events", eventRingSize, supervise.Refuse),
@@ -101,9 +101,9 @@
 // Addresses returns the addresses that are advertised to callers.
 func (g *Gateway) Addresses() []string { return g.status.Load().addresses }
 
-// Notify queues an event for the machine and implements relay.Node. It blocks while
-// the ring is full, since an event that ends something must not be lost. The
-// machine's own worker must not call it: it would wait for itself.
+// Notify queues an event for the machine and implements relay.Node. It blocks while the
+// ring is full, since an event that ends something must not be lost. The machine's own
+// worker must not call it, as it would block itself.
 func (g *Gateway) Notify(e relaynode.Event) { g.events.PushBlocking(e) }
 
 // Trusted reports whether a certificate's key is that of a registered host. It
@@ -114,8 +114,8 @@
 	return <-answer
 }
 
-// ReceiveFromPeer decodes a payload from another host and queues it for the machine. It is
-// dropped where the ring is full, as it may be on the network.
+// ReceiveFromPeer decodes a payload from another host and queues it for the machine. If
+// the ring is full, the message is dropped, as it might also be lost on the network.
 func (g *Gateway) ReceiveFromPeer(from core.HostID, payload []byte) {
 	var m relaynode.Message
 	if err := cbor.Unmarshal(payload, &m); err != nil {
@@ -214,37 +214,37 @@
 	case relaynode.LogDecision:
 		g.logDecision(x)
 	case relaynode.RequestEnded:
-		g.recordServed(x)
+		g.recordRequestEnd(x)
 	case relaynode.LeaveCompleted:
 		g.mayExit <- struct{}{} // sent once, so the buffer of one never blocks
 	}
 }
 
 // logDecision counts a decision and, unless it is for the metrics only, logs it.
-func (g *Gateway) logDecision(n relaynode.LogDecision) {
-	name := "decision." + n.Name + "." + n.Reason
+func (g *Gateway) logDecision(d relaynode.LogDecision) {
+	name := "decision." + d.Name + "." + d.Reason
 	c := g.decisionCounters[name]
 	if c == nil {
 		c = metrics.GetOrRegisterCounter(name, g.registry)
 		g.decisionCounters[name] = c
 	}
 	c.Inc(1)
-	if n.MetricsOnly {
+	if d.MetricsOnly {
 		return
 	}
-	fields := log.Fields{"decision": n.Name, "reason": n.Reason}
-	if n.ID != "" {
-		_, id, _ := strings.Cut(string(n.ID), " ") // the caller's request id, which follows this host's number
+	fields := log.Fields{"decision": d.Name, "reason": d.Reason}
+	if d.ID != "" {
+		_, id, _ := strings.Cut(string(d.ID), " ") // the caller's request id, which follows this host's number
 		fields["request"] = id
 	}
-	if n.Upstream != "" {
-		fields["upstream"] = string(n.Upstream)
+	if d.Upstream != "" {
+		fields["upstream"] = string(d.Upstream)
 	}
-	if n.Detail != "" {
-		fields["detail"] = n.Detail
+	if d.Detail != "" {
+		fields["detail"] = d.Detail
 	}
-	if n.Age != 0 {
-		fields["age_ms"] = n.Age.Milliseconds()
+	if d.Age != 0 {
+		fields["age_ms"] = d.Age.Milliseconds()
 	}
 	log.WithFields(fields).Info("decided")
 }
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -25,9 +25,9 @@
 // stateTimeout bounds how long the metrics page waits for the machine's state.
 const stateTimeout = 500 * time.Millisecond
 
-// recordServed counts a finished request by route and outcome and records its
+// recordRequestEnd counts a finished request by route and outcome and records its
 // latencies.
-func (g *Gateway) recordServed(s relaynode.RequestEnded) {
+func (g *Gateway) recordRequestEnd(s relaynode.RequestEnded) {
 	const reservoir, decay = 128, 0.015
 	route := s.Route
 	if route == "" {
@@ -36,7 +36,7 @@
 	prefix := prefixRoute + route + "."
 	g.count(prefix + s.Outcome)
 	if s.Total == 0 {
-		return // refused at once: no latency to record
+		return // refused on arrival: no latency to record
 	}
 	observe := func(name string, d time.Duration) {
 		sample := func() metrics.Histogram {
@@ -76,10 +76,10 @@
 	metrics.GetOrRegisterGaugeFloat64("fleet.part", g.registry).Update(s.ReachableFraction)
 	g.setGauge("fleet.shards", int64(s.Shards))
 	g.setGauge("gateway.waiting", int64(s.Waiting))
-	alive := map[string]bool{prefixRoute + unrouted: true}
+	present := map[string]bool{prefixRoute + unrouted: true}
 	for _, x := range s.Replicas {
 		prefix := prefixUpstream + string(x.ID)
-		alive[prefix] = true
+		present[prefix] = true
 		g.setGauge(prefix+".in_flight", int64(x.Own))
 		g.setGauge(prefix+".in_flight_elsewhere", int64(x.Others))
 		milliseconds(prefix+".told_age_ms", x.ReportAge)
@@ -87,28 +87,28 @@
 	}
 	for _, w := range s.Workspaces {
 		prefix := prefixWorkspace + string(w.ID)
-		alive[prefix] = true
+		present[prefix] = true
 		g.setGauge(prefix+".tokens_left", w.Level)
 		g.setGauge(prefix+".tokens_granted", w.Granted)
 	}
 	for id, left := range s.Retries {
 		prefix := prefixService + string(id)
-		alive[prefix] = true
+		present[prefix] = true
 		metrics.GetOrRegisterGaugeFloat64(prefix+".retries_left", g.registry).Update(left)
 	}
 	for route := range s.Routes {
-		alive[prefixRoute+route] = true
+		present[prefixRoute+route] = true
 	}
-	g.dropStale(alive)
+	g.dropStale(present)
 }
 
-// dropStale unregisters the metrics of objects that are not in alive, which holds
+// dropStale unregisters the metrics of objects that are not in present, which holds
 // names with their prefix.
-func (g *Gateway) dropStale(alive map[string]bool) {
+func (g *Gateway) dropStale(present map[string]bool) {
 	var gone []string
 	g.registry.Each(func(name string, _ any) {
 		for _, prefix := range []string{prefixRoute, prefixUpstream, prefixWorkspace, prefixService} {
-			if strings.HasPrefix(name, prefix) && !alive[name[:strings.LastIndexByte(name, '.')]] {
+			if strings.HasPrefix(name, prefix) && !present[name[:strings.LastIndexByte(name, '.')]] {
 				gone = append(gone, name)
 			}
 		}
--- a/internal/gateway/publish_test.go
+++ b/internal/gateway/publish_test.go
@@ -14,9 +14,9 @@
 	is := is.New(t)
 	r := metrics.NewRegistry()
 	g := New(relaynode.New(relaynode.Settings{}), Executors{}, nil, r)
-	g.recordServed(relaynode.RequestEnded{Route: "a", Outcome: "ok", FirstByte: time.Millisecond, Total: time.Second})
-	g.recordServed(relaynode.RequestEnded{Route: "b", Outcome: "ok", Total: time.Second})
-	g.recordServed(relaynode.RequestEnded{Outcome: "unknown_route"})
+	g.recordRequestEnd(relaynode.RequestEnded{Route: "a", Outcome: "ok", FirstByte: time.Millisecond, Total: time.Second})
+	g.recordRequestEnd(relaynode.RequestEnded{Route: "b", Outcome: "ok", Total: time.Second})
+	g.recordRequestEnd(relaynode.RequestEnded{Outcome: "unknown_route"})
 	state := relaynode.State{
 		Replicas:   []relaynode.ReplicaState{{ID: "i.1", Own: 2}},
 		Workspaces: []relaynode.WorkspaceState{{ID: "w", Level: -3}},
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -44,8 +44,8 @@
 )
 
 // watch reads the objects of one kind: it lists them, waits for changes from that
-// version on, and lists again where the store no longer has the history. While
-// another host watches the kind, it only lists the objects now and then.
+// version on, and lists again where the store no longer has the history. While another
+// host watches the kind, it only lists the objects, at least every listInterval.
 type watch struct {
 	gateway     *Gateway
 	kind        string
@@ -63,7 +63,7 @@
 
 // watches returns the watches of all kinds of objects that the machine reads.
 func (g *Gateway) watches() []*watch {
-	d := g.carriers.Documents
+	d := g.executors.Documents
 	return []*watch{
 		{gateway: g, kind: d.ConfigurationKind, minInterval: minConfigurationInterval, reread: true, onList: forEach(g.configurationChanged), onChange: g.configurationChanged},
 		{gateway: g, kind: d.ReplicasKind, minInterval: minReplicasInterval, urgent: true, onList: g.replicasListed, onChange: g.replicaChanged},
@@ -111,8 +111,8 @@
 	return ctx.Err()
 }
 
-// idle waits, at most listInterval, while another host watches the objects. It
-// returns at once where the machine has asked for a new list or for a watch.
+// idle waits, at most listInterval, while another host watches the objects. It returns
+// early where the machine has asked for a new list or for a watch.
 func (w *watch) idle(ctx context.Context) {
 	waitCtx, end := w.gateway.wake.attach(ctx)
 	defer end()
@@ -148,7 +148,7 @@
 		call = core.ObjectCall{Op: core.ObjectWatch, Key: w.kind, IfVersion: version, Wait: w.watchWait()}
 	}
 	callCtx, end := w.gateway.reread.attach(ctx)
-	result := w.gateway.carriers.Store.Do(callCtx, call)
+	result := w.gateway.executors.Store.Do(callCtx, call)
 	interrupted := callCtx.Err() != nil
 	end()
 	if interrupted {
@@ -201,7 +201,7 @@
 	if o.Deleted {
 		return
 	}
-	t, err := g.carriers.Documents.DecodeTable(o.Value)
+	t, err := g.executors.Documents.DecodeTable(o.Value)
 	if err != nil {
 		logSkipped(o, err)
 		return
@@ -212,7 +212,7 @@
 // configurationReceived decodes a configuration that another host has read from the
 // store. The event carries no document, which marks it as reported by a peer.
 func (g *Gateway) configurationReceived(from core.HostID, document []byte) {
-	t, err := g.carriers.Documents.DecodeTable(document)
+	t, err := g.executors.Documents.DecodeTable(document)
 	if err != nil {
 		log.WithField("peer", string(from)).WithError(err).Warn("configuration of a peer skipped")
 		return
@@ -223,7 +223,7 @@
 func (g *Gateway) replicasListed(all []core.Object) {
 	var entries []replicas.Entry
 	for _, o := range all {
-		e, err := g.carriers.Documents.DecodeReplica(objectName(o), o.Value)
+		e, err := g.executors.Documents.DecodeReplica(objectName(o), o.Value)
 		if err != nil {
 			logSkipped(o, err)
 			continue
@@ -238,7 +238,7 @@
 		g.Notify(relaynode.ReplicaUnlisted{ID: core.UpstreamID(objectName(o))})
 		return
 	}
-	e, err := g.carriers.Documents.DecodeReplica(objectName(o), o.Value)
+	e, err := g.executors.Documents.DecodeReplica(objectName(o), o.Value)
 	if err != nil {
 		logSkipped(o, err)
 		return
@@ -259,7 +259,7 @@
 	if o.Deleted {
 		return
 	}
-	model, ref, err := g.carriers.Documents.DecodeVersion(o.Value)
+	model, ref, err := g.executors.Documents.DecodeVersion(o.Value)
 	if err != nil {
 		logSkipped(o, err)
 		return
@@ -286,7 +286,7 @@
 	first := true
 	for ctx.Err() == nil {
 		call := core.ObjectCall{Op: core.ObjectList, Key: strings.TrimSuffix(shard.Prefix, "/"), Stale: !first}
-		result := g.carriers.Store.Do(ctx, call)
+		result := g.executors.Store.Do(ctx, call)
 		g.reportStoreStatus(result.Status)
 		if result.Status == core.ObjectOK || result.Status == core.ObjectNotFound {
 			g.Notify(relaynode.LeasesListed{Objects: result.Objects})
