--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -27,14 +27,14 @@
 	LastEventID string        // id of the event after which the stream continues; empty: from the start
 }
 
-// AttemptFields is what the header of a request to a replica says beside the caller's
-// own fields.
+// AttemptFields is what the header of a request to a replica says in addition to the
+// caller's own fields.
 type AttemptFields struct {
 	Upstream       core.UpstreamID
 	Workspace      core.WorkspaceID
 	Remaining      time.Duration // until the request's deadline
 	AdapterVersion int           // of the adapter; 0: any
-	LastEventID    string        // as in Declared
+	LastEventID    string        // as in RequestFields
 	Priority       int           // 0 is the most urgent
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -362,8 +362,8 @@
 }
 
 // Guards against a lost stream: the timeout for the first event cancelled an attempt
-// while that event was being forwarded, and the caller's stream ended. Of the two,
-// only the one that comes first may take effect.
+// while that event was being forwarded, and the caller's stream ended. Only the first
+// of the two may take effect.
 func TestAnAttemptCancelledBeforeItsAnswerStartsForwardsNothing(t *testing.T) {
 	n := 0
 	h := newHarness(t, func(c net.Conn, _ *http.Request) {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -39,7 +39,7 @@
 	StallTimeout:   10 * time.Second,
 }
 
-// maxConnections is how many callers' connections are open at once.
+// maxConnections is the maximum number of open connections of callers.
 const maxConnections = 4096
 
 // Server is the HTTP server for callers.
@@ -134,7 +134,7 @@
 	t.id = arrival.ID
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	t.exchange = s.node.StartRequest(arrival)
-	t.conn = hangup.Watch(ctx.Conn(), t.hangUp) // after Begin, so that a hang-up is reported after the arrival
+	t.conn = hangup.Watch(ctx.Conn(), t.hangUp) // after StartRequest, so that a hang-up is reported after the arrival
 	if s.node.Leaving() {
 		ctx.SetConnectionClose()
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -21,7 +21,7 @@
 var Cut = errs.Class("answer cut")
 
 const (
-	readSize      = 2 << 10  // bytes to read at once
+	readSize      = 2 << 10  // bytes per read
 	maxEventBytes = 64 << 10 // of one event
 )
 
@@ -45,7 +45,7 @@
 	readyBytes int    // length of the complete events at the buffer's start
 	lastEvent  string // id of the last complete event
 	complete   bool   // the replica has ended the answer regularly
-	passed     bool
+	forwarding bool
 	released   bool // the attempt's end has been reported to the node
 }
 
@@ -66,7 +66,7 @@
 	}
 	t.server.metrics.firstByte.Update(time.Since(t.started).Microseconds())
 	t.server.node.Notify(relaynode.AnswerStarted{ID: t.id, Attempt: d.Attempt, PartDelivered: true})
-	s.passed = true
+	s.forwarding = true
 	t.server.dialect.CopyAnswerHeader(&ctx.Response.Header, answer.Header())
 	ctx.SetBodyStream(s, -1)
 	return true
