--- a/internal/wiring/executors.go
+++ b/internal/wiring/executors.go
@@ -17,7 +17,7 @@
 // hostLister reads the platform's host list.
 type hostLister struct{ client *platform.Client }
 
-// List implements host.Listing.
+// List implements host.HostLister.
 func (l hostLister) List(ctx context.Context) ([]node.ListedHost, error) {
 	listed, err := l.client.ListHosts(ctx)
 	if err != nil {
--- a/internal/wiring/host.go
+++ b/internal/wiring/host.go
@@ -60,7 +60,7 @@
 		newHost,
 		newLinks,
 		newEntry,
-		newRunning,
+		newServeHost,
 	}
 	for _, f := range constructors {
 		if err := c.Provide(f); err != nil {
@@ -110,7 +110,7 @@
 	return l, nil
 }
 
-// linkAddress is the links' ip:port, known before the links are opened.
+// linkAddress is the links' ip:port, which is fixed before the links are opened.
 type linkAddress string
 
 func newNode(s Settings, id identity, l net.Listener) (*node.Node, linkAddress, error) {
@@ -162,14 +162,14 @@
 	return entry.New(h, s.KeySecret, options...)
 }
 
-func newRunning(s Settings, id identity, h *host.Host, t *supervise.Tree, l *peer.Links, e *entry.Server, ln net.Listener, p *platform.Client, u *upstream.Client, r metrics.Registry) *ServeHost {
+func newServeHost(s Settings, id identity, h *host.Host, t *supervise.Tree, l *peer.Links, e *entry.Server, ln net.Listener, p *platform.Client, u *upstream.Client, r metrics.Registry) *ServeHost {
 	return &ServeHost{
 		ID: id.host, Address: ln.Addr().String(), Host: h, Metrics: r,
 		settings: s, tree: t, links: l, entry: e, listener: ln, platform: p, upstream: u,
 	}
 }
 
-// Run serves until ctx ends, which stops the host at once, or until the graceful
+// Run serves until ctx ends, which stops the host immediately, or until the graceful
 // shutdown that Leave starts is complete. It returns a Fenced error if the host has
 // lost its lease.
 func (r *ServeHost) Run(ctx context.Context) error {
@@ -183,18 +183,18 @@
 	done := make(chan error, 1)
 	go func() { done <- r.tree.Serve(all) }()
 	log.WithFields(log.Fields{"host": string(r.ID), "callers": r.Address}).Info("serving")
-	var left host.LeaveCompleted
+	var completed host.LeaveCompleted
 	select {
 	case <-ctx.Done():
-	case left = <-r.Host.Done():
+	case completed = <-r.Host.Done():
 	}
 	cancel()
 	<-done
 	_ = r.listener.Close()
 	r.platform.Close()
 	r.upstream.Close()
-	log.WithFields(log.Fields{"host": string(r.ID), "fenced": left.Fenced}).Info("stopped")
-	if left.Fenced {
+	log.WithFields(log.Fields{"host": string(r.ID), "fenced": completed.Fenced}).Info("stopped")
+	if completed.Fenced {
 		return Fenced.New("host %s must rejoin under a new identity", r.ID)
 	}
 	return nil
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -25,7 +25,7 @@
 	"gentiancroft/internal/upstream"
 )
 
-// PlatformAdapter holds the platform's parts of a relaying host.
+// PlatformAdapter holds the platform-specific parts of a relaying host.
 type PlatformAdapter struct {
 	Executors       func(store string, client *upstream.Client) gateway.Executors
 	Dialect         relay.Dialect
@@ -88,7 +88,7 @@
 		newGateway,
 		newRelayLinks,
 		newRelayServer,
-		newRelaying,
+		newRelayHost,
 	}
 	for _, f := range constructors {
 		if err := c.Provide(f); err != nil {
@@ -158,9 +158,9 @@
 }
 
 func newGateway(s *settings.Relay, a PlatformAdapter, m *relaynode.Machine, client *upstream.Client, late *lateBoundSender, k *linkCertificate, r metrics.Registry) *gateway.Gateway {
-	carriers := a.Executors(s.Store, client)
-	carriers.Links = late
-	g := gateway.New(m, carriers, newBootClock(), r)
+	executors := a.Executors(s.Store, client)
+	executors.Links = late
+	g := gateway.New(m, executors, newBootClock(), r)
 	k.trust = g.Trusted
 	return g
 }
@@ -186,7 +186,7 @@
 	return relay.New(g, client, a.Dialect, limits, r)
 }
 
-func newRelaying(s *settings.Relay, a PlatformAdapter, r metrics.Registry, t *supervise.Tree, g *gateway.Gateway, l *peer.Links, server *relay.Server) *RelayHost {
+func newRelayHost(s *settings.Relay, a PlatformAdapter, r metrics.Registry, t *supervise.Tree, g *gateway.Gateway, l *peer.Links, server *relay.Server) *RelayHost {
 	running := &RelayHost{adapter: a, registry: r, tree: t, gateway: g, links: l, server: server}
 	running.settings.Store(s)
 	return running
