--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -24,7 +24,8 @@
 var (
 	// NotReached is the class of errors before any byte of a request was sent.
 	NotReached = errs.Class("upstream not reached")
-	// Broken is the class of errors after a request was sent: the upstream may have run it.
+	// Broken is the class of errors after a request was sent: the upstream may have run
+	// it.
 	Broken = errs.Class("upstream connection broken")
 	// AnswerTooLong is the class of errors for an answer over its maximum size.
 	AnswerTooLong = errs.Class("upstream answer too long")
@@ -35,7 +36,8 @@
 	dialTimeout     = 2 * time.Second
 	writeTimeout    = 5 * time.Second
 	readBufferBytes = 16 << 10 // also the maximum size of an answer's header
-	// MaxAnswerBytes is the maximum size in bytes of an answer that is buffered completely.
+	// MaxAnswerBytes is the maximum size in bytes of an answer that is buffered
+	// completely.
 	MaxAnswerBytes = 8 << 20
 )
 
@@ -60,8 +62,8 @@
 	// Prepared is the complete request, to be sent unchanged. If it is set, Method,
 	// Path, Headers, Body and the header fields derived from the others are not used.
 	Prepared *fasthttp.Request
-	// Matches reports whether an answer belongs to this call; one that doesn't is
-	// read and discarded. Nil accepts every answer.
+	// Matches reports whether an answer belongs to this call; any other answer is read
+	// and discarded. Nil accepts every answer.
 	Matches func(*fasthttp.ResponseHeader) bool
 	// MaxIdle is how long a kept connection may have been idle at most; 0: as long as
 	// connections are kept.
@@ -163,8 +165,8 @@
 }
 
 // NewClient returns a client. Its metrics go to registry, or to a new one if that is
-// nil. now is the host's clock; with nil, Call.Until is not checked and load reports
-// have no time.
+// nil. now is the host's clock; with nil, Call.SendBefore is not checked and load
+// reports have no time.
 func NewClient(registry metrics.Registry, now func() core.Instant) *Client {
 	if registry == nil {
 		registry = metrics.NewRegistry()
@@ -183,7 +185,7 @@
 // Do sends a call once and returns its answer. The connection is closed as soon as ctx
 // ends, also before the answer's header. Errors are of class NotReached or Broken. An
 // error after sending is Broken even if the upstream closed a kept connection at that
-// moment: it may have crashed on this very request, so retrying is left to the caller.
+// moment: it may have crashed on this request, so retrying is left to the caller.
 func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
 	c.count(call, "calls")
 	conn, err := c.connect(ctx, call)
@@ -257,7 +259,7 @@
 // Read implements io.Reader.
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
-// ReadBody reads the body of an answer. The error is TooLong if it is over limit
+// ReadBody reads the body of an answer. The error is AnswerTooLong if it is over limit
 // bytes, and Broken if it is incomplete.
 func ReadBody(a *Answer, limit int) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(a.Body, int64(limit)+1))
@@ -270,7 +272,7 @@
 	return b, nil
 }
 
-// drainTimeout is how long Settle waits for the end of an answer.
+// drainTimeout is how long CloseAfterDrain waits for the end of an answer.
 const drainTimeout = time.Second
 
 // CloseAfterDrain ends a call whose content is complete, such as a stream after [DONE]. It
@@ -292,8 +294,8 @@
 	}()
 }
 
-// ConnectionClosed reports whether an upstream closed or reset the connection in the middle of
-// a call, as happens when it crashes.
+// ConnectionClosed reports whether an upstream closed or reset the connection in the
+// middle of a call, as happens when it crashes.
 func ConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -75,7 +75,7 @@
 	call(false, true)
 	is.Equal(connections.Load(), int32(2)) // the connection of an unread answer is closed
 	call(true, true)
-	is.Equal(connections.Load(), int32(3)) // a call with Once set uses a new connection
+	is.Equal(connections.Load(), int32(3)) // a call with NewConnection set uses a new connection
 }
 
 func TestTruncatedAnswersAreBroken(t *testing.T) {
@@ -127,7 +127,7 @@
 	is.Equal(fence.Load(), "9")
 	now = 11
 	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, NoEffect: true})
-	is.Equal(orders.Load(), int32(1)) // nothing is sent at or after Until
+	is.Equal(orders.Load(), int32(1)) // nothing is sent at or after Grant.Until
 	reads := 0
 	o.Now = func() core.Instant { reads++; return core.Instant(10 + reads/2) }
 	is.Equal(o.Do(context.Background(), order), core.OrderDone{ID: 7, NoEffect: true})
--- a/internal/upstream/orders.go
+++ b/internal/upstream/orders.go
@@ -24,9 +24,9 @@
 	Path string `json:"lora_path,omitempty"`
 }
 
-// Do carries out an order and returns its result. OrderDone.Sure is false if the order
-// may or may not have taken effect. A failed order certainly has none only if it was never
-// sent, or if the engine's answer says so by a 4xx status or X-Ran: no.
+// Do carries out an order and returns its result. For a failed order,
+// OrderDone.NoEffect reports whether it certainly has no effect: it was never sent, or
+// the engine's answer says so by a 4xx status or X-Ran: no.
 func (s OrderClient) Do(ctx context.Context, o core.AdapterOrder) core.OrderDone {
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -29,29 +29,29 @@
 }
 
 // get returns a kept connection that is still open and has been idle for less than
-// fresh (0: as long as connections are kept), or nil if there is none.
-func (p *pool) get(address string, fresh time.Duration) *conn {
+// callLimit (0: as long as connections are kept), or nil if there is none.
+func (p *pool) get(address string, callLimit time.Duration) *conn {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			return nil
 		}
-		if time.Since(c.idleSince) < c.maxIdle(fresh) && isOpen(c) {
+		if time.Since(c.idleSince) < c.maxIdle(callLimit) && isOpen(c) {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-// maxIdle returns how long a connection may have been idle to be used again: well
-// within the time after which the upstream closes it.
-func (c *conn) maxIdle(fresh time.Duration) time.Duration {
+// maxIdle returns how long a connection may have been idle to be used again: at most
+// callLimit (0: no limit), and well within the time after which the upstream closes it.
+func (c *conn) maxIdle(callLimit time.Duration) time.Duration {
 	limit := defaultIdleTimeout
 	if c.serverIdleTimeout > 0 {
 		limit = min(maxIdleTimeout, c.serverIdleTimeout*2/3)
 	}
-	if fresh > 0 {
-		limit = min(limit, fresh)
+	if callLimit > 0 {
+		limit = min(limit, callLimit)
 	}
 	return limit
 }
