--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -14,7 +14,7 @@
 	droppedRingFull, droppedStale, droppedLinkBroke metrics.Counter // payloads dropped: ring full, too old, link broken
 	refusedOversized                                metrics.Counter
 	dialsConnected, dialsFailed                     metrics.Counter
-	dialsMerged                                     metrics.Counter // own connections released in favour of the one that the peer dialled
+	dialsMerged                                     metrics.Counter // own connections released in favour of the peer's
 	inboundRefused, inboundBroken                   metrics.Counter // inbound connections closed for a bad hello or a bad frame
 	outboundOpen, inboundOpen                       metrics.Counter // links open at present
 }
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -2,9 +2,9 @@
 //
 // A message is an opaque payload. It may be lost (full ring, broken link, failed peer),
 // and messages may arrive out of order; retries are left to the sender. To send, a host
-// uses a connection that the peer opened, or else dials. Two hosts that send to
-// each other therefore need one connection, or for a short time two if both dialled at
-// once.
+// uses a connection that the peer opened, or else dials. Two hosts that send to each
+// other therefore need one connection, or for a short time two if both dialled at the
+// same time.
 package peer
 
 import (
@@ -54,13 +54,13 @@
 	Registry    metrics.Registry // nil: a new one
 	IdleTimeout time.Duration    // after it, an unused link or one whose peer doesn't answer is closed; 0: defaultIdleTimeout
 
-	// Admit reports whether a peer with a certificate of this common name may send
-	// as a host and receive what is sent to that host. Nil means NamedHost.
+	// Admit reports whether a peer with a certificate of this common name may send as a
+	// host and receive what is sent to that host. Nil means MatchesCommonName.
 	Admit func(commonName string, host core.HostID) bool
 }
 
-// MatchesCommonName reports whether a host's identity is the certificate's common name, or that
-// name followed by a slash and the number of this run of the process.
+// MatchesCommonName reports whether a host's identity is the certificate's common name,
+// or that name followed by a slash and the number of this run of the process.
 func MatchesCommonName(commonName string, host core.HostID) bool {
 	return string(host) == commonName || strings.HasPrefix(string(host), commonName+"/")
 }
--- a/internal/peer/material.go
+++ b/internal/peer/material.go
@@ -32,8 +32,8 @@
 	Trust func(host core.HostID, fingerprint string) bool
 }
 
-// NewPinnedMaterial generates a self-signed certificate for a host, whose peers verify it by its
-// fingerprint. Its key exists only in this process.
+// NewPinnedMaterial generates a self-signed certificate for a host, whose peers verify
+// it by its fingerprint. Its key exists only in this process.
 func NewPinnedMaterial(host core.HostID, trust func(core.HostID, string) bool) (m Material, fingerprint string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/peer/outbound.go
+++ b/internal/peer/outbound.go
@@ -148,8 +148,8 @@
 }
 
 // isSurplus reports whether this host should give up the connection that it dialled. If
-// both hosts of a pair dialled at once, both keep the connection that the host with the
-// lower identity opened; the other connection ends by its idle timeout.
+// both hosts of a pair dialled at the same time, both keep the connection that the host
+// with the lower identity opened; the other connection ends by its idle timeout.
 func (p *outbound) isSurplus() bool {
 	return p.dialedAddress != "" && p.to < p.links.settings.Self && p.links.verifiedConn(p.to) != nil
 }
--- a/internal/peer/ring.go
+++ b/internal/peer/ring.go
@@ -24,8 +24,9 @@
 	wake     chan struct{}
 }
 
-// initialRingSize is the capacity in payloads of a new ring and of one that has emptied
-// after a burst. Most links never need more, and a host may have hundreds of links.
+// initialRingSize is the capacity in payloads of a new ring and of a ring that has been
+// emptied after a burst. Most links never need more, and a host may have hundreds of
+// links.
 const initialRingSize = 8
 
 func newRing(maxItems, maxBytes int) *ring {
