--- a/internal/core/fleet/active.go
+++ b/internal/core/fleet/active.go
@@ -9,10 +9,11 @@
 )
 
 // In a small fleet every host is active: it is advertised to callers and exchanges
-// heartbeats with all others. In a larger one only the strongest hosts are, as many as
-// the load needs. The others are standby hosts: they answer callers that reach them
-// with the addresses of the active hosts, and replace active hosts that become
-// unreachable. The cost per host then follows the load, not the size of the fleet.
+// heartbeats with all others. In a larger one only the hosts of the largest capacity
+// are active, as many as the load needs. The others are standby hosts: they answer
+// callers that reach them with the addresses of the active hosts, and replace active
+// hosts that become unreachable. The cost per host then follows the load, not the size
+// of the fleet.
 
 const (
 	// MaxAllActive is the largest size of a fleet whose hosts are all active.
@@ -21,8 +22,8 @@
 	minActiveHosts = 3
 	// MinActiveCapacity is the minimum capacity of the active hosts, in cores.
 	MinActiveCapacity = 2.4
-	// similarFraction is the fraction of the strongest host's capacity from which a
-	// host is active even if the load doesn't need it.
+	// similarFraction is the fraction of the largest host's capacity from which a host
+	// is active even if the load doesn't need it.
 	similarFraction = 0.5
 	// presumedTimeout is how long a newly registered host without heartbeats counts as
 	// reachable.
@@ -31,8 +32,8 @@
 	activeScoreKind = 37
 )
 
-// SelectActive chooses the active hosts so that they carry need, in cores.
-func (f *Fleet) SelectActive(now core.Instant, need float64) {
+// SelectActive chooses the active hosts so that they carry requiredCapacity, in cores.
+func (f *Fleet) SelectActive(now core.Instant, requiredCapacity float64) {
 	f.large = f.Size(now) > MaxAllActive
 	if !f.large {
 		f.selfActive = true
@@ -41,7 +42,7 @@
 		}
 		return
 	}
-	chosen := choose(f.candidates(now), need)
+	chosen := choose(f.candidates(now), requiredCapacity)
 	lost := f.lostCapacity(now) > 0
 	f.selfPromoted = isPromoted(f.selfPromoted, f.selfActive, lost)
 	f.selfActive = chosen[f.self.Name]
@@ -54,14 +55,16 @@
 
 // isPromoted reports whether a host that is active now replaces an unreachable one:
 // it was not active before, or was promoted already.
-func isPromoted(already, active, lost bool) bool { return lost && (already || !active) }
+func isPromoted(wasPromoted, wasActive, hostLost bool) bool {
+	return hostLost && (wasPromoted || !wasActive)
+}
 
 // lostCapacity is the capacity, in cores, of the hosts that were active until they
 // became unreachable.
 func (f *Fleet) lostCapacity(now core.Instant) float64 {
 	sum := 0.0
 	for _, p := range f.peers {
-		if p.wasActive && !p.leaving && !p.forgotten(now) && !f.reachable(now, p) {
+		if p.wasActive && !p.leaving && !p.expired(now) && !f.reachable(now, p) {
 			sum += capacityOf(p.Registration)
 		}
 	}
@@ -126,8 +129,8 @@
 	return candidate{name: r.Name, capacity: capacityOf(r), score: core.Score(core.HostID(r.Name), activeScoreKind, "")}
 }
 
-// candidates are the hosts that are reachable or presumed so and not leaving, the
-// strongest first.
+// candidates are the hosts that are reachable or presumed so and not leaving, in
+// descending order of capacity.
 func (f *Fleet) candidates(now core.Instant) []candidate {
 	var all []candidate
 	if !f.self.Leaving {
@@ -145,16 +148,16 @@
 	return all
 }
 
-// choose returns the names of the active hosts: the fewest of the strongest that carry
-// need, in cores, and those of similar capacity up to the size of a small fleet.
-// Callers spread evenly over the active hosts, so the weakest of them bounds what all
-// can carry.
-func choose(sorted []candidate, need float64) map[string]bool {
+// choose returns the names of the active hosts: the smallest number of the largest that
+// carry requiredCapacity, in cores, and those of similar capacity up to the size of a
+// small fleet. Callers spread evenly over the active hosts, so the smallest of them
+// bounds what all can carry.
+func choose(sorted []candidate, requiredCapacity float64) map[string]bool {
 	n := 0
 	for n < len(sorted) && n < MaxAllActive && sorted[n].capacity >= similarFraction*sorted[0].capacity {
 		n++
 	}
-	for n < len(sorted) && (n < minActiveHosts || float64(n)*sorted[n-1].capacity < need) {
+	for n < len(sorted) && (n < minActiveHosts || float64(n)*sorted[n-1].capacity < requiredCapacity) {
 		n++
 	}
 	names := make(map[string]bool, n)
@@ -198,8 +201,8 @@
 // contacts is how many active hosts a standby host sends heartbeats to.
 const contacts = 2
 
-// StandbyContacts returns the active hosts that this one sends heartbeats to while it is a
-// standby host. Hosts of its own failure domain are preferred.
+// StandbyContacts returns the active hosts that this host sends heartbeats to while it
+// is a standby host. Hosts of its own failure domain are preferred.
 func (f *Fleet) StandbyContacts() []Registration {
 	all := f.ActivePeers()
 	score := func(r Registration) uint64 {
@@ -221,32 +224,32 @@
 // the active hosts' heartbeats and is reported to others as ready.
 const standbyReportTimeout = 1600 * time.Millisecond
 
-// Standbys returns the standby hosts that sent this one a heartbeat lately, sorted by
-// name.
+// Standbys returns the standby hosts whose last direct heartbeat is at most
+// standbyReportTimeout old, sorted by name.
 func (f *Fleet) Standbys(now core.Instant) []Registration {
 	return f.registrations(func(p *peer) bool { return p.isDirectStandby(now) })
 }
 
-// isDirectStandby reports whether a peer is a standby host that sent this host a
-// heartbeat lately.
+// isDirectStandby reports whether a peer is a standby host whose last direct heartbeat
+// came within standbyReportTimeout.
 func (p *peer) isDirectStandby(now core.Instant) bool {
 	return !p.active && p.lastDirect != 0 && now.Sub(p.lastDirect) < standbyReportTimeout
 }
 
-// DirectStandbys returns the short numbers of the ready standby hosts that sent this one a
-// heartbeat lately, sorted.
+// DirectStandbys returns the core.ShortHash numbers of the ready standby hosts whose
+// last direct heartbeat came within standbyReportTimeout, sorted.
 func (f *Fleet) DirectStandbys(now core.Instant) []uint32 {
 	return f.readyStandbys(func(p *peer) bool { return p.isDirectStandby(now) })
 }
 
-// ReadyStandbys returns the short numbers of all reachable standby hosts that are ready,
-// sorted.
+// ReadyStandbys returns the core.ShortHash numbers of all reachable standby hosts that
+// are ready, sorted.
 func (f *Fleet) ReadyStandbys(now core.Instant) []uint32 {
 	return f.readyStandbys(func(p *peer) bool { return f.reachable(now, p) })
 }
 
-// readyStandbys returns the short numbers of the standby hosts that are ready, not
-// leaving and selected by keep, sorted.
+// readyStandbys returns the core.ShortHash numbers of the standby hosts that are ready,
+// not leaving and selected by keep, sorted.
 func (f *Fleet) readyStandbys(keep func(*peer) bool) []uint32 {
 	var all []uint32
 	for _, p := range f.peers {
@@ -258,7 +261,8 @@
 	return all
 }
 
-// ReceiveStandbyReport applies another host's report of ready standby hosts, by short number.
+// ReceiveStandbyReport applies another host's report of ready standby hosts, given by
+// their core.ShortHash numbers.
 func (f *Fleet) ReceiveStandbyReport(now core.Instant, hosts []uint32) {
 	for _, short := range hosts {
 		if p := f.shorts[short]; p != nil {
--- a/internal/core/fleet/active_test.go
+++ b/internal/core/fleet/active_test.go
@@ -10,8 +10,8 @@
 	"gentiancroft/internal/core"
 )
 
-// newMixedFleet returns a fleet as seen by its host w0: strong hosts of 0.8 cores,
-// named s0 and so on, and weak ones of 0.192, w0 and so on.
+// newMixedFleet returns a fleet as seen by its host w0: hosts of 0.8 cores, named s0
+// and so on, and hosts of 0.192 cores, w0 and so on.
 func newMixedFleet(now core.Instant, strong, weak int) *Fleet {
 	host := func(name string, capacity float64) Registration {
 		r := registration(name)
@@ -70,7 +70,7 @@
 	if f.Active() {
 		active++
 	}
-	is.Equal(active, 13) // 13 weak hosts of 0.192 cores carry the need
+	is.Equal(active, 13) // 13 hosts of 0.192 cores carry the need
 	is.True(f.IsActive("s0/1"))
 	is.True(!f.IsActive("s1/1"))
 }
@@ -81,7 +81,7 @@
 	heartbeatAll(f, start)
 	f.SelectActive(start, 4.8)
 	is.Equal(len(f.ActivePeers()), 6)
-	f.SelectActive(start, 10) // 53 weak hosts carry it
+	f.SelectActive(start, 10) // 53 hosts of 0.192 cores carry it
 	is.True(len(f.ActivePeers()) >= 52)
 }
 
@@ -145,7 +145,7 @@
 	}
 }
 
-// After a power loss of all hosts the active ones reach each other at once. They must
+// After a power loss of all hosts the active ones reach each other first. They must
 // admit at the fleet's full rate without waiting for the standby hosts.
 func TestReachableFractionOfLargeFleetCountsActiveHostsOnly(t *testing.T) {
 	is := is.New(t)
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -34,9 +34,9 @@
 	relayedTimeout = 1800 * time.Millisecond
 	// standbyTimeout is the same for a standby host.
 	standbyTimeout = 3500 * time.Millisecond
-	// forgetTimeout is how long a registered host without heartbeats still counts as
-	// part of the fleet.
-	forgetTimeout = 20 * time.Second
+	// peerTTL is how long a registered host without heartbeats still counts as part of
+	// the fleet.
+	peerTTL = 20 * time.Second
 	// maxAddresses bounds the addresses that callers get.
 	maxAddresses = 64
 )
@@ -60,7 +60,7 @@
 	self   Registration
 	peers  map[string]*peer      // by name, without this host
 	hosts  map[core.HostID]*peer // the same by process id
-	shorts map[uint32]*peer      // the same by core.Short of the name
+	shorts map[uint32]*peer      // the same by core.ShortHash of the name
 	digest uint64                // of the registrations; 0: not computed yet
 
 	large      bool // not all hosts are active
@@ -80,8 +80,8 @@
 	}
 }
 
-// UpdateRegistration adds or updates a registration. It reports whether this changed anything; this
-// host's own registration is ignored.
+// UpdateRegistration adds or updates a registration. It reports whether this changed
+// anything; this host's own registration is ignored.
 func (f *Fleet) UpdateRegistration(now core.Instant, r Registration) bool {
 	if r.Name == f.self.Name {
 		return false
@@ -123,8 +123,8 @@
 	}
 }
 
-// ReceiveHeartbeat records a heartbeat of a host; direct means that it came from the host itself.
-// It returns false for a host that isn't registered.
+// ReceiveHeartbeat records a heartbeat of a host; direct means that it came from the
+// host itself. It returns false for a host that isn't registered.
 func (f *Fleet) ReceiveHeartbeat(now core.Instant, from core.HostID, direct, ready, leaving bool) bool {
 	p := f.hosts[from]
 	if p == nil {
@@ -154,10 +154,10 @@
 	return HeartbeatTimeout
 }
 
-// forgotten reports whether a peer has been unreachable so long that it no longer
-// counts as part of the fleet.
-func (p *peer) forgotten(now core.Instant) bool {
-	return now.Sub(max(p.lastHeartbeat, p.listedAt)) > forgetTimeout
+// expired reports whether a peer has been unreachable so long that it no longer counts
+// as part of the fleet.
+func (p *peer) expired(now core.Instant) bool {
+	return now.Sub(max(p.lastHeartbeat, p.listedAt)) > peerTTL
 }
 
 // ByName returns another host's registration by the host's name.
@@ -191,16 +191,16 @@
 	return now.Sub(p.lastHeartbeat)
 }
 
-// ReachableFraction is the fraction of the fleet that this host reaches, itself included, in
-// (0, 1]. In a large fleet it is a fraction of the capacity of the hosts that are
-// active or were until they became unreachable; standby hosts don't count.
+// ReachableFraction is the fraction of the fleet that this host reaches, itself
+// included, in (0, 1]. In a large fleet it is a fraction of the capacity of the hosts
+// that are active or were until they became unreachable; standby hosts don't count.
 func (f *Fleet) ReachableFraction(now core.Instant) float64 {
 	if f.large {
 		return f.reachableActiveFraction(now)
 	}
 	total, reached := 1, 1
 	for _, p := range f.peers {
-		if p.forgotten(now) {
+		if p.expired(now) {
 			continue
 		}
 		total++
@@ -215,7 +215,7 @@
 func (f *Fleet) Size(now core.Instant) int {
 	all := 1
 	for _, p := range f.peers {
-		if !p.forgotten(now) {
+		if !p.expired(now) {
 			all++
 		}
 	}
@@ -224,7 +224,7 @@
 
 // Peers returns the registrations of the other hosts of the fleet, sorted by name.
 func (f *Fleet) Peers(now core.Instant) []Registration {
-	return f.registrations(func(p *peer) bool { return !p.forgotten(now) })
+	return f.registrations(func(p *peer) bool { return !p.expired(now) })
 }
 
 // registrations returns those of the peers that keep selects, sorted by name.
@@ -276,7 +276,7 @@
 		}
 	}
 	for _, p := range f.peers {
-		if p.leaving || p.forgotten(now) {
+		if p.leaving || p.expired(now) {
 			continue
 		}
 		if f.reachable(now, p) && p.ready {
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -55,8 +55,8 @@
 	is.Equal(f.ReachableFraction(start), 0.25)
 	f.ReceiveHeartbeat(start, "a/1", true, true, false)
 	is.Equal(f.ReachableFraction(start), 0.5)
-	is.Equal(f.ReachableFraction(start.Add(forgetTimeout)), 0.25)
-	is.Equal(f.ReachableFraction(start.Add(forgetTimeout+HeartbeatTimeout)), 1.0) // the others no longer count as part of the fleet
+	is.Equal(f.ReachableFraction(start.Add(peerTTL)), 0.25)
+	is.Equal(f.ReachableFraction(start.Add(peerTTL+HeartbeatTimeout)), 1.0) // the others no longer count as part of the fleet
 }
 
 func TestRestartedHostIsANewOne(t *testing.T) {
