--- a/internal/core/residency/demand.go
+++ b/internal/core/residency/demand.go
@@ -54,8 +54,9 @@
 	r.uses[u.Adapter][from] = use{running: u.Running, at: now}
 }
 
-// SetNewestVersion sets an adapter's newest version. A replica with an older one loads the new
-// one when the old one is idle, if requests have named the adapter lately.
+// SetNewestVersion sets an adapter's newest version. A replica with an older version
+// loads the newest when the older one is idle, if the adapter's popularity is at least
+// minUpgradePopularity.
 func (m *Machine) SetNewestVersion(model core.BaseModel, a core.AdapterRef) {
 	m.newest[a.ID] = newestVersion{model: model, version: a.Version}
 }
--- a/internal/core/residency/machine.go
+++ b/internal/core/residency/machine.go
@@ -32,7 +32,7 @@
 	sorted      []*replica // the same, sorted by id; nil: not sorted yet
 	services    map[table.ServiceID]limits
 	newest      map[core.AdapterID]newestVersion
-	maxFetches  int    // adapters that may be loaded from the weight store at once
+	maxFetches  int    // maximum number of concurrent loads from the weight store
 	lastOrderID uint64 // id of the latest order
 	byOrder     map[uint64]*replica
 }
@@ -128,13 +128,14 @@
 	Address string
 }
 
-// Tick returns the orders and probes that are due at the replicas that act allows.
-func (m *Machine) Tick(now core.Instant, act FenceFunc) Output {
+// Tick returns the orders and probes that are due at the replicas that this host may
+// order according to fenceOf.
+func (m *Machine) Tick(now core.Instant, fenceOf FenceFunc) Output {
 	var out Output
-	m.updateFetchLimit(act)
+	m.updateFetchLimit(fenceOf)
 	var fetches []fetchCandidate
 	for _, r := range m.all() {
-		fence, ok := act(r.id)
+		fence, ok := fenceOf(r.id)
 		if !ok {
 			continue
 		}
@@ -159,12 +160,13 @@
 	return m.sorted
 }
 
-// ChangedResidencies returns the residency of the replicas that act allows: of all of them, or
-// of those whose residency has changed since the last call.
-func (m *Machine) ChangedResidencies(act FenceFunc, all bool) []replicas.Residency {
+// ChangedResidencies returns the residency of the replicas that this host may order
+// according to fenceOf: of all of them, or of those whose residency has changed since
+// the last call.
+func (m *Machine) ChangedResidencies(fenceOf FenceFunc, all bool) []replicas.Residency {
 	var changed []replicas.Residency
 	for _, r := range m.all() {
-		if _, ok := act(r.id); !ok || !r.synced || !r.changed && !all {
+		if _, ok := fenceOf(r.id); !ok || !r.synced || !r.changed && !all {
 			continue
 		}
 		r.changed = false
--- a/internal/core/residency/machine_test.go
+++ b/internal/core/residency/machine_test.go
@@ -242,9 +242,9 @@
 	is.Equal(loaded(m), []core.AdapterID{"x"})
 }
 
-// Guards against replacing an adapter in use: a replica ordered to load a newer
-// version of a popular adapter waited 4 s for its runs and refused requests for the
-// adapter meanwhile.
+// Guards against replacing an adapter in use: a replica ordered to load a newer version
+// of a popular adapter waited 4 s for its runs and refused requests for the adapter
+// during that time.
 func TestNewerVersionWaitsUntilOldOneIsIdle(t *testing.T) {
 	is := is.New(t)
 	m, e := newMachine(2), newEngine(2)
--- a/internal/core/residency/order.go
+++ b/internal/core/residency/order.go
@@ -35,11 +35,11 @@
 // owns few replicas.
 const minFetches = 2
 
-// updateFetchLimit sets how many adapters may be loaded from the weight store at once.
-func (m *Machine) updateFetchLimit(act FenceFunc) {
+// updateFetchLimit sets how many loads from the weight store may run concurrently.
+func (m *Machine) updateFetchLimit(fenceOf FenceFunc) {
 	ordered := 0
 	for _, r := range m.all() {
-		if _, ok := act(r.id); ok && m.services[r.service].slots > 0 {
+		if _, ok := fenceOf(r.id); ok && m.services[r.service].slots > 0 {
 			ordered++
 		}
 	}
@@ -93,8 +93,8 @@
 	out.Orders = append(out.Orders, o)
 }
 
-// loadOrder returns the order that loads a demand's adapter or, if all slots are
-// taken, one that evicts another adapter; false if none can be evicted.
+// loadOrder returns the order that loads a demand's adapter or, if all slots are taken,
+// the order that evicts another adapter; false if none can be evicted.
 func (m *Machine) loadOrder(now core.Instant, r *replica, d *demand) (Order, bool) {
 	replaces := r.residents[d.merged.Adapter.ID] != nil
 	if len(r.residents) >= m.services[r.service].slots && !replaces {
@@ -112,7 +112,7 @@
 	return Order{Load: true, Model: limit.models[0].Name}, true
 }
 
-// evictionOrder returns the order that unloads the lowest popular adapter, and false if
+// evictionOrder returns the order that unloads the least popular adapter, and false if
 // none may be evicted or an unload is in progress. Invariant: an adapter with running
 // requests that have been reported isn't unloaded.
 func (m *Machine) evictionOrder(now core.Instant, r *replica, model core.BaseModel) (Order, bool) {
--- a/internal/core/residency/outcome.go
+++ b/internal/core/residency/outcome.go
@@ -13,8 +13,8 @@
 	return *r.order, true
 }
 
-// ApplyOrderResult applies the result of an order. After an unexpected or unknown result the
-// replica's state is read again. Unknown ids are ignored.
+// ApplyOrderResult applies the result of an order. After an unexpected or unknown
+// result the replica's state is read again. Unknown ids are ignored.
 func (m *Machine) ApplyOrderResult(now core.Instant, d OrderDone) {
 	r := m.byOrder[d.ID]
 	if r == nil {
@@ -37,7 +37,7 @@
 		}
 		r.applyAccepted(now, o)
 	case AlreadyDone:
-		r.applyHolds(now, o, wasCheck)
+		r.applyAlreadyDone(now, o, wasCheck)
 	case Conflict, WrongReplica, Invalid:
 		r.resync(now)
 	case Unknown:
@@ -95,8 +95,8 @@
 	}
 }
 
-// applyHolds applies the answer that the replica is in the ordered state.
-func (r *replica) applyHolds(now core.Instant, o Order, wasCheck bool) {
+// applyAlreadyDone applies the answer that the replica is in the ordered state.
+func (r *replica) applyAlreadyDone(now core.Instant, o Order, wasCheck bool) {
 	r.changed = true
 	switch {
 	case o.Adapter.ID == "":
@@ -111,14 +111,14 @@
 	default:
 		delete(r.residents, o.Adapter.ID)
 		if !wasCheck {
-			r.sequence++ // an unused adapter is unloaded at once, which counts as an accepted order
+			r.sequence++ // an unused adapter is unloaded immediately, which counts as an accepted order
 		}
 	}
 }
 
-// ApplyReport applies a replica's report. A failed report, one of another start, one
-// older than the known state and one that comes while an order is open are ignored,
-// and a new probe is scheduled.
+// ApplyReport applies a replica's report. Reports that failed, are of another start,
+// are older than the known state or arrive while an order is open are ignored, and a
+// new probe is scheduled.
 func (m *Machine) ApplyReport(now core.Instant, report Report) {
 	r := m.byID[report.Replica]
 	if r == nil {
--- a/internal/core/residency/replica.go
+++ b/internal/core/residency/replica.go
@@ -62,7 +62,7 @@
 	r.sequence, r.synced, r.changed = sequence, true, true
 	r.residents = map[core.AdapterID]*resident{}
 	r.models = map[core.BaseModel]int{}
-	take := func(a core.AdapterRef, st state) {
+	add := func(a core.AdapterRef, st state) {
 		res := &resident{version: a.Version, state: st, since: now, lastUsed: now}
 		if o := old[a.ID]; o != nil {
 			res.lastUsed = o.lastUsed
@@ -78,12 +78,12 @@
 	for _, model := range models {
 		r.models[model.Name] = model.Version
 		for _, a := range model.Adapters {
-			take(a, ready)
+			add(a, ready)
 			r.copies[a.ID] = true
 		}
 	}
 	for _, a := range pending {
-		take(a, loading)
+		add(a, loading)
 	}
 }
 
--- a/internal/core/residency/types.go
+++ b/internal/core/residency/types.go
@@ -93,7 +93,7 @@
 // defaults.
 type Settings struct {
 	Self              core.HostID
-	MaxLoads          int           // maximum number of adapters that one replica loads at once
+	MaxLoads          int           // maximum number of adapters that one replica loads concurrently
 	FetchesPerReplica float64       // maximum number of concurrent loads from the weight store, per replica that this host owns
 	DemandTTL         time.Duration // after which a demand that is not repeated is dropped
 }
