--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -15,8 +15,8 @@
 
 // Bounds of an answer.
 const (
-	// AnswerTTL is how long a caller may cache an answer. A leaving host continues to serve
-	// for at least this long after it has left the directory.
+	// AnswerTTL is how long a caller may cache an answer. A leaving host continues to
+	// serve for at least this long after it has left the directory.
 	AnswerTTL = 10 * time.Second
 	// UnsureAnswerTTL is the same if hosts are suspected or a home is overloaded.
 	UnsureAnswerTTL = 3 * time.Second
@@ -24,7 +24,8 @@
 	MinHomes = 2
 	// MaxAddresses is the maximum of addresses in an answer.
 	MaxAddresses = 8
-	// SaturatedLoad is the fraction of capacity in use from which a host is ordered last.
+	// SaturatedLoad is the utilization, as a fraction of capacity, from which a host is
+	// ordered last.
 	SaturatedLoad = 0.9
 )
 
@@ -54,8 +55,8 @@
 // Entries chooses the hosts for a caller, at least one if there is any member: a
 // leaving or suspected host is better than none.
 func Entries(in Input) Answer {
-	live, unsure := usableMembers(in)
-	homes := chooseHomes(live, in)
+	usable, unsure := usableMembers(in)
+	homes := chooseHomes(usable, in)
 	order(homes, in)
 	answer := Answer{TTL: AnswerTTL}
 	if unsure || overloaded(homes, in) {
@@ -71,26 +72,26 @@
 // usableMembers returns the members that can serve a new caller. If there are none, it
 // falls back to suspected hosts, then to leaving ones. Unsure is true if any host is
 // suspected or a fallback was used.
-func usableMembers(in Input) (live []core.Member, unsure bool) {
+func usableMembers(in Input) (usable []core.Member, unsure bool) {
 	leaving := func(m core.Member) bool { return m.Leaving || slices.Contains(in.Leaving, m.Address) }
 	suspected := func(m core.Member) bool { return slices.Contains(in.Suspected, m.Host) }
 	for _, m := range in.Members {
 		if !leaving(m) && !suspected(m) {
-			live = append(live, m)
+			usable = append(usable, m)
 		}
 	}
-	if len(live) > 0 {
-		return live, len(in.Suspected) > 0
+	if len(usable) > 0 {
+		return usable, len(in.Suspected) > 0
 	}
 	for _, m := range in.Members {
 		if !leaving(m) {
-			live = append(live, m)
+			usable = append(usable, m)
 		}
 	}
-	if len(live) == 0 {
-		live = slices.Clone(in.Members)
+	if len(usable) == 0 {
+		usable = slices.Clone(in.Members)
 	}
-	return live, true
+	return usable, true
 }
 
 // HomeCount is the number of n hosts that a workspace with a share of all rates is spread
@@ -105,11 +106,11 @@
 // chooseHomes chooses a workspace's homes by rendezvous hash, taking failure domains in
 // turn. A membership change moves only the affected homes, and the loss of a failure
 // domain leaves homes in the others.
-func chooseHomes(live []core.Member, in Input) []core.Member {
+func chooseHomes(usable []core.Member, in Input) []core.Member {
 	if in.Workspace == "" {
-		return slices.Clone(live)
+		return slices.Clone(usable)
 	}
-	ranked := slices.Clone(live)
+	ranked := slices.Clone(usable)
 	slices.SortFunc(ranked, func(a, b core.Member) int {
 		sa := core.Score(a.Host, homeScoreKind, string(in.Workspace))
 		sb := core.Score(b.Host, homeScoreKind, string(in.Workspace))
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -29,7 +29,8 @@
 const maxRetryAfter = 2 * time.Second
 
 // joinFraction is the fraction of the burst that a bucket starts with on a host that
-// joins a running fleet. It is low because all hosts may have restarted at once.
+// joins a running fleet. It is low because all hosts may have restarted at the same
+// time.
 const joinFraction = 0.15
 
 // Totals are the tokens that one host has admitted since it started, by workspace.
@@ -127,8 +128,8 @@
 	return levels
 }
 
-// SetReachableFraction sets the fraction of the fleet that this host reaches, itself included, in
-// (0, 1].
+// SetReachableFraction sets the fraction of the fleet that this host reaches, itself
+// included, in (0, 1].
 func (m *Machine) SetReachableFraction(now core.Instant, fraction float64) {
 	if fraction == m.reachableFraction {
 		return
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -44,8 +44,8 @@
 	is.True(!ok)
 }
 
-// All hosts restart at once while a workspace sends 4.7 times its rate. Every window of
-// 8 s must stay within the allowed overshoot of a tenth plus the slack.
+// All hosts restart at the same time while a workspace sends 4.7 times its rate. Every
+// window of 8 s must stay within the allowed overshoot of a tenth plus the slack.
 func TestRestartedFleetKeepsTheRate(t *testing.T) {
 	is := is.New(t)
 	const hosts, rate, burst, cost, every = 8, 94030.0, 94030.0, 1100, 100 * time.Millisecond
@@ -168,7 +168,7 @@
 }
 
 // After a restart of a host a workspace within its rate must not be refused, and one
-// that exceeded its rate must get nothing back.
+// that exceeded its rate must not have its debt cancelled.
 func TestRestartRestoresBucketLevels(t *testing.T) {
 	is := is.New(t)
 	old := New(false)
--- a/internal/core/replicas/replicas.go
+++ b/internal/core/replicas/replicas.go
@@ -55,7 +55,7 @@
 	reportedOrders uint64       // accepted by the replica as of that report
 }
 
-// Load is the number of requests at the replica, as far as this host knows.
+// Load is the number of requests at the replica, as known to this host.
 func (r *Replica) Load() int { return r.OwnRequests + r.OtherRequests }
 
 // Occupancy is the load divided by the batch size.
@@ -80,21 +80,21 @@
 
 // Times.
 const (
-	// lapseGrace is how long after the end of a store outage the list may lack live
-	// replicas: entries expire during the outage and are then written again.
-	lapseGrace = 2200 * time.Millisecond
+	// outageGracePeriod is how long after the end of a store outage the list may lack
+	// running replicas: entries expire during the outage and are then written again.
+	outageGracePeriod = 2200 * time.Millisecond
 	// ownerReportTTL is how long the owner's report of a residency overrides the
 	// platform's list.
 	ownerReportTTL = 3 * time.Second
 )
 
-// Set is the set of replicas that a host knows. The indexes are built when they are
+// Set holds the replicas that are known to a host. The indexes are built when they are
 // first read after a change.
 type Set struct {
 	byID           map[core.UpstreamID]*Replica
 	sorted         []*Replica                     // all, by id; nil: indexes not built yet
 	byService      map[table.ServiceID][]*Replica // by service, each sorted by id
-	byShort        map[uint32]*Replica            // by core.Short of the id
+	byShort        map[uint32]*Replica            // by core.ShortHash of the id
 	digest         uint64                         // 0: not computed yet
 	storeLostAt    core.Instant                   // when the store was last unreachable; 0: never
 	storeReachedAt core.Instant                   // when it was first reached after that
@@ -106,7 +106,7 @@
 // Get returns the replica with an id, or nil.
 func (s *Set) Get(id core.UpstreamID) *Replica { return s.byID[id] }
 
-// ByShortHash returns the replica whose id has this core.Short number, or nil.
+// ByShortHash returns the replica whose id has this core.ShortHash number, or nil.
 func (s *Set) ByShortHash(n uint32) *Replica {
 	if s.sorted == nil {
 		s.index()
@@ -256,8 +256,8 @@
 	s.drop(id)
 }
 
-// RemoveUnlisted removes the replicas that the platform's whole list lacks. The listed entries
-// must have been applied before.
+// RemoveUnlisted removes the replicas that the platform's whole list lacks. The listed
+// entries must have been applied before.
 func (s *Set) RemoveUnlisted(now core.Instant, entries []Entry) {
 	listed := make(map[core.UpstreamID]bool, len(entries))
 	for _, e := range entries {
@@ -285,7 +285,7 @@
 	if s.storeLostAt == 0 {
 		return false
 	}
-	return s.storeReachedAt < s.storeLostAt || now.Sub(s.storeReachedAt) < lapseGrace
+	return s.storeReachedAt < s.storeLostAt || now.Sub(s.storeReachedAt) < outageGracePeriod
 }
 
 // Tick removes the replicas that are still missing at the end of the grace period after
--- a/internal/core/replicas/replicas_test.go
+++ b/internal/core/replicas/replicas_test.go
@@ -35,7 +35,7 @@
 	is.True(s.Get("a") != nil)
 	s.Update(at(11*time.Second), entry("b", 1, 9))
 	is.Equal(len(s.Tick(at(12*time.Second))), 0)
-	is.Equal(s.Tick(at(10*time.Second+lapseGrace)), []core.UpstreamID{"a"})
+	is.Equal(s.Tick(at(10*time.Second+outageGracePeriod)), []core.UpstreamID{"a"})
 	is.True(s.Get("b") != nil)
 }
 
@@ -47,7 +47,7 @@
 	s.Update(at(time.Second), entry("a", 1, 1))
 	s.StoreLost(at(5 * time.Second))
 	s.StoreReached(at(10 * time.Second))
-	s.Remove(at(10*time.Second+lapseGrace), "a")
+	s.Remove(at(10*time.Second+outageGracePeriod), "a")
 	is.True(s.Get("a") == nil)
 }
 
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -5,10 +5,10 @@
 // writes to make. What to order is decided elsewhere.
 //
 // Replicas need not check fencing numbers. Two hosts are kept from ordering the same
-// replica at the same time by time alone: an owner orders only for the lease term after
-// it sent the last acknowledged renewal, and a successor writes its name only after it
-// has itself observed the lease unchanged for the term plus a gap, or released for
-// the gap.
+// replica at the same time by timeouts alone: an owner orders only for the lease term
+// after it sent the last acknowledged renewal, and a successor writes its name only
+// after it has itself observed the lease unchanged for the term plus a gap, or released
+// for the gap.
 package shard
 
 import (
@@ -176,7 +176,7 @@
 	}
 	var r Record
 	if json.Unmarshal(o.Value, &r) != nil {
-		r = Record{} // foreign content: taken over like any lease that isn't renewed
+		r = Record{} // not a lease record: taken over like a lease that isn't renewed
 	}
 	if r.Owner != m.settings.Self {
 		l.validUntil = 0
@@ -308,7 +308,7 @@
 	switch result.Status {
 	case core.ObjectOK:
 		if result.Object.Version < l.version {
-			return // a later version has been observed meanwhile
+			return // a later version has been observed since the write was sent
 		}
 		l.record, l.version, l.seenAt = c.record, result.Object.Version, now
 		l.validUntil = 0
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -97,7 +97,7 @@
 }
 
 // Hosts pause, restart, lose answers and read stale lists. Invariant: two hosts never
-// order within 3 s of each other (Gap is 3.3 s), and fencing numbers never fall.
+// order within 3 s of each other (OwnerGap is 3.3 s), and fencing numbers never fall.
 func TestTwoOwnersNeverOrderWithinGap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const step = 100 * time.Millisecond
