--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -65,8 +65,8 @@
 	return NotSent.Has(err) || errors.Is(err, fasthttp.ErrNoFreeConns)
 }
 
-// Send sends a request and returns its answer. It gives up after the timeout, or when ctx
-// ends; the request may then still be in flight. Unsent classifies the error.
+// Send sends a request and returns its answer. It gives up after the timeout, or when
+// ctx ends; the request may then still be in flight. IsNotSent classifies the error.
 func (t *Transport) Send(ctx context.Context, request *fasthttp.Request, timeout time.Duration) (*fasthttp.Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, NotSent.Wrap(err)
