--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -49,7 +49,7 @@
 }
 
 // deriveHashKey derives the key of the request hashes from the deployment's secret, so
-// that nobody outside the deployment can construct requests with equal hashes.
+// that requests with equal hashes can't be constructed without it.
 func deriveHashKey(secret []byte) uint64 {
 	sum := sha256.Sum256(append([]byte("fingerprint\x00"), secret...))
 	return binary.LittleEndian.Uint64(sum[:])
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -59,7 +59,7 @@
 	t.line.model = parsed.arrival.Model
 	t.ctx, t.cancel = context.WithTimeout(context.Background(), parsed.arrival.Timeout+timeoutGrace)
 	t.exchange = s.node.StartRequest(parsed.arrival)
-	t.conn = hangup.Watch(ctx.Conn(), t.hangUp) // after Begin, so that the node receives the request before its hang-up
+	t.conn = hangup.Watch(ctx.Conn(), t.hangUp) // after StartRequest, so that the node receives the request before its hang-up
 	t.serve(ctx)
 }
 
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,10 +1,11 @@
 // Package entry is the HTTP server for callers on a host.
 //
 // It checks and parses requests, passes them to the node, which decides what happens to
-// them, and carries out its decisions: it sends attempts to upstreams and returns answers
-// or refusals. It reports a caller's hang-up to the node at once, except during a recorded
-// attempt. Invariant: the end of each dispatched attempt is reported exactly once, and a
-// hang-up is reported before the end of the attempt that it cancels.
+// them, and carries out its decisions: it sends attempts to upstreams and returns
+// answers or refusals. It reports a caller's hang-up to the node immediately, except
+// during a recorded attempt. Invariant: the end of each dispatched attempt is reported
+// exactly once, and a hang-up is reported before the end of the attempt that it
+// cancels.
 package entry
 
 import (
