--- a/internal/host/exchange.go
+++ b/internal/host/exchange.go
@@ -15,7 +15,7 @@
 // Exchange is the handler's side of one request.
 type Exchange struct {
 	ID        core.RequestID
-	Decisions chan node.Effect // Dispatch, Refuse, Replay or Cut
+	Decisions chan node.Effect // Dispatch, Refuse, ReplayOutcome or AbortAnswer
 	host      *Host
 
 	mu           sync.Mutex
@@ -44,8 +44,8 @@
 	x.host.mu.Unlock()
 }
 
-// StartAttempt returns the context of an attempt. The node's cancel or abort cancels it,
-// also one that came before this call.
+// StartAttempt returns the context of an attempt. A cancel or abort by the node ends
+// it, even if it came before this call.
 func (x *Exchange) StartAttempt(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	x.mu.Lock()
--- a/internal/host/executors.go
+++ b/internal/host/executors.go
@@ -66,7 +66,7 @@
 }
 
 // submit enqueues a job. It returns false if the queue is full.
-func (p *pool) submit(w job) bool { return p.ring.Push(w) == nil }
+func (p *pool) submit(j job) bool { return p.ring.Push(j) == nil }
 
 // register adds the pool's workers to the supervisor tree.
 func (p *pool) register(tree *supervise.Tree) {
@@ -80,8 +80,8 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case w := <-p.ring.Items():
-			w(ctx)
+		case j := <-p.ring.Items():
+			j(ctx)
 		}
 	}
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -46,24 +46,24 @@
 	localEvents []node.Event // used by the node's worker only
 	ticks       int          // used by the node's worker only
 	start       time.Time
-	left        chan LeaveCompleted
+	mayExit     chan LeaveCompleted
 
 	mu        sync.Mutex
 	exchanges map[core.RequestID]*Exchange
 }
 
 // New returns a host whose workers are not started. Register adds them to a tree.
-func New(n *node.Node, c Executors, registry metrics.Registry, start time.Time) *Host {
+func New(n *node.Node, executors Executors, registry metrics.Registry, start time.Time) *Host {
 	return &Host{
 		node:      n,
-		executors: c,
+		executors: executors,
 		metrics:   registry,
 		events:    supervise.NewRing[node.Event]("events", eventQueueSize, supervise.Refuse),
 		objects:   newPool("object calls", objectWorkers),
 		orders:    newPool("adapter orders", orderWorkers),
 		polls:     newPool("polls", pollWorkers),
 		start:     start,
-		left:      make(chan LeaveCompleted, 1),
+		mayExit:   make(chan LeaveCompleted, 1),
 		exchanges: map[core.RequestID]*Exchange{},
 	}
 }
@@ -84,7 +84,7 @@
 type LeaveCompleted = node.LeaveCompleted
 
 // Done returns a channel that gives one value once the host may exit.
-func (h *Host) Done() <-chan LeaveCompleted { return h.left }
+func (h *Host) Done() <-chan LeaveCompleted { return h.mayExit }
 
 // Notify enqueues an event and blocks while the queue is full: an event that ends
 // something must not be lost. The node's worker must not call it, as it would block
@@ -190,7 +190,7 @@
 	case node.LogDecision:
 		h.logDecision(x)
 	case node.LeaveCompleted:
-		h.left <- x // the node emits it once
+		h.mayExit <- x // the node emits it once
 	default:
 		log.WithField("effect", fmt.Sprintf("%T", effect)).Error("effect has no executor and is dropped")
 	}
@@ -238,7 +238,7 @@
 	h.polls.submit(func(ctx context.Context) {
 		hosts, err := h.executors.Hosts.List(ctx)
 		if err != nil {
-			log.WithError(err).Debug("could not read the host list; the former one stays")
+			log.WithError(err).Debug("could not read the host list; the previous one is kept")
 			return
 		}
 		h.Notify(node.HostListRead{Hosts: hosts})
@@ -246,16 +246,16 @@
 }
 
 // logDecision counts a decision by its name and reason and logs it at debug level.
-func (h *Host) logDecision(n node.LogDecision) {
-	name := decisionPrefix + metricName(n.Name)
-	if n.Reason != "" {
-		name += "." + n.Reason
+func (h *Host) logDecision(d node.LogDecision) {
+	name := decisionPrefix + metricName(d.Name)
+	if d.Reason != "" {
+		name += "." + d.Reason
 	}
 	h.count(name)
 	if !debugEnabled() {
 		return
 	}
-	log.WithFields(log.Fields{"decision": n.Name, "reason": n.Reason, "detail": n.Detail, "request": string(n.ID)}).Debug("decided")
+	log.WithFields(log.Fields{"decision": d.Name, "reason": d.Reason, "detail": d.Detail, "request": string(d.ID)}).Debug("decided")
 }
 
 // debugEnabled reports whether debug lines are written.
