--- a/internal/core/relaynode/host_test.go
+++ b/internal/core/relaynode/host_test.go
@@ -143,8 +143,8 @@
 }
 
 // lease reads leases of all shards whose owner is the host.
-func (h *host) lease(holder core.HostID) {
-	value, err := json.Marshal(shard.Record{Owner: holder, Fence: 1})
+func (h *host) lease(owner core.HostID) {
+	value, err := json.Marshal(shard.Record{Owner: owner, Fence: 1})
 	h.is.NoErr(err)
 	var objects []core.Object
 	for i := range shard.DefaultCount {
@@ -161,8 +161,8 @@
 		if !ok {
 			continue
 		}
-		for _, w := range p.Message.Demands {
-			if w.Replica == replica && w.Adapter == (core.AdapterRef{ID: "x", Version: version}) {
+		for _, d := range p.Message.Demands {
+			if d.Replica == replica && d.Adapter == (core.AdapterRef{ID: "x", Version: version}) {
 				return true
 			}
 		}
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// ListHosts returns the platform's list of live and leaving hosts and upstreams. It may be
-// out of date.
+// ListHosts returns the platform's list of running and leaving hosts and upstreams. It
+// may be outdated.
 func (c *Client) ListHosts(ctx context.Context) ([]ListEntry, error) {
 	r := &fasthttp.Request{}
 	r.SetRequestURI("http://" + c.address + PathHosts)
--- a/internal/wiring/relay.go
+++ b/internal/wiring/relay.go
@@ -54,7 +54,8 @@
 	streamRefusalLead  = 4800 * time.Millisecond // from the refusal of streams to the end of the shutdown
 )
 
-// versionGraceFraction is the fraction of an adapter version's grace that is used.
+// versionGraceFraction is the fraction of the configured grace period for which a host
+// still uses an older adapter version.
 const versionGraceFraction = 0.4
 
 // bootTime reads CLOCK_BOOTTIME, which also advances while the machine is suspended.
