--- a/internal/core/fleet/active_test.go
+++ b/internal/core/fleet/active_test.go
@@ -12,7 +12,7 @@
 
 // newMixedFleet returns a fleet as seen by its host w0: hosts of 0.8 cores, named s0
 // and so on, and hosts of 0.192 cores, w0 and so on.
-func newMixedFleet(now core.Instant, strong, weak int) *Fleet {
+func newMixedFleet(now core.Instant, large, small int) *Fleet {
 	host := func(name string, capacity float64) Registration {
 		r := registration(name)
 		r.Capacity = capacity
@@ -20,10 +20,10 @@
 		return r
 	}
 	f := New(host("w0", 0.192))
-	for i := range strong {
+	for i := range large {
 		f.UpdateRegistration(now, host(fmt.Sprintf("s%d", i), 0.8))
 	}
-	for i := 1; i < weak; i++ {
+	for i := 1; i < small; i++ {
 		f.UpdateRegistration(now, host(fmt.Sprintf("w%d", i), 0.192))
 	}
 	return f
@@ -163,7 +163,7 @@
 // Invariant: however the network is partitioned, the fractions of both sides add up to
 // about 1.
 func TestReachableFractionsOfPartitionedFleetAddUp(t *testing.T) {
-	for _, strong := range []int{0, 1, 3, 6} {
+	for _, largeOnOneSide := range []int{0, 1, 3, 6} {
 		is := is.New(t)
 		one, other := newMixedFleet(start, 6, 69), newMixedFleet(start, 6, 69)
 		other.self = registration("w68")
@@ -183,7 +183,7 @@
 		}
 		for i := range 6 {
 			side := one
-			if i >= strong {
+			if i >= largeOnOneSide {
 				side = other
 			}
 			side.ReceiveHeartbeat(later, core.HostID(fmt.Sprintf("s%d/1", i)), true, true, false)
--- a/internal/core/residency/machine_test.go
+++ b/internal/core/residency/machine_test.go
@@ -89,14 +89,15 @@
 	return m
 }
 
-func act(core.UpstreamID) (core.Fence, bool) { return 1, true }
+// ownAll is the fence function of a host that owns every replica.
+func ownAll(core.UpstreamID) (core.Fence, bool) { return 1, true }
 
 func at(d time.Duration) core.Instant { return core.Instant(d) }
 
 // run ticks the machine every 5 ms and answers its orders and probes from the engine.
 func run(m *Machine, e *engine, from, to time.Duration) {
 	for now := at(from); now <= at(to); now = now.Add(5 * time.Millisecond) {
-		out := m.Tick(now, act)
+		out := m.Tick(now, ownAll)
 		for range out.Probes {
 			m.ApplyReport(now, e.report(now))
 		}
@@ -108,7 +109,7 @@
 
 func loaded(m *Machine) []core.AdapterID {
 	var ids []core.AdapterID
-	for _, s := range m.ChangedResidencies(act, true) {
+	for _, s := range m.ChangedResidencies(ownAll, true) {
 		for _, a := range s.Models[0].Adapters {
 			ids = append(ids, a.ID)
 		}
@@ -167,17 +168,17 @@
 	const every, objective = 60 * time.Millisecond, 440 * time.Millisecond // against 2 loads in 256 ms
 	m, e := newMachine(100), newEngine(100)
 	run(m, e, 0, 0)
-	asked := map[core.AdapterID]time.Duration{}
+	firstDemanded := map[core.AdapterID]time.Duration{}
 	met, onTime := 0, 0
 	seen := map[core.AdapterID]bool{}
 	for now := time.Duration(0); now < 6*time.Second; now += every {
 		id := core.AdapterID(strconv.Itoa(int(now / every)))
-		asked[id] = now
-		for a, since := range asked {
+		firstDemanded[id] = now
+		for a, since := range firstDemanded {
 			if now-since < 1200*time.Millisecond && !seen[a] { // callers give up after 1.2 s
-				w := demandFor(a)
-				w.Left = objective - (now - since)
-				m.AddDemand(at(now), w)
+				d := demandFor(a)
+				d.Left = objective - (now - since)
+				m.AddDemand(at(now), d)
 			}
 		}
 		run(m, e, now, now+every-5*time.Millisecond)
@@ -187,7 +188,7 @@
 			}
 			seen[a] = true
 			met++
-			if now+every-asked[a] <= objective+every {
+			if now+every-firstDemanded[a] <= objective+every {
 				onTime++
 			}
 		}
@@ -214,7 +215,7 @@
 			n++
 			m.AddDemand(now, Demand{Replica: id, Model: base, Adapter: core.AdapterRef{ID: core.AdapterID(strconv.Itoa(n))}, Weight: 1, Left: 400 * time.Millisecond})
 		}
-		out := m.Tick(now, act)
+		out := m.Tick(now, ownAll)
 		for _, p := range out.Probes {
 			r := engines[p.Replica].report(now)
 			r.Replica = p.Replica
@@ -255,11 +256,11 @@
 	newer.Adapter.Version = 5
 	m.ApplyUse(at(time.Second), "h", Use{Replica: "r", Adapter: "x", Running: 1})
 	m.AddDemand(at(time.Second), newer)
-	is.Equal(len(m.Tick(at(time.Second), act).Orders), 0)
+	is.Equal(len(m.Tick(at(time.Second), ownAll).Orders), 0)
 	m.ApplyUse(at(1100*time.Millisecond), "h", Use{Replica: "r", Adapter: "x"})
 	m.AddDemand(at(1100*time.Millisecond), newer)
-	is.Equal(len(m.Tick(at(1200*time.Millisecond), act).Orders), 0)
-	out := m.Tick(at(1100*time.Millisecond+minUpgradeIdle), act)
+	is.Equal(len(m.Tick(at(1200*time.Millisecond), ownAll).Orders), 0)
+	out := m.Tick(at(1100*time.Millisecond+minUpgradeIdle), ownAll)
 	is.Equal(len(out.Orders), 1)
 	is.Equal(out.Orders[0].Adapter, core.AdapterRef{ID: "x", Version: 5})
 	is.True(out.Orders[0].Load)
@@ -275,8 +276,8 @@
 	m.ApplyUse(at(time.Second), "h", Use{Replica: "r", Adapter: "used", Begun: 1})
 	m.SetNewestVersion(base, core.AdapterRef{ID: "used", Version: 2})
 	m.SetNewestVersion(base, core.AdapterRef{ID: "idle", Version: 2})
-	is.Equal(len(m.Tick(at(time.Second), act).Orders), 0) // used a moment ago
-	out := m.Tick(at(time.Second+minUpgradeIdle), act)
+	is.Equal(len(m.Tick(at(time.Second), ownAll).Orders), 0) // used a moment ago
+	out := m.Tick(at(time.Second+minUpgradeIdle), ownAll)
 	is.Equal(len(out.Orders), 1)
 	is.Equal(out.Orders[0].Adapter, core.AdapterRef{ID: "used", Version: 2})
 }
@@ -284,10 +285,10 @@
 func TestEmptyReplicaLoadsItsModelFirst(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(1)
-	m.Tick(0, act)
+	m.Tick(0, ownAll)
 	m.ApplyReport(0, Report{Replica: "r", OK: true, Started: 1})
 	m.AddDemand(0, demandFor("x"))
-	out := m.Tick(0, act)
+	out := m.Tick(0, ownAll)
 	is.Equal(len(out.Orders), 1)
 	is.Equal(out.Orders[0].Model, base)
 	is.Equal(out.Orders[0].Adapter.ID, core.AdapterID(""))
@@ -327,7 +328,7 @@
 				m.AddDemand(now, demandFor(core.AdapterID(strconv.Itoa(rapid.IntRange(0, 8).Draw(rt, "adapter")))))
 			}
 			lagging = append(lagging, e.report(now))
-			out := m.Tick(now, act)
+			out := m.Tick(now, ownAll)
 			for range out.Probes {
 				if rapid.IntRange(0, 5).Draw(rt, "report fails") == 0 {
 					m.ApplyReport(now, Report{Replica: "r"})
