--- a/internal/core/fleet/active_test.go
+++ b/internal/core/fleet/active_test.go
@@ -10,9 +10,9 @@
 	"gentiancroft/internal/core"
 )
 
-// newMixedFleet returns a fleet as seen by its host w0: strong hosts of 0.8 cores,
-// named s0 and so on, and weak ones of 0.192, w0 and so on.
-func newMixedFleet(now core.Instant, strong, weak int) *Fleet {
+// newMixedFleet returns a fleet as seen by its host w0: hosts of 0.8 cores, named s0
+// and so on, and hosts of 0.192 cores, w0 and so on.
+func newMixedFleet(now core.Instant, large, small int) *Fleet {
 	host := func(name string, capacity float64) Registration {
 		r := registration(name)
 		r.Capacity = capacity
@@ -20,10 +20,10 @@
 		return r
 	}
 	f := New(host("w0", 0.192))
-	for i := range strong {
+	for i := range large {
 		f.UpdateRegistration(now, host(fmt.Sprintf("s%d", i), 0.8))
 	}
-	for i := 1; i < weak; i++ {
+	for i := 1; i < small; i++ {
 		f.UpdateRegistration(now, host(fmt.Sprintf("w%d", i), 0.192))
 	}
 	return f
@@ -70,7 +70,7 @@
 	if f.Active() {
 		active++
 	}
-	is.Equal(active, 13) // 13 weak hosts of 0.192 cores carry the need
+	is.Equal(active, 13) // 13 hosts of 0.192 cores carry the need
 	is.True(f.IsActive("s0/1"))
 	is.True(!f.IsActive("s1/1"))
 }
@@ -81,7 +81,7 @@
 	heartbeatAll(f, start)
 	f.SelectActive(start, 4.8)
 	is.Equal(len(f.ActivePeers()), 6)
-	f.SelectActive(start, 10) // 53 weak hosts carry it
+	f.SelectActive(start, 10) // 53 hosts of 0.192 cores carry it
 	is.True(len(f.ActivePeers()) >= 52)
 }
 
@@ -145,7 +145,7 @@
 	}
 }
 
-// After a power loss of all hosts the active ones reach each other at once. They must
+// After a power loss of all hosts the active ones reach each other first. They must
 // admit at the fleet's full rate without waiting for the standby hosts.
 func TestReachableFractionOfLargeFleetCountsActiveHostsOnly(t *testing.T) {
 	is := is.New(t)
@@ -163,7 +163,7 @@
 // Invariant: however the network is partitioned, the fractions of both sides add up to
 // about 1.
 func TestReachableFractionsOfPartitionedFleetAddUp(t *testing.T) {
-	for _, strong := range []int{0, 1, 3, 6} {
+	for _, largeOnOneSide := range []int{0, 1, 3, 6} {
 		is := is.New(t)
 		one, other := newMixedFleet(start, 6, 69), newMixedFleet(start, 6, 69)
 		other.self = registration("w68")
@@ -183,7 +183,7 @@
 		}
 		for i := range 6 {
 			side := one
-			if i >= strong {
+			if i >= largeOnOneSide {
 				side = other
 			}
 			side.ReceiveHeartbeat(later, core.HostID(fmt.Sprintf("s%d/1", i)), true, true, false)
