--- a/internal/core/directory/directory.go
+++ b/internal/core/directory/directory.go
@@ -18,8 +18,8 @@
 	// AnswerTTL is how long a caller may cache an answer. A leaving host continues to
 	// serve for at least this long after it has left the directory.
 	AnswerTTL = 10 * time.Second
-	// UnsureAnswerTTL is the same if hosts are suspected or a home is overloaded.
-	UnsureAnswerTTL = 3 * time.Second
+	// DegradedAnswerTTL is the same if hosts are suspected or a home is overloaded.
+	DegradedAnswerTTL = 3 * time.Second
 	// MinHomes is the minimum of homes of a workspace, if that many hosts are usable.
 	MinHomes = 2
 	// MaxAddresses is the maximum of addresses in an answer.
@@ -40,7 +40,7 @@
 	Leaving   []string                    // addresses that the platform lists as leaving; may be outdated
 	Load      map[core.HostID]float64     // fraction of a host's capacity in use; 0 for hosts that are missing
 	Workspace core.WorkspaceID            // "": all usable hosts are homes
-	Share     float64                     // the workspace's rate as a fraction of all rates, 0 to 1
+	RateShare float64                     // the workspace's rate as a fraction of all rates, 0 to 1
 	Domain    core.Domain                 // of the caller, "" if unknown
 	Seed      uint64                      // spreads callers over hosts of equal distance
 }
@@ -60,7 +60,7 @@
 	order(homes, in)
 	answer := Answer{TTL: AnswerTTL}
 	if unsure || overloaded(homes, in) {
-		answer.TTL = UnsureAnswerTTL
+		answer.TTL = DegradedAnswerTTL
 	}
 	for _, m := range homes[:min(len(homes), MaxAddresses)] {
 		answer.Hosts = append(answer.Hosts, m.Host)
@@ -116,7 +116,7 @@
 		sb := core.Score(b.Host, homeScoreKind, string(in.Workspace))
 		return cmp.Or(cmp.Compare(sb, sa), cmp.Compare(a.Host, b.Host))
 	})
-	count := HomeCount(len(ranked), in.Share)
+	count := HomeCount(len(ranked), in.RateShare)
 	homes := make([]core.Member, 0, count)
 	for round := 0; len(homes) < count; round++ {
 		perDomain := map[core.Domain]int{}
--- a/internal/core/directory/directory_test.go
+++ b/internal/core/directory/directory_test.go
@@ -36,7 +36,7 @@
 func TestAnswerIsNeverEmptyAndPrefersUsableHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := Input{Members: fleet(rapid.IntRange(1, 20).Draw(t, "n"), 4), Workspace: "w", Seed: rapid.Uint64().Draw(t, "seed")}
-		in.Share = rapid.Float64Range(0, 1).Draw(t, "share")
+		in.RateShare = rapid.Float64Range(0, 1).Draw(t, "share")
 		in.Load = map[core.HostID]float64{}
 		good := 0
 		for i := range in.Members {
@@ -71,13 +71,13 @@
 
 func TestHomesFollowShareAndAreStable(t *testing.T) {
 	is := is.New(t)
-	in := Input{Members: fleet(350, 8), Workspace: "small", Share: 0.001}
+	in := Input{Members: fleet(350, 8), Workspace: "small", RateShare: 0.001}
 	before := chooseHomes(in.Members, in)
 	is.Equal(len(before), MinHomes)
 	is.True(before[0].Domain != before[1].Domain)
-	in.Share = 0.2
+	in.RateShare = 0.2
 	is.Equal(len(chooseHomes(in.Members, in)), 140)
-	in.Share = 0.02
+	in.RateShare = 0.02
 	before = chooseHomes(in.Members, in)
 	i := slices.IndexFunc(in.Members, func(m core.Member) bool { return m.Host == before[3].Host })
 	in.Members = slices.Delete(in.Members, i, i+1)
--- a/internal/core/node/read.go
+++ b/internal/core/node/read.go
@@ -57,7 +57,7 @@
 	if n.snapshot != nil {
 		if k := n.snapshot.Key(keyHash); k != nil {
 			in.Workspace = k.Workspace
-			in.Share = n.rateShare(k.Workspace)
+			in.RateShare = n.rateShare(k.Workspace)
 		}
 	}
 	return directory.Entries(in)
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -32,7 +32,7 @@
 	Self           core.HostID   // this host's name, the same over restarts
 	Count          int           // of shards
 	Term           time.Duration // lease term: how long an acknowledged renewal permits orders
-	Renew          time.Duration // renewal interval, well below Term
+	RenewInterval  time.Duration // renewal interval, well below Term
 	OwnerGap       time.Duration // minimum time between the orders of two owners
 	SuccessorDelay time.Duration // extra wait for each better-ranked successor
 	StartDelay     time.Duration // from the process's start until missing leases are created, so that hosts find each other first
@@ -42,7 +42,7 @@
 const (
 	DefaultCount          = 4
 	DefaultTerm           = 5 * time.Second
-	DefaultRenew          = 1100 * time.Millisecond
+	DefaultRenewInterval  = 1100 * time.Millisecond
 	DefaultOwnerGap       = 3300 * time.Millisecond
 	DefaultSuccessorDelay = 700 * time.Millisecond
 )
@@ -98,8 +98,8 @@
 	if s.Term <= 0 {
 		s.Term = DefaultTerm
 	}
-	if s.Renew <= 0 {
-		s.Renew = DefaultRenew
+	if s.RenewInterval <= 0 {
+		s.RenewInterval = DefaultRenewInterval
 	}
 	if s.OwnerGap <= 0 {
 		s.OwnerGap = DefaultOwnerGap
@@ -240,7 +240,7 @@
 	case mine && l.validUntil == 0: // written by an earlier process of this host, or by a write without an answer
 		return m.write(now, i, l, m.takeoverRecord(l)), true
 	case mine && now >= l.renewAt:
-		l.renewAt = now.Add(m.settings.Renew)
+		l.renewAt = now.Add(m.settings.RenewInterval)
 		r := l.record
 		if !now.Before(l.validUntil) { // expired: later orders need a new fencing number
 			r.Fence++
@@ -314,7 +314,7 @@
 		l.validUntil = 0
 		if !c.record.Released && !m.leaving {
 			l.validUntil = c.Sent.Add(m.settings.Term)
-			l.renewAt = c.Sent.Add(m.settings.Renew)
+			l.renewAt = c.Sent.Add(m.settings.RenewInterval)
 		}
 	case core.ObjectConflict:
 		if result.Object.Version != 0 {
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -79,7 +79,7 @@
 func TestUnansweredRenewalDoesNotExtendLease(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
-	m := New(Settings{Self: "a", Count: 1, Renew: 700 * time.Millisecond})
+	m := New(Settings{Self: "a", Count: 1, RenewInterval: 700 * time.Millisecond})
 	m.ApplyList(0, nil)
 	first := m.Tick(0, alone)[0]
 	m.ApplyWriteResult(0, first, s.do(first.Object))
--- a/internal/host/executors.go
+++ b/internal/host/executors.go
@@ -27,8 +27,8 @@
 	Do(ctx context.Context, c core.ObjectCall) core.ObjectResult
 }
 
-// Polls requests reports of upstreams.
-type Polls interface {
+// LoadReporter requests reports of upstreams.
+type LoadReporter interface {
 	Poll(ctx context.Context, u core.UpstreamID, address string) core.UpstreamReport
 }
 
@@ -44,11 +44,11 @@
 
 // Executors are the executors of a node's effects.
 type Executors struct {
-	Orders  Orders
-	Objects Objects
-	Polls   Polls
-	Hosts   HostLister
-	Links   Links
+	Orders      Orders
+	Objects     Objects
+	LoadReports LoadReporter
+	Hosts       HostLister
+	Links       Links
 }
 
 // job is a unit of work for a pool.
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -227,7 +227,7 @@
 func (h *Host) poll(p node.PollUpstream) {
 	h.polls.submit(func(ctx context.Context) {
 		sent := h.Now()
-		report := h.executors.Polls.Poll(ctx, p.Upstream, p.Address)
+		report := h.executors.LoadReports.Poll(ctx, p.Upstream, p.Address)
 		report.Upstream = p.Upstream
 		report.Sent = sent
 		h.Notify(node.ReportReceived{UpstreamReport: report})
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -16,9 +16,9 @@
 	"gentiancroft/internal/upstream"
 )
 
-// Cut is the class of errors of streams that can't be completed. The caller's
+// AnswerCut is the class of errors of streams that can't be completed. The caller's
 // connection is closed without the end of the body.
-var Cut = errs.Class("answer cut")
+var AnswerCut = errs.Class("answer cut")
 
 const (
 	readSize      = 2 << 10  // bytes per read
@@ -139,7 +139,7 @@
 		}
 		s.release(endOfError(s.attempt, err))
 		if !s.resume() {
-			return 0, Cut.Wrap(err)
+			return 0, AnswerCut.Wrap(err)
 		}
 	}
 	n := copy(p, s.buffer[:s.readyBytes])
--- a/internal/wiring/executors.go
+++ b/internal/wiring/executors.go
@@ -59,11 +59,11 @@
 // newExecutors returns the executors of a host's effects.
 func newExecutors(p *platform.Client, u *upstream.Client, l *lateBoundLinks, now func() core.Instant) host.Executors {
 	return host.Executors{
-		Orders:  upstream.OrderClient{Client: u, Now: now},
-		Objects: p,
-		Polls:   u,
-		Hosts:   hostLister{client: p},
-		Links:   l,
+		Orders:      upstream.OrderClient{Client: u, Now: now},
+		Objects:     p,
+		LoadReports: u,
+		Hosts:       hostLister{client: p},
+		Links:       l,
 	}
 }
 
