--- a/internal/core/relaynode/catalog.go
+++ b/internal/core/relaynode/catalog.go
@@ -82,7 +82,7 @@
 			{Name: "store_back", Meaning: "the store answers again after an outage"}}},
 		{Name: "fleet", Subject: "whether this host is active or a standby host", Detail: "reachable active hosts", Reasons: []Reason{
 			{Name: "active", Meaning: "this host is advertised to callers"},
-			{Name: "standby", Meaning: "stronger hosts serve; this one replaces one that fails"}}},
+			{Name: "standby", Meaning: "hosts with more capacity serve; this one replaces one that fails"}}},
 		{Name: "shard", Subject: "which host orders the replicas of a shard", Detail: "shard and owner", Reasons: []Reason{
 			{Name: "holder", Meaning: "the owner has changed"}}},
 		{Name: "leave", Subject: "a graceful shutdown", Detail: "requests left", Reasons: []Reason{
--- a/internal/host/executors.go
+++ b/internal/host/executors.go
@@ -27,7 +27,7 @@
 	Do(ctx context.Context, c core.ObjectCall) core.ObjectResult
 }
 
-// LoadReporter requests reports of upstreams.
+// LoadReporter requests the load reports of upstreams.
 type LoadReporter interface {
 	Poll(ctx context.Context, u core.UpstreamID, address string) core.UpstreamReport
 }
